--- a/node/ahead.go
+++ b/node/ahead.go
@@ -13,14 +13,14 @@
 	"pollengauge.dev/observe"
 )
 
-// maxBegun bounds the requests of all callers that were begun before their turn
-// and not answered yet. Each one holds a goroutine, its head and a connection to
-// another node, some 40 KiB in all; answers stay with the node that they come
-// from until their turn.
+// maxBegun bounds the requests of all callers that were started before their turn on
+// the connection and are not answered yet. Each one holds a goroutine, its head and a
+// connection to another node, about 40 KiB in all. The body of its answer stays at the
+// node that it comes from until the turn.
 const maxBegun = 256
 
-// readAhead returns a listener whose connections begin requests before their
-// turn.
+// readAhead returns a listener whose connections read ahead and start pipelined
+// requests before their turn.
 func (n *Node) readAhead(l net.Listener) net.Listener {
 	return &aheadListener{Listener: l, begin: n.beginAhead}
 }
@@ -46,13 +46,14 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// connOf returns the connection of a request of a caller, nil for others.
+// connOf returns the connection of a caller's request, nil for other requests.
 func connOf(r *http.Request) *pipelining.Conn {
 	conn, _ := r.Context().Value(connKey{}).(*pipelining.Conn)
 	return conn
 }
 
-// turnOf takes the run of a request that was begun before its turn, nil for others.
+// turnOf takes from the connection the run of a request that was started before its
+// turn. It returns nil for other requests.
 func turnOf(r *http.Request) *begunRun {
 	conn := connOf(r)
 	if conn == nil {
@@ -62,8 +63,8 @@
 	return run
 }
 
-// begunRun is the run of a request that was begun before its turn. Its time
-// counts from its arrival.
+// begunRun is the run of a pipelined request that was started before its turn. Its
+// time counts from its arrival.
 type begunRun struct {
 	node   *Node
 	req    *request
@@ -75,17 +76,18 @@
 	endOnce sync.Once
 }
 
-// beginAhead begins a request that stands behind another one on its connection.
-// It returns nil for one that has to wait for its turn: what may not run twice,
-// what the node would refuse, and a call of the upstream here, whose run keeps
-// its account by the handler.
+// beginAhead starts a request that is queued behind an earlier one on its connection.
+// It returns nil for a request that has to wait for its turn: one that must not run
+// twice, one that the node would refuse, and a call of the upstream on this VM, which
+// its handler has to account to its visit.
 func (n *Node) beginAhead(ctx context.Context, r *http.Request) pipelining.Answer {
 	if n.ending.Load() || n.begun.Add(1) > maxBegun {
 		n.begun.Add(-1)
 		return nil
 	}
 	// The connection compares the head that was read here with the one that net/http
-	// reads, and headers are taken out of a request that is passed on.
+	// reads, and forwarding a request removes headers from it. It therefore needs its
+	// own copy.
 	own := *r
 	own.Header = r.Header.Clone()
 	req := n.aheadRequest(&own)
@@ -101,7 +103,8 @@
 	return run
 }
 
-// aheadRequest reads a request without a body, nil if it has to wait.
+// aheadRequest reads a request without a body. It returns nil if the request has to
+// wait for its turn.
 func (n *Node) aheadRequest(r *http.Request) *request {
 	if n.headLimitOf(EdgeListener).check(r) != nil || n.limitCaller(nil, r) != nil {
 		return nil
@@ -145,7 +148,7 @@
 	run.answer = run.node.answerRoot(ctx, run.req)
 }
 
-// end lets go of the run once its answer is written or not wanted any more.
+// end releases the run once its answer has been written or is no longer needed.
 func (run *begunRun) end() {
 	run.endOnce.Do(func() {
 		run.cancel()
@@ -164,7 +167,7 @@
 	}()
 }
 
-// serveBegun writes the answer of a run whose turn has come.
+// serveBegun writes the answer of a run when its turn on the connection has come.
 func (n *Node) serveBegun(w http.ResponseWriter, r *http.Request, run *begunRun) {
 	turn := n.now()
 	stop := context.AfterFunc(r.Context(), run.cancel)
@@ -175,11 +178,11 @@
 	n.writeRoot(w, run.req, run.answer)
 }
 
-// lateTurnShare is the part of a target from which a wait for the answers before
-// is told: it can make an answer late that was ready in time.
+// lateTurnShare is the fraction of a target from which the wait for earlier answers is
+// logged: it can make an answer late that was ready in time.
 const lateTurnShare = 0.5
 
-// noteTurn tells of a request that stood long behind others on its connection.
+// noteTurn logs a request that was queued for long behind others on its connection.
 func (n *Node) noteTurn(run *begunRun, turn time.Time) {
 	behind := turn.Sub(run.begun)
 	target := time.Duration(run.req.profile.Target)
--- a/node/answer.go
+++ b/node/answer.go
@@ -12,7 +12,7 @@
 	"pollengauge.dev/retry"
 )
 
-// answer is what one attempt, or a whole dispatch, came back with.
+// answer is the result of one attempt or of a whole dispatch.
 type answer struct {
 	report  call.Report
 	status  int
@@ -21,30 +21,30 @@
 	trailer http.Header
 	// resp supplies trailers that are known only after the body.
 	resp *http.Response
-	// retryAfter accompanies refusals.
+	// refusal has the outcome, the reason and the Retry-After of a call that has no
+	// complete answer.
 	refusal *refusal
 	target  string
-	// home is the incarnation that a keyed call was passed on to, or sought.
+	// home is the incarnation to which a keyed call was, or was to be, forwarded.
 	home string
-	// decision is set where it is neither admitted nor refused.
+	// decision is set if the recorded decision is neither admitted nor refused.
 	decision observe.Decision
-	// outside is true for an answer that leaves the system: callers get the
-	// outcome and the reason, not what nodes tell each other.
+	// outside is set for an answer that leaves the system. Its caller gets the outcome
+	// and the reason, but not the data that nodes exchange.
 	outside bool
-	// plain is true for an answer of which no report is told, as a dialect has
-	// its own words.
+	// plain is set for an answer whose headers carry no report, because a dialect has
+	// its own headers.
 	plain bool
-	// reported is true when a node's own report came with the answer; its
-	// CreditLeft can be trusted even when the outcome is unknown.
+	// reported is set if a node's own report came with the answer. Its CreditLeft can
+	// then be trusted even if the outcome is unknown.
 	reported bool
-	// ended is why no further attempt followed the last one.
+	// ended is the reason why no further attempt followed the last one.
 	ended retry.Why
 	// stale is the age in seconds of a stored answer.
 	stale string
 }
 
-// trailers returns the trailers; their values are there once the body has
-// ended.
+// trailers returns the trailers. Their values are available after the end of the body.
 func (a *answer) trailers() http.Header {
 	source := a.trailer
 	if a.resp != nil {
@@ -54,7 +54,7 @@
 	return source
 }
 
-// trailerNames returns the names announced before the body.
+// trailerNames returns the names of the trailers that are announced before the body.
 func (a *answer) trailerNames() []string {
 	source := a.trailers()
 	names := make([]string, 0, len(source))
@@ -64,21 +64,21 @@
 	return names
 }
 
-// close lets go of the answer's body.
+// close closes the answer's body, if it has one.
 func (a *answer) close() {
 	if a.body != nil {
 		_ = a.body.Close()
 	}
 }
 
-// copyBufferSize is how much of a body is copied at once, in bytes.
+// copyBufferSize is the number of bytes of a body that are copied at once.
 const copyBufferSize = 32 << 10
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// writeAnswer streams a to w. When the source breaks midway the connection is
-// torn down, so that a truncated answer can't pass for a complete one: the
-// receiver sees an unfinished chunk or a short Content-Length.
+// writeAnswer streams a to w. After an error the connection is broken, so that a
+// truncated answer can't be taken for a complete one: the receiver sees an unfinished
+// chunk or fewer bytes than Content-Length.
 func writeAnswer(w http.ResponseWriter, a *answer) error {
 	h := w.Header()
 	for name, values := range a.header {
@@ -107,7 +107,8 @@
 	}
 	for name, values := range a.trailers() {
 		if !slices.Contains(announced, name) {
-			// net/http sends a trailer that was not announced under this name.
+			// net/http sends an unannounced trailer only under a name with this
+			// prefix.
 			name = http.TrailerPrefix + name
 		}
 		h[name] = values
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// stream copies src to w, flushing whenever the source pauses.
+// stream copies src to w and flushes after each read that doesn't fill the buffer.
 func stream(w http.ResponseWriter, src io.Reader) error {
 	buf := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buf)
--- a/node/attempt.go
+++ b/node/attempt.go
@@ -12,7 +12,7 @@
 	"pollengauge.dev/routing"
 )
 
-// upstreamRequest builds the request for the local upstream.
+// upstreamRequest builds the request to the local upstream.
 func (n *Node) upstreamRequest(up *upstream, v *visit, req *request) *http.Request {
 	out := outgoing(up.Addr, req, upstreamFields)
 	if n.spoken() {
@@ -33,7 +33,7 @@
 	return out
 }
 
-// upstreamTold is what the upstream is told of a request in a dialect.
+// upstreamTold returns what a dialect reports to the upstream about a request.
 func (n *Node) upstreamTold(up *upstream, req *request) UpstreamRequest {
 	return UpstreamRequest{
 		ID:       req.call.RequestID,
@@ -44,7 +44,7 @@
 	}
 }
 
-// peerRequest builds the request for another node.
+// peerRequest builds the request to another node.
 func (n *Node) peerRequest(addr string, req *request, lent int) *http.Request {
 	out := outgoing(addr, req, peerFields)
 	out.Host = req.service
@@ -56,14 +56,15 @@
 	return out
 }
 
-// How many headers a request to the upstream and one to a node gets as a rule.
+// Usual number of headers that the node adds to a request to the upstream and to
+// another node.
 const (
 	upstreamFields = 6
 	peerFields     = 10
 )
 
-// outgoing copies the parts of req that every attempt sends, with room for
-// more headers.
+// outgoing builds the parts of a request that all attempts share. Its header map has
+// capacity for that many more headers.
 func outgoing(addr string, req *request, room int) *http.Request {
 	body, length := req.body.open()
 	if len(req.trailer) > 0 {
@@ -92,10 +93,10 @@
 		out.TransferEncoding = identity
 	}
 	if _, ok := out.Header["User-Agent"]; !ok {
-		// Without it net/http names itself in the caller's place.
+		// Without this entry net/http sends its own User-Agent.
 		out.Header["User-Agent"] = []string{""}
 	}
-	// This node has read the body, so nobody waits for a 100 any more.
+	// This node has read the body already, so no sender waits for 100 Continue.
 	out.Header.Del("Expect")
 	if req.key != "" {
 		out.Header.Set(call.HeaderIdempotencyKey, req.key)
@@ -103,8 +104,9 @@
 	return out
 }
 
-// attemptPeer sends the call to another node once. The outcome is what that
-// node reports, or unknown; a call that never left this process is not-run.
+// attemptPeer sends the call to another node once. The outcome is the one that this
+// node reports, or unknown without a report. A call that provably never left this
+// process is not-run.
 func (n *Node) attemptPeer(ctx context.Context, addr string, req *request, lent int, home string) *answer {
 	if !n.peerRoom.enter(addr) {
 		a := n.refuse(call.NotRun, call.ReasonPeerFull, 0)
@@ -148,8 +150,8 @@
 func (n *Node) peerAnswered(cancel context.CancelFunc, req *request, resp *http.Response) *answer {
 	report, err := call.ExtractReport(resp.Header)
 	if err != nil {
-		// An answer without a readable outcome proves nothing: it may come
-		// from something that is not a node.
+		// An answer without a readable outcome proves nothing: it may come from a
+		// server that is not a node.
 		cancel()
 		_ = resp.Body.Close()
 		n.metrics.Malformed.With(malformedAnswer).Inc(1)
@@ -171,7 +173,7 @@
 	return a
 }
 
-// cancelBody releases the attempt's context once its answer is read.
+// cancelBody cancels the attempt's context when its body is closed.
 type cancelBody struct {
 	readCloser
 	cancel context.CancelFunc
@@ -184,7 +186,7 @@
 	return err
 }
 
-// attempt makes one attempt at the target that routing picked.
+// attempt sends the request once to the target that routing picked.
 func (n *Node) attempt(ctx context.Context, target routing.Target, req *request, lent int) *answer {
 	if target.ID != n.id {
 		return n.attemptPeer(ctx, target.Addr, req, lent, "")
@@ -195,7 +197,7 @@
 	return n.runLocal(ctx, &local)
 }
 
-// feedbackOf turns an answer into what routing learns from it.
+// feedbackOf returns the feedback that routing gets from an answer.
 func feedbackOf(a *answer, service string, latency time.Duration) routing.Feedback {
 	return routing.Feedback{
 		Outcome: a.report.Outcome,
--- a/node/behind.go
+++ b/node/behind.go
@@ -2,7 +2,8 @@
 
 import "pollengauge.dev/observe"
 
-// noteStored notes which version the platform holds, as far as it can be read.
+// noteStored records which configuration version the platform stores, if it can be
+// read.
 func (n *Node) noteStored(version uint64, readable bool) {
 	n.unreadable.Store(!readable)
 	if readable {
@@ -11,8 +12,8 @@
 	}
 }
 
-// tellStored keeps the news fresh of a version that the platform holds and that is
-// not in force here, for those that do not watch the platform.
+// tellStored renews the notice of a version that the platform stores and that is not
+// in force here, for nodes that don't watch the platform.
 func (n *Node) tellStored() {
 	if version := n.storedVersion.Load(); version > n.ConfigVersion() {
 		now := n.now()
@@ -20,33 +21,33 @@
 	}
 }
 
-// behind tells whether a later configuration than the one in force is known of.
+// behind reports whether a later configuration than the one in force is known to
+// exist.
 func (n *Node) behind() bool { return n.laterThan(n.ConfigVersion()) }
 
-// laterThan tells whether a later configuration than a version is known of, or the
-// platform holds one of which not even the version can be read.
+// laterThan reports whether a later configuration than version is known to exist, or
+// the platform stores one of which not even the version can be read.
 func (n *Node) laterThan(version uint64) bool {
 	newest, _ := n.config.Newest(n.now())
 	return n.unreadable.Load() || newest > version
 }
 
-// behindSeen follows for how many looks a version has been missing here.
+// behindSeen counts for how many consecutive checks a version has been missing here.
 type behindSeen struct {
 	looks int
 	// reported is the version that was last reported as missing.
 	reported uint64
 }
 
-// behindLooks is for how many looks in a row a version may be on its way before
-// it counts as missing.
+// behindLooks is the number of consecutive checks at which a version counts as
+// missing. Until then it may still be on its way.
 const behindLooks = 3
 
-// reportBehind reports once of each version that others know and this node has
-// not in force.
+// reportBehind logs, once for each version, that other nodes know a version that is
+// not in force here.
 //
-// The failure: nodes that watch the platform refuse a version, and say so. All
-// others serve an old configuration and can't be told from those that have the
-// newest.
+// Nodes that watch the platform log a version that they refuse. All other nodes would
+// use an old configuration and look like nodes that have the newest one.
 func (n *Node) reportBehind() {
 	seen := &n.changes.behind
 	if !n.behind() {
--- a/node/body.go
+++ b/node/body.go
@@ -8,31 +8,32 @@
 	"sync"
 )
 
-// replayBody is a request body held in memory as far as its bound, so that an
-// attempt proved not-run can be followed by another. A longer body is streamed
-// once and can't be retried after its first byte beyond the bound left.
+// replayBody is a request body that is buffered in memory up to a limit, so that
+// another attempt can follow one that provably did not run. A longer body is streamed
+// once. It can't be retried after its first byte beyond the limit was sent.
 //
-// The failure: an attempt is given up before it sent a byte, and the next one
-// begins, while the transport's write loop of the first still reads the body
-// into its buffer. Both would take turns with the stream, and the upstream
-// would get a request with pieces missing that looks whole. An attempt
-// therefore loses the stream in the same step in which it is found unused.
+// An attempt may be given up before it sent a byte, and the next one begin, while the
+// transport's write loop of the first still reads the body into its buffer. Both would
+// read from the stream in turn, and the upstream would receive a request that looks
+// complete but lacks pieces. An attempt therefore loses the stream in the same step
+// that finds the stream unused.
 type replayBody struct {
 	head []byte
 	rest io.Reader
-	// end is called when rest has ended.
+	// end is called when rest has been read to its end.
 	end func()
 
-	// shared lets every attempt have the stream (Ablation.SharedStream).
+	// shared lets every attempt read the stream (Ablation.SharedStream).
 	shared bool
 
 	mu sync.Mutex
-	// reader is the one that may use rest, used tells that it has begun to.
+	// reader is the only reader that may use rest; used is set once it has begun to
+	// read.
 	reader *restReader
 	used   bool
 }
 
-// readBody reads up to limit bytes of r into memory.
+// readBody reads up to limit bytes of r into memory. The rest of r is streamed.
 func readBody(r io.Reader, length int64, limit int) (*replayBody, error) {
 	if r == nil || r == http.NoBody || length == 0 {
 		return &replayBody{}, nil
@@ -51,8 +52,8 @@
 	return &replayBody{head: buf.Bytes(), rest: r}, nil
 }
 
-// rewind takes the body back from the attempt before, and reports whether it
-// can be sent again.
+// rewind takes the body from the previous attempt, and reports whether it can be sent
+// again.
 func (b *replayBody) rewind() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,11 +61,11 @@
 	return !b.used || b.shared
 }
 
-// whole reports whether the body is all in memory.
+// whole reports whether the complete body is in memory.
 func (b *replayBody) whole() bool { return b.rest == nil }
 
-// onEnd has end called once the body has been read to its end, at once if it
-// has already.
+// onEnd registers a function to be called once the body has been read to its end. If
+// it has been already, onEnd calls the function at once.
 func (b *replayBody) onEnd(end func()) {
 	if b.whole() {
 		end()
@@ -85,7 +86,7 @@
 	return io.NopCloser(io.MultiReader(bytes.NewReader(b.head), reader)), -1
 }
 
-// claim reports whether reader may use rest.
+// claim reports whether reader may use rest, and if so marks rest as used.
 func (b *replayBody) claim(reader *restReader) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,7 +97,7 @@
 	return true
 }
 
-// restReader reads the streamed part for one attempt.
+// restReader reads the streamed part of a body for one attempt.
 type restReader struct{ body *replayBody }
 
 func (r *restReader) Read(p []byte) (int, error) {
--- a/node/budget.go
+++ b/node/budget.go
@@ -9,11 +9,10 @@
 	"pollengauge.dev/retry"
 )
 
-// smallestRatio stands for a ratio of 0, which a retry.Budget takes for its
-// default.
+// smallestRatio replaces a ratio of 0, which retry.Budget takes for "use the default".
 const smallestRatio = 1e-9
 
-// newBudget makes the bound on this node's retries.
+// newBudget returns the bound on this node's retries.
 func (n *Node) newBudget(ratio float64) *retry.Budget {
 	c := retry.BudgetConfig{Ratio: max(ratio, smallestRatio), Start: n.started}
 	if n.settings.Ablate.NoBudget {
@@ -23,22 +22,22 @@
 	return retry.NewBudget(c)
 }
 
-// serviceRetries is what retries of one service are paid from.
+// serviceRetries has the accounts that retries of one service are paid from.
 type serviceRetries struct {
 	bound  retry.Bound
 	ration *retry.Ration
 }
 
-// retriesOf returns what this node's retries of a service are paid from.
+// retriesOf returns the accounts that this node's retries of a service are paid from.
+// With a dialect each service has its own.
 //
-// The failure: one bound for all services lets the retries that calls to many
-// healthy services have earned go to the one that fails, whose share it was to
-// protect.
+// With one bound for all services, the retries that calls to many healthy services
+// have earned would go to the failing service, which the bound is meant to protect.
 //
-// The retries of a service stay within the ratio over the whole fleet, however its
-// load is split: each node spends what its own first calls earned, a call of a run
-// that is a retry itself is paid for like a retry, and a node that starts has
-// earned nothing.
+// Over the whole fleet, the retries of a service stay within the ratio, however its
+// load is distributed. Each node spends what its own first calls earned; a call made
+// by a visit that is itself a retry is paid for like a retry; and a node that starts
+// has earned nothing.
 func (n *Node) retriesOf(service string) serviceRetries {
 	if !n.spoken() {
 		return serviceRetries{bound: n.budget.Load()}
@@ -55,15 +54,18 @@
 	return known.(serviceRetries)
 }
 
-// inheritedRetry is the metric label of a call that is a retry because its run is.
+// inheritedRetry is the metric label of a call that is a retry because the visit that
+// makes it is one.
 const inheritedRetry = "inherited"
 
-// payFirst accounts the first attempt of a call, and returns a refusal if it can't
-// be paid. A call of a run that is a retry earns nothing and is paid for as one.
+// payFirst accounts for the first attempt of a call, and returns a refusal if the
+// attempt can't be paid. A call made by a visit that is a retry earns nothing and is
+// paid for as a retry.
 //
-// The failure: a service in the middle of the graph fails, its calls are repeated,
-// and each repeated run makes its own calls anew. Counted as first calls, they
-// earn retries for the services below, which then get more than the ratio allows.
+// When a service in the middle of the call graph fails, its calls are retried, and
+// each repeated visit makes its own calls again. If these counted as first calls, they
+// would earn retries for the downstream services, which would then get more than the
+// ratio allows.
 func (n *Node) payFirst(req *request) *answer {
 	retries := n.retriesOf(req.service)
 	if !n.spoken() || !req.call.Repeat || n.settings.Ablate.RepeatsEarn {
@@ -80,9 +82,9 @@
 	return a
 }
 
-// followRatio keeps the bound at the ratio that the configuration in force
-// gives. A new bound has counted no calls yet, so each change lets a burst
-// more through.
+// followRatio replaces the bound whenever the configuration in force sets another
+// ratio. A new bound has counted no calls yet, so each change allows one more burst of
+// retries.
 func (n *Node) followRatio() {
 	ratio := math.NaN()
 	n.config.Subscribe(func(c *config.Compiled) {
--- a/node/coalesce.go
+++ b/node/coalesce.go
@@ -7,7 +7,7 @@
 	"pollengauge.dev/objects"
 )
 
-// coalescer runs a task soon after it was asked for, and once for many asks.
+// coalescer runs a task soon after a run is requested, and once for many requests.
 type coalescer struct {
 	asked chan struct{}
 	// pause is the least time between two runs.
@@ -19,7 +19,8 @@
 	return &coalescer{asked: make(chan struct{}, 1), pause: pause, task: task}
 }
 
-// ask returns at once. A run that begins after it sees what was there before.
+// ask requests a run and returns at once. The run sees everything that was written
+// before the request.
 func (c *coalescer) ask() {
 	select {
 	case c.asked <- struct{}{}:
@@ -27,7 +28,7 @@
 	}
 }
 
-// run serves asks until ctx ends.
+// run executes requested runs until ctx ends.
 func (c *coalescer) run(ctx context.Context) {
 	for {
 		select {
--- a/node/content.go
+++ b/node/content.go
@@ -6,10 +6,11 @@
 	"pollengauge.dev/quarantine"
 )
 
-// contentFingerprint stands for what the upstream is asked: two requests with the same
-// one are the same to it, whatever their ids. It is the same at every node that the
-// request passes. Of a body that is too long to be held, its begin alone counts: a decision about the request
-// is due before the rest has come.
+// contentFingerprint returns a hash of what a request asks of the upstream. Requests
+// with the same fingerprint are the same to the upstream, whatever their ids. All
+// nodes that a request passes compute the same fingerprint. Of a body that is too long
+// to be buffered, only the start counts, because a decision about the request is due
+// before the rest has arrived.
 func contentFingerprint(req *request) quarantine.Fingerprint {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -28,10 +29,11 @@
 	return quarantine.Fingerprint(digest.Sum64())
 }
 
-// partEnd keeps one part from running into the next.
+// partEnd separates the parts in the hash, so that moving bytes from one part to the
+// next changes the fingerprint.
 var partEnd [1]byte
 
-// callerNamed is the caller by the profile's header for it.
+// callerNamed returns the value of the profile's caller header.
 func callerNamed(req *request) string {
 	if req.profile == nil || req.profile.CallerHeader == "" {
 		return ""
--- a/node/context.go
+++ b/node/context.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// withDeadline returns ctx bounded by deadline. A context that ends by then
-// anyway is returned as it is, without a timer of its own.
+// withDeadline returns ctx bounded by deadline. A context that expires no later than
+// deadline is returned unchanged, without a timer of its own.
 func withDeadline(ctx context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	if current, ok := ctx.Deadline(); ok && !current.After(deadline) {
 		return ctx, func() {}
@@ -15,12 +15,12 @@
 	return context.WithDeadline(ctx, deadline)
 }
 
-// mergeContext returns a context that ends with either parent, and at the
-// deadline, which is also the deadline of b.
+// mergeContext returns a context that ends with either parent, and at the deadline,
+// which is also the deadline of b.
 //
-// The failure: b reaches the deadline a moment before the timer here fires,
-// ctx is cancelled, and a call that timed out is reported as cancelled. At the
-// deadline ctx therefore ends by itself.
+// b may reach the deadline a moment before the timer of the merged context fires. If
+// the merged context were cancelled then, a call that timed out would be reported as
+// cancelled. At the deadline it therefore expires by itself.
 func mergeContext(a, b context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithDeadline(a, deadline)
 	stop := context.AfterFunc(b, func() {
--- a/node/dialect.go
+++ b/node/dialect.go
@@ -9,84 +9,86 @@
 	"pollengauge.dev/customer"
 )
 
-// Dialect is how callers and the upstream on this VM speak to the node where
-// they don't speak this project's own interface. A Dialect only translates: it
-// reads and writes headers, and decides nothing. Its methods may be called
-// concurrently. With a Dialect, callers name hosts and paths, and the routes of
-// the configuration in force name the service.
+// Dialect translates for callers and for the upstream on this VM if they don't use
+// this project's own interface. A Dialect makes no decisions: it reads and writes
+// headers. Its methods may be called concurrently. With a Dialect, callers name hosts
+// and paths, and the routes of the configuration in force name the service.
 type Dialect interface {
-	// ReadCaller reads what a caller tells of its request.
+	// ReadCaller reads what a caller states about its request.
 	ReadCaller(h http.Header) (CallerRequest, error)
-	// OwnHeaders are the canonical names of headers that are never passed on as they
-	// came: those that the dialect sets, and the one with the caller's key.
+	// OwnHeaders returns the canonical names of headers that are never forwarded as
+	// received: those that the dialect sets, and the one with the caller's key.
 	OwnHeaders() []string
-	// ParentOf returns the id of the request that a call with this id is made
-	// for, "" where the id does not tell. It is a hint: a call whose parent
-	// isn't found is treated by its own route.
+	// ParentOf returns the id of the request that a call with this id is made for, ""
+	// if the id doesn't contain it. It is a hint: a call whose parent isn't found is
+	// handled by its own route.
 	ParentOf(id string) string
-	// WriteUpstream writes what the upstream is told of a request.
+	// WriteUpstream writes the headers that describe a request to the upstream.
 	WriteUpstream(h http.Header, u UpstreamRequest)
-	// ReadUpstream judges the head of the upstream's answer to u.
+	// ReadUpstream evaluates the head of the upstream's answer to u.
 	ReadUpstream(a *http.Response, u UpstreamRequest) UpstreamAnswer
-	// WriteRefusal writes an answer that the node gives in its own name, and
-	// returns its status code.
+	// WriteRefusal writes the headers of an answer that the node gives itself, in
+	// place of the upstream, and returns its status code.
 	WriteRefusal(h http.Header, r NodeRefusal) (status int)
-	// DecodeConfig reads a configuration as the operators of this dialect
-	// store it. With an error, the set has its version if that can be read.
+	// DecodeConfig reads a configuration in the form in which the operators of this
+	// dialect store it. With an error, the set has its version if the version could be
+	// read.
 	DecodeConfig(value []byte) (config.Set, error)
 }
 
-// CallerRequest is what a caller tells of its request.
+// CallerRequest is what a caller states about its request.
 type CallerRequest struct {
-	// ID names the request. It is passed on as it is.
+	// ID identifies the request. It is forwarded unchanged.
 	ID string
-	// Timeout is how long the caller will wait, 0 if it does not say.
+	// Timeout is how long the caller will wait, 0 if the caller doesn't state it.
 	Timeout time.Duration
-	// Key tells whose request it is.
+	// Key identifies the customer that the request belongs to.
 	Key customer.Key
 }
 
-// UpstreamRequest is what the upstream is told of a request.
+// UpstreamRequest is the description of a request that the upstream receives.
 type UpstreamRequest struct {
 	ID string
 	// Origin is the service on the VM where the request entered the system.
 	Origin string
-	// Customer is the name of the customer whose request it is, "" for a call of an
-	// upstream and where there is none.
+	// Customer is the name of the customer that the request belongs to, "" for a call
+	// of an upstream and for a request without a customer.
 	Customer string
-	// Instance is the incarnation of the upstream that is meant, "" for any.
+	// Instance is the incarnation of the upstream that the request is meant for, ""
+	// for any.
 	Instance string
-	// Timeout is what is left until the request's deadline.
+	// Timeout is the time left until the request's deadline.
 	Timeout time.Duration
 }
 
 // UpstreamAnswer is what the head of an answer proves.
 type UpstreamAnswer struct {
-	// Outcome is Complete for the upstream's own answer to this request,
-	// NotRun where the upstream states that it did not run it, and Unknown for
-	// an answer that can't be believed.
+	// Outcome is Complete for the upstream's own answer to this request, NotRun if the
+	// upstream states that it did not run the request, and Unknown for an answer that
+	// can't be trusted.
 	Outcome call.Outcome
-	// Reason goes with an outcome other than Complete.
+	// Reason accompanies an outcome other than Complete.
 	Reason call.Reason
-	// Instance is the incarnation that answered, "" if it does not say.
+	// Instance is the incarnation that answered, "" if the answer doesn't state it.
 	Instance string
 }
 
-// NodeRefusal is an answer that a node gives in its own name.
+// NodeRefusal is an answer that a node gives itself, in place of the upstream.
 type NodeRefusal struct {
 	ID      string
 	Outcome call.Outcome
 	Reason  call.Reason
-	// RetryAfter is when the caller may come back, 0 if that isn't told.
+	// RetryAfter is the delay before a retry, 0 if none is given.
 	RetryAfter time.Duration
 }
 
-// spoken tells whether callers and the upstream speak a dialect.
+// spoken reports whether callers and the upstream use a dialect.
 func (n *Node) spoken() bool { return n.settings.Dialect != nil }
 
-// strip removes what only nodes may tell each other. Without a dialect that is
-// every header with the project's prefix, those of later versions included. A
-// dialect may have headers of its own with that prefix, which pass.
+// strip removes the headers that only nodes may set. Without a dialect these are all
+// headers with the project's prefix, so that those of later versions are included. A
+// dialect may define headers with that prefix. With a dialect, strip therefore removes
+// only the headers in call.NodeHeaders and in OwnHeaders.
 func (n *Node) strip(h http.Header) {
 	if !n.spoken() {
 		stripOwn(h)
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -12,30 +12,30 @@
 	"pollengauge.dev/routing"
 )
 
-// dispatching is the state of one dispatch over all its attempts.
+// dispatching is the state of one dispatch across all its attempts.
 type dispatching struct {
 	node   *Node
 	req    *request
 	credit *retry.Credit
 	tried  []string
-	// free counts the attempts that nothing was paid for.
+	// free counts the retries that cost neither credit nor retry budget.
 	free  int
 	worst call.Level
-	// ends is how many upstreams in turn have ended under the request.
+	// ends is how many upstreams in a row have crashed while running the request.
 	ends int
-	// reached is set once an attempt may have come as far as an upstream.
+	// reached is set once an attempt may have reached an upstream.
 	reached bool
-	// failed is an upstream's error that was repeated, nil if none was. It is the
-	// answer if no other attempt brings one.
+	// failed is the first error response of an upstream that was followed by a retry,
+	// nil if there is none. It becomes the answer if no later attempt returns one.
 	failed *answer
-	// mayHaveRun is set once an attempt ended unknown. A later attempt that is
-	// refused doesn't undo it: the whole is then unknown, never not-run.
+	// mayHaveRun is set once an attempt may have run the call. If a later attempt is
+	// refused, the outcome of the dispatch is still unknown, never not-run.
 	mayHaveRun bool
 }
 
-// dispatch sends req to members of its service until one attempt gives an
-// answer, or none may follow. credit is the caller's account: the root's own,
-// or the visit's for a call that an upstream makes.
+// dispatch sends req to members of its service until an attempt returns an answer or
+// no further attempt is allowed. credit is the account that pays for retries: the
+// root's own, or the visit's for a call that an upstream makes.
 func (n *Node) dispatch(ctx context.Context, req *request, credit *retry.Credit) *answer {
 	refused, trial := n.heldBack(req)
 	if refused != nil {
@@ -60,8 +60,8 @@
 	}
 }
 
-// attempt makes one attempt. An answer without a target means that there was
-// none to try.
+// attempt makes one attempt. The returned answer has no target if there was no member
+// to try.
 func (d *dispatching) attempt(ctx context.Context, attempt int) *answer {
 	n := d.node
 	begin := n.now()
@@ -103,19 +103,20 @@
 	return a
 }
 
-// lend takes the part of the credit that goes down with one attempt.
+// lend takes from the credit the part that is sent downstream with one attempt.
 func (d *dispatching) lend() int {
 	if d.node.settings.Ablate.CopiedCredit {
 		return d.credit.Available()
 	}
 	if d.node.spoken() {
-		// Calls don't share their request's credit, so none goes down.
+		// Calls don't share their request's credit, so none is sent downstream.
 		return 0
 	}
 	return d.credit.Lend()
 }
 
-// takeBack adds what the answer brought back of it.
+// takeBack returns to the credit the part of the lent credit that the answer reports
+// as unspent.
 func (d *dispatching) takeBack(lent, left int) {
 	if d.node.settings.Ablate.CopiedCredit {
 		return
@@ -123,7 +124,8 @@
 	d.credit.Return(lent, left)
 }
 
-// again decides whether another attempt follows a, and pays for it.
+// again reports whether another attempt follows a, and charges that attempt to the
+// retry budget.
 func (d *dispatching) again(ctx context.Context, a *answer) bool {
 	if a.report.Outcome == call.Complete && a.report.Reason != call.ReasonUpstreamFailed {
 		return false
@@ -164,7 +166,8 @@
 	return verdict.Retry
 }
 
-// put lays an answer aside that is followed by another attempt.
+// put stores the first error response that is followed by another attempt, and closes
+// all other answers.
 func (d *dispatching) put(a *answer) {
 	if a.report.Outcome == call.Complete && d.failed == nil {
 		d.failed = a
@@ -173,9 +176,9 @@
 	a.close()
 }
 
-// judge gives the final answer the outcome of the whole. What an upstream answered
-// goes before a refusal of a later attempt: the call has run, and its caller gets
-// the answer that there is.
+// judge gives the final answer the outcome of the whole dispatch. An upstream's error
+// response takes precedence over the refusal of a later attempt: the call has run, and
+// its caller gets the only response that there is.
 func (d *dispatching) judge(a *answer) *answer {
 	if d.failed != nil {
 		if a.report.Outcome != call.Complete {
@@ -194,7 +197,7 @@
 	return a
 }
 
-// targetName names a member for people: its service and the start of its id.
+// targetName returns a member's name for display: its service and the start of its id.
 func targetName(service, id string) string {
 	return service + "/" + id[:min(idPrefix, len(id))]
 }
--- a/node/doc.go
+++ b/node/doc.go
@@ -1,18 +1,20 @@
-// Package node is the process that stands beside one upstream VM and carries
-// every call in and out of it.
+// Package node is the process that runs beside one upstream VM and carries every call
+// into and out of it.
 //
-// A node has five listeners, each with its own audience:
+// A node has five listeners, each for a different audience:
 //
-//   - edge: callers from outside. What they send is untrusted; the node
+//   - edge: callers from outside. Their requests are untrusted; the node
 //     strips every pollengauge header, chooses the profile and becomes the
 //     root of the request.
-//   - peer: other nodes. It honours the context headers, so only nodes may
+//   - peer: other nodes. It trusts the context headers, so only nodes may
 //     reach it.
 //   - outbound: the upstream on the same VM, for its calls to other services.
-//   - gossip: other nodes' membership exchange (net/rpc).
-//   - admin: the operator and the upstream's announcement.
+//   - gossip: the membership exchange of other nodes (net/rpc).
+//   - admin: the operator and the upstream's announcements.
 //
-// The decisions live in their own modules (admission, retry, routing,
-// atmostonce, config, membership); this package joins them to HTTP. Every
-// method of Node may be called concurrently once Start has returned.
+// Node is the running process, Settings configures it, and a Dialect translates for
+// callers and upstreams that don't use this project's own interface. The decisions are
+// made in separate modules (admission, retry, routing, atmostonce, config,
+// membership); this package connects them to HTTP. Every method of Node may be called
+// concurrently once Start has returned.
 package node
--- a/node/edge.go
+++ b/node/edge.go
@@ -9,10 +9,10 @@
 	"pollengauge.dev/retry"
 )
 
-// KeyPath is where callers mint an idempotency key on the edge listener.
+// KeyPath is the path on the edge listener at which callers obtain an idempotency key.
 const KeyPath = "/.well-known/pollengauge/key"
 
-// serveEdge is the root of every request from outside.
+// serveEdge handles the requests of callers from outside. This node is their root.
 func (n *Node) serveEdge(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == KeyPath {
 		n.serveMint(w, r)
@@ -34,14 +34,14 @@
 	n.serveRoot(w, r, req)
 }
 
-// serveRoot runs a root request, writes its answer and returns the report.
+// serveRoot runs a root request, writes its answer and returns the answer's report.
 func (n *Node) serveRoot(w http.ResponseWriter, r *http.Request, req *request) call.Report {
 	a := n.answerRoot(r.Context(), req)
 	defer a.close()
 	return n.writeRoot(w, req, a)
 }
 
-// answerRoot runs a root request to its answer.
+// answerRoot runs a root request and returns its answer.
 func (n *Node) answerRoot(ctx context.Context, req *request) *answer {
 	start := n.now()
 	n.noteRepeat(req)
@@ -54,7 +54,7 @@
 	return a
 }
 
-// writeRoot writes the answer to a root request and returns its report.
+// writeRoot writes the answer to a root request and returns the answer's report.
 func (n *Node) writeRoot(w http.ResponseWriter, req *request, a *answer) call.Report {
 	if !n.spoken() {
 		w.Header().Set(call.HeaderRequest, req.call.RequestID)
@@ -67,8 +67,9 @@
 	return a.report
 }
 
-// runRoot decides about a root request: its key first, since a replay costs
-// nothing and must work under overload, then admission, then dispatch.
+// runRoot takes the customer's quota for a root request and runs it. Its idempotency
+// key is checked before admission, because the replay of a stored answer costs nothing
+// and must work under overload. A request that did not run returns its quota.
 func (n *Node) runRoot(ctx context.Context, req *request) *answer {
 	if refused := n.takeQuota(ctx, req); refused != nil {
 		return refused
@@ -81,7 +82,7 @@
 	return a
 }
 
-// runInQuota runs a root request that has its place below its customer's limit.
+// runInQuota runs a root request that is within its customer's limit.
 func (n *Node) runInQuota(ctx context.Context, req *request) *answer {
 	if req.key == "" && req.profile.Key == config.KeyRequired {
 		return n.refuse(call.NotRun, call.ReasonKeyRequired, 0)
@@ -92,8 +93,8 @@
 	return n.admitAndDispatch(ctx, req)
 }
 
-// admitAndDispatch refuses at the root what would fail deeper, before any
-// work is done, and dispatches the rest.
+// admitAndDispatch refuses at the root, before any work is done, a request that a
+// downstream hop would refuse. It dispatches all others.
 func (n *Node) admitAndDispatch(ctx context.Context, req *request) *answer {
 	if refused := n.refuseBelow(req); refused != nil {
 		if stale := n.brownout(req); stale != nil {
@@ -118,8 +119,8 @@
 	return a
 }
 
-// refuseBelow refuses what a deeper hop would refuse, judged by the admission
-// levels that recent answers brought back. It returns nil to admit.
+// refuseBelow refuses a request that a downstream hop would refuse, judged by the
+// admission levels that recent answers reported. It returns nil to admit.
 func (n *Node) refuseBelow(req *request) *answer {
 	if n.spoken() {
 		return n.refusePressed(req)
@@ -133,8 +134,8 @@
 	return a
 }
 
-// dispatchRoot dispatches with the request's whole credit and learns from the
-// answer which levels are refused below.
+// dispatchRoot dispatches req with its full retry credit and records from the answer
+// which levels are refused downstream.
 func (n *Node) dispatchRoot(ctx context.Context, req *request) *answer {
 	credit := retry.NewCredit(req.call.Credit)
 	n.metrics.Profile(req.call.Profile).Granted.Inc(int64(req.call.Credit))
@@ -145,7 +146,7 @@
 	return a
 }
 
-// abort tears the connection down under an answer that can't be finished.
+// abort breaks the caller's connection when the rest of an answer can't be delivered.
 func (n *Node) abort(req *request, err error) {
 	n.noteAbort(req, err)
 	if n.settings.Ablate.NoAbort {
--- a/node/errors.go
+++ b/node/errors.go
@@ -5,35 +5,35 @@
 	"strings"
 )
 
-// TruncatedError tells that the source of an answer ended early.
+// TruncatedError reports that the source of an answer ended early.
 type TruncatedError struct{ Cause error }
 
 // Error implements error.
 func (e *TruncatedError) Error() string { return "answer truncated: " + e.Cause.Error() }
 
-// Unwrap gives the transport's error.
+// Unwrap returns the transport's error.
 func (e *TruncatedError) Unwrap() error { return e.Cause }
 
-// SwitchedError tells that an upstream switched protocols, which no caller can
-// have asked for: Upgrade is not passed on.
+// SwitchedError reports that an upstream switched protocols. No caller can have
+// requested that, since Upgrade is not forwarded.
 type SwitchedError struct{}
 
 // Error implements error.
 func (*SwitchedError) Error() string { return "upstream switched protocols unasked" }
 
-// StatusError tells that an answer had a code that no status has.
+// StatusError reports that an answer had an invalid status code.
 type StatusError struct{ Status int }
 
 // Error implements error.
 func (e *StatusError) Error() string { return "no such status: " + strconv.Itoa(e.Status) }
 
-// WriteError tells that the receiver of an answer went away.
+// WriteError reports that the receiver of an answer closed the connection.
 type WriteError struct{ Cause error }
 
 // Error implements error.
 func (e *WriteError) Error() string { return "answer not delivered: " + e.Cause.Error() }
 
-// Unwrap gives the connection's error.
+// Unwrap returns the connection's error.
 func (e *WriteError) Unwrap() error { return e.Cause }
 
 // SettingError is one setting that can't be used.
@@ -41,7 +41,7 @@
 	// Name is the flag's name without dashes.
 	Name  string `json:"name"`
 	Value string `json:"value"`
-	// Allowed tells the accepted range or form.
+	// Allowed describes the accepted range or form.
 	Allowed string `json:"allowed"`
 }
 
@@ -50,8 +50,8 @@
 	return "setting --" + e.Name + "=" + e.Value + ": allowed: " + e.Allowed
 }
 
-// SettingsError lists every wrong setting, so that an operator mends them all
-// at once.
+// SettingsError lists every invalid setting, so that an operator can fix them all at
+// once.
 type SettingsError struct{ Problems []*SettingError }
 
 // Error implements error.
@@ -63,7 +63,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// ListenError tells which listener could not be opened.
+// ListenError reports which listener could not be opened.
 type ListenError struct {
 	Listener Listener
 	Addr     string
@@ -75,25 +75,25 @@
 	return "listen for " + string(e.Listener) + " on " + e.Addr + ": " + e.Cause.Error()
 }
 
-// Unwrap gives the system's error.
+// Unwrap returns the system's error.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// DrainError tells that a drain's bound passed with calls still in flight.
+// DrainError reports that a drain reached its time limit with calls still in flight.
 type DrainError struct{ InFlight int }
 
 // Error implements error.
 func (*DrainError) Error() string { return "drain ended at its bound with calls still in flight" }
 
-// BodyError tells that a request's body could not be read.
+// BodyError reports that a request's body could not be read.
 type BodyError struct{ Cause error }
 
 // Error implements error.
 func (e *BodyError) Error() string { return "request body: " + e.Cause.Error() }
 
-// Unwrap gives the reader's or decoder's error.
+// Unwrap returns the reader's or decoder's error.
 func (e *BodyError) Unwrap() error { return e.Cause }
 
-// BodyLimitError tells that a request announces a body over the limit.
+// BodyLimitError reports that a request announces a body over the limit.
 type BodyLimitError struct{ Got, Limit int64 }
 
 // Error implements error.
@@ -101,8 +101,8 @@
 	return "body has " + strconv.FormatInt(e.Got, 10) + " bytes, allowed: " + strconv.FormatInt(e.Limit, 10)
 }
 
-// WrongServiceError tells that a call names a service that can't be reached
-// this way.
+// WrongServiceError reports that a call names a service that can't be reached through
+// this listener.
 type WrongServiceError struct{ Service, Want string }
 
 // Error implements error.
@@ -110,22 +110,22 @@
 	return "service " + strconv.Quote(e.Service) + ": want " + e.Want
 }
 
-// DepthError tells that a call chain is longer than any that is served, as
-// when services call each other in a loop.
+// DepthError reports that a call chain is longer than the limit, as when services call
+// each other in a loop.
 type DepthError struct{ Depth int }
 
 // Error implements error.
 func (e *DepthError) Error() string { return "call depth " + strconv.Itoa(e.Depth) + " is the limit" }
 
-// MethodError tells that a method can't be carried.
+// MethodError reports that requests with this method are not carried.
 type MethodError struct{ Method string }
 
 // Error implements error.
 func (e *MethodError) Error() string { return "method " + e.Method + " can't be carried" }
 
-// HeadError tells that the head of a request is over a limit.
+// HeadError reports that the head of a request exceeds a limit.
 type HeadError struct {
-	// What is bytes or fields.
+	// What is "bytes" or "fields".
 	What       string
 	Got, Limit int
 }
@@ -135,8 +135,8 @@
 	return "header has " + strconv.Itoa(e.Got) + " " + e.What + ", allowed: " + strconv.Itoa(e.Limit)
 }
 
-// PathError tells that a path could be served as another than the one by which
-// the profile was chosen, or is none.
+// PathError reports that a path is invalid, or that an upstream may interpret it as
+// another path than the one by which the profile was chosen.
 type PathError struct{ Path string }
 
 // Error implements error.
@@ -149,8 +149,8 @@
 	return "path " + strconv.Quote(path) + ": want one that can be read in one way only"
 }
 
-// StrangerError tells that a node which is no known member of this service
-// tried to hand over keys.
+// StrangerError reports that a node that is not a known member of this service tried
+// to hand over keys.
 type StrangerError struct{ From string }
 
 // Error implements error.
--- a/node/headers.go
+++ b/node/headers.go
@@ -9,15 +9,15 @@
 	"pollengauge.dev/call"
 )
 
-// hopHeaders belong to one connection and are never passed on (RFC 9110, 7.6.1).
+// hopHeaders apply to one connection and are never forwarded (RFC 9110, 7.6.1).
 var hopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// copyHeader returns a copy of h that stripHop has been applied to, with room
-// for what the node adds. The values are shared: they are replaced, never
-// written to.
+// copyHeader returns a copy of h without hop-by-hop headers, with capacity for the
+// headers that the node adds. The copy shares the value slices: values are replaced,
+// never modified.
 func copyHeader(h http.Header, room int) http.Header {
 	out := make(http.Header, len(h)+room)
 	for name, values := range h {
@@ -27,7 +27,7 @@
 	return out
 }
 
-// stripHop removes hop headers from h, those that Connection names included.
+// stripHop removes hop-by-hop headers from h, including those that Connection names.
 func stripHop(h http.Header) {
 	for _, field := range h["Connection"] {
 		for name := range strings.SplitSeq(field, ",") {
@@ -42,7 +42,7 @@
 // field is a header with one value. The name is in canonical form.
 type field struct{ name, value string }
 
-// setFields sets headers, replacing what was there.
+// setFields sets headers and replaces existing values.
 func setFields(h http.Header, fields ...field) {
 	values := make([]string, len(fields))
 	for i, f := range fields {
@@ -51,10 +51,10 @@
 	}
 }
 
-// insideHeaders are what only nodes tell each other.
+// insideHeaders are exchanged only between nodes.
 var insideHeaders = []string{call.HeaderWorst, call.HeaderCreditLeft, call.HeaderLoad, call.HeaderPressure, call.HeaderWork}
 
-// tellOutside writes the part of a report that callers may know.
+// tellOutside writes the part of a report that callers may see.
 func tellOutside(h http.Header, r call.Report) {
 	for _, name := range insideHeaders {
 		delete(h, name)
--- a/node/listeners.go
+++ b/node/listeners.go
@@ -8,25 +8,25 @@
 	"pollengauge.dev/observe"
 )
 
-// Listener names one of a node's listeners, each for an audience of its own.
+// Listener names one of a node's listeners. Each serves a different audience.
 type Listener string
 
 // The listeners of a node.
 const (
-	// EdgeListener takes requests of callers from outside.
+	// EdgeListener accepts requests of callers from outside.
 	EdgeListener Listener = "edge"
-	// PeerListener takes calls and keys from other nodes.
+	// PeerListener accepts calls and keys from other nodes.
 	PeerListener Listener = "peer"
-	// OutboundListener takes the calls that the upstream on this VM makes.
+	// OutboundListener accepts the calls that the upstream on this VM makes.
 	OutboundListener Listener = "outbound"
-	// GossipListener takes the exchanges of the membership.
+	// GossipListener accepts membership exchanges.
 	GossipListener Listener = "gossip"
-	// AdminListener takes operators and the upstream's announcement.
+	// AdminListener accepts requests of operators and the upstream's announcements.
 	AdminListener Listener = "admin"
 )
 
-// betweenNodes tells whether only other nodes may reach l, so that TLS guards
-// it if there is any.
+// betweenNodes reports whether only other nodes may reach l. Such listeners use TLS if
+// it is configured.
 func (l Listener) betweenNodes() bool { return l == PeerListener || l == GossipListener }
 
 // networkOf returns the network of a listener.
@@ -49,7 +49,7 @@
 		{AdminListener, n.settings.Admin},
 	} {
 		if at.addr == "" {
-			continue // only Check lets a listener without an address pass
+			continue // Check allows this only for the edge listener of a node with a dialect
 		}
 		if err := n.listen(at.name, at.addr); err != nil {
 			return err
@@ -91,20 +91,20 @@
 	keepAliveTimeout  = 2 * time.Minute
 )
 
-// serve runs one HTTP server. A malformed or slow request head is answered
-// and closed by net/http within its limits.
+// serve runs one HTTP server. net/http answers a malformed or slow request head and
+// closes its connection, within the limits set here.
 func (n *Node) serve(name Listener, handler http.Handler, conns int) {
 	server := &http.Server{
 		Handler:           n.guard(name, handler),
 		ReadHeaderTimeout: readHeaderTimeout,
-		// A sender announces a body and stalls. Where no handler reads it,
-		// net/http itself waits for the rest, and the connection would be held
-		// for ever; 64 of them shut operators out of the admin API. A handler
-		// that reads the body lifts this at its end.
+		// A sender may announce a body and stall. If no handler reads the body,
+		// net/http itself waits for the rest, and would keep the connection open for
+		// ever; 64 such connections kept operators from using the admin API. A handler
+		// that reads the body removes this limit at the body's end.
 		ReadTimeout: readHeaderTimeout + n.settings.BodyTimeout,
 		IdleTimeout: n.longestIdle(name),
-		// guard holds the limit itself and answers with a reason; net/http
-		// only cuts off what is far beyond it.
+		// guard enforces the limit itself and answers with a reason; net/http only
+		// rejects heads that are far above it.
 		MaxHeaderBytes: n.settings.MaxHeaderBytes + 2*nodeHeaderBytes,
 		ErrorLog:       n.serverLog(name),
 		ConnState:      n.connState(name, conns),
--- a/node/names.go
+++ b/node/names.go
@@ -11,8 +11,8 @@
 
 const maxName = 63
 
-// validName reports whether s can name a service, a zone or a region: 1 to 63
-// of a-z, 0-9 and -, not - at an end. Every call out is checked by it.
+// validName reports whether s can name a service, a zone or a region: 1 to 63 of a-z,
+// 0-9 and -, without - at either end. Every outbound call is checked by it.
 func validName(s string) bool {
 	if s == "" || len(s) > maxName || s[0] == '-' || s[len(s)-1] == '-' {
 		return false
@@ -32,9 +32,9 @@
 	}
 }
 
-// names checks how this VM is called. With a dialect the names are those of its
-// platform, which has rules of its own: refused for their form, they would end
-// the process at its start.
+// names checks the service, zone and region of this VM. With a dialect the names come
+// from its platform, which has rules of its own: refusing a name for its form would
+// stop the process at startup.
 func (c *checker) names(s Settings) {
 	if s.Dialect == nil {
 		c.name("service", s.Service)
@@ -52,8 +52,8 @@
 	}
 }
 
-// keyService is the service in the keys of this node. With a dialect no call has a
-// key, and its names need not be such as keys can hold.
+// keyService returns the service in the idempotency keys of this node. With a dialect
+// no call has a key, and the service name may have a form that keys can't hold.
 func (n *Node) keyService() string {
 	if n.spoken() && !atmostonce.ValidService(n.settings.Service) {
 		return "dialect"
--- a/node/outbound.go
+++ b/node/outbound.go
@@ -9,7 +9,8 @@
 	"pollengauge.dev/observe"
 )
 
-// outboundHandler serves the listener at which requests come from this VM.
+// outboundHandler returns the handler of the outbound listener, which receives
+// requests from this VM.
 func (n *Node) outboundHandler() http.Handler {
 	if n.spoken() {
 		return http.HandlerFunc(n.serveRouted)
@@ -17,7 +18,7 @@
 	return http.HandlerFunc(n.serveOutbound)
 }
 
-// serveOutbound carries a call that the local upstream makes. The Host names
+// serveOutbound carries a call that the local upstream makes. The Host header names
 // the service.
 func (n *Node) serveOutbound(w http.ResponseWriter, r *http.Request) {
 	n.active.Add(1)
@@ -40,7 +41,7 @@
 	n.serveChild(w, r, service, v)
 }
 
-// serveLate handles a call out for a visit that has ended.
+// serveLate handles an outbound call for a visit that has ended.
 func (n *Node) serveLate(w http.ResponseWriter, r *http.Request, service string) {
 	if n.settings.Ablate.NoClosedVisit {
 		n.serveOrphan(w, r, service)
@@ -49,8 +50,9 @@
 	n.writeVisitClosed(w, r)
 }
 
-// serveOrphan handles a call out that names no visit: it becomes a new root,
-// and no visit open meanwhile can claim not-run any more.
+// serveOrphan handles an outbound call that names no visit. It becomes a new root.
+// Since any visit open at that time may have made it, none of them can report not-run
+// any more.
 func (n *Node) serveOrphan(w http.ResponseWriter, r *http.Request, service string) {
 	n.visits.orphans.Add(1)
 	n.noteOrphan(service)
@@ -63,8 +65,9 @@
 	n.serveRoot(w, r, req)
 }
 
-// serveChild carries a call of visit v. Whatever happens, v.end gets its
-// outcome, so that the visit's own outcome rests on a full account.
+// serveChild carries a call that visit v makes. It reports the call's outcome to v.end
+// in every case, since the visit's own outcome depends on the outcomes of all its
+// calls.
 func (n *Node) serveChild(w http.ResponseWriter, r *http.Request, service string, v *visit) {
 	report := call.Report{Outcome: call.NotRun}
 	defer func() { v.end(report, n.now()) }()
@@ -74,7 +77,7 @@
 		return
 	}
 	childKey := n.inherit(req, v)
-	// From here on the call may run, whatever interrupts this handler.
+	// From here on the call may run, even if this handler is interrupted.
 	report.Outcome = call.Unknown
 	v.ticket.Block()
 	defer v.ticket.Unblock()
@@ -94,7 +97,7 @@
 	}
 }
 
-// readChild reads a call of visit v.
+// readChild reads a call that visit v makes.
 func (n *Node) readChild(w http.ResponseWriter, r *http.Request, service string, v *visit) (*request, error) {
 	if v.call.Depth >= call.MaxDepth {
 		return nil, &DepthError{Depth: v.call.Depth}
@@ -106,8 +109,9 @@
 	return n.readBelowRoot(w, r, service, profile)
 }
 
-// inherit gives a child what its root decided: id, profile, level, deadline.
-// It returns the key under which the child runs at most once, "" for none.
+// inherit gives a child call what its root decided: id, profile, level, deadline. It
+// returns the idempotency key under which the child runs at most once, "" if it needs
+// none.
 func (n *Node) inherit(req *request, v *visit) string {
 	req.call = v.call
 	req.call.Depth++
@@ -127,7 +131,7 @@
 	return n.dispatch(ctx, req, v.credit)
 }
 
-// writeVisitClosed refuses a call made for a visit that has ended.
+// writeVisitClosed refuses a call for a visit that has ended.
 func (n *Node) writeVisitClosed(w http.ResponseWriter, r *http.Request) {
 	req := &request{service: serviceOf(r.Host), call: call.Context{RequestID: r.Header.Get(call.HeaderRequest)}}
 	n.log.Emit(observe.VisitClosed, observe.Str("called", req.service), observe.Str("request", call.KeptID(req.call.RequestID)))
@@ -141,7 +145,7 @@
 	_ = writeAnswer(w, a)
 }
 
-// serviceOf drops a port from a Host.
+// serviceOf returns the service that a Host header names, without the port.
 func serviceOf(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		return name
--- a/node/refusal.go
+++ b/node/refusal.go
@@ -12,29 +12,30 @@
 	"pollengauge.dev/retry"
 )
 
-// refusal is an answer that a node gives in its own name.
+// refusal describes an answer that a node gives itself, in place of the upstream.
 type refusal struct {
 	outcome call.Outcome
 	reason  call.Reason
 	after   time.Duration
 }
 
-// Refusal is the JSON body of an answer that a node gives in its own name.
+// Refusal is the JSON body of an answer that a node gives itself, in place of the
+// upstream.
 type Refusal struct {
 	// Outcome is not-run or unknown.
 	Outcome string `json:"outcome"`
-	// Reason is one of call.Reason.
+	// Reason is one of the values of call.Reason.
 	Reason string `json:"reason"`
 	// Hop is the service whose node gave the reason.
 	Hop string `json:"hop"`
-	// Request finds the request again with "pollengauge explain".
+	// Request is the id that "pollengauge explain" finds the request by.
 	Request string `json:"request"`
-	// RetryAfterMs tells when to come back, 0 if not told.
+	// RetryAfterMs is the delay before a retry, 0 if none is given.
 	RetryAfterMs int64 `json:"retryAfterMs"`
 }
 
-// refuse makes an answer without an upstream's body. Its body is written only
-// at the root; between nodes the headers say all.
+// refuse returns an answer without an upstream's response. Its body is written only at
+// the root; between nodes the headers contain everything.
 func (n *Node) refuse(outcome call.Outcome, reason call.Reason, after time.Duration) *answer {
 	return &answer{
 		status:  refusalStatus(outcome, reason),
@@ -50,7 +51,7 @@
 	}
 }
 
-// refusalStatus maps an outcome and its reason to the published status code.
+// refusalStatus returns the documented status code for an outcome and its reason.
 func refusalStatus(outcome call.Outcome, reason call.Reason) int {
 	switch reason {
 	case call.ReasonBadRequest:
@@ -76,7 +77,7 @@
 	}
 }
 
-// retryAfterUseful tells whether coming back later can help.
+// retryAfterUseful reports whether a later retry can help.
 func retryAfterUseful(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout, http.StatusBadGateway, http.StatusTooManyRequests:
@@ -86,14 +87,15 @@
 	}
 }
 
-// finishRefusal gives a refusal its Retry-After and, at the root, its body. It
-// is sent at once: holding an answer back would only keep a slot and a
-// connection from those who can be served.
+// finishRefusal adds the Retry-After to a refusal and, at the root, the body. The
+// refusal is sent without delay: delaying it would occupy a slot and a connection that
+// other requests need.
 func (n *Node) finishRefusal(a *answer, req *request) {
 	if a.refusal == nil {
 		return
 	}
-	// Who counts for the customer knows best when it has room again.
+	// The node that counts the customer's requests knows best when its limit allows
+	// more, so its Retry-After stays.
 	if retryAfterUseful(a.status) && a.report.Reason != call.ReasonQuota {
 		a.refusal.after = max(a.refusal.after, n.retryAfter(a, req))
 	}
@@ -122,7 +124,7 @@
 	a.body = memoryBody(append(body, '\n'))
 }
 
-// speakRefusal gives a refusal the form of the dialect.
+// speakRefusal replaces a refusal by the dialect's form of it.
 func (n *Node) speakRefusal(a *answer, req *request) {
 	a.close()
 	a.body, a.resp, a.trailer = nil, nil, nil
@@ -160,10 +162,11 @@
 	return min(time.Duration(ms)*time.Millisecond, maxRetryAfter)
 }
 
-// randoms holds sources for jitter, which are not safe for concurrent use.
+// randoms pools random sources for jitter, which are not safe for concurrent use.
 var randoms = sync.Pool{New: func() any { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }}
 
-// retryAfter spreads those who were refused, the longer the more are refused.
+// retryAfter returns a random delay that spreads the retries of refused callers. It
+// grows with the share of requests that are refused.
 func (n *Node) retryAfter(a *answer, req *request) time.Duration {
 	r := randoms.Get().(*rand.Rand)
 	defer randoms.Put(r)
@@ -178,15 +181,15 @@
 	}, r)
 }
 
-// Shares of a profile's target that bound the hint when to come back.
+// Fractions of a profile's target that bound the Retry-After of a refusal.
 const (
 	afterBaseShare = 0.15
 	afterMaxShare  = 0.6
 )
 
-// afterBounds keeps a hint so short that an answer to the next try can still
-// come within the profile's target, which is when it is worth most to the
-// caller. Without a target the defaults hold.
+// afterBounds returns bounds that keep the Retry-After so short that the answer to the
+// next try can still arrive within the profile's target, when it is worth most to the
+// caller. Without a target it returns zeros, which stand for the defaults.
 func afterBounds(req *request) (base, limit time.Duration) {
 	if req.profile == nil || req.profile.Target == 0 {
 		return 0, 0
@@ -195,8 +198,8 @@
 	return time.Duration(afterBaseShare * target), time.Duration(afterMaxShare * target)
 }
 
-// preference is what the request's profile prefers, goodput (0) for a call
-// that was refused before it had one, as that of a visit that is closed.
+// preference returns what the request's profile prefers. It is 0 (goodput) for a call
+// that was refused before it had a profile, such as a call for a closed visit.
 func preference(req *request) float64 {
 	if req.profile == nil {
 		return 0
@@ -204,7 +207,7 @@
 	return float64(req.profile.Prefer)
 }
 
-// refusedShare is the share of this node's recent root requests of priority p
+// refusedShare returns the fraction of this node's recent root requests of priority p
 // and above that were refused.
 func (n *Node) refusedShare(p call.Priority) float64 {
 	offered := n.offered.recent(p, n.now())
--- a/node/request.go
+++ b/node/request.go
@@ -9,18 +9,19 @@
 	"pollengauge.dev/config"
 )
 
-// request is one call on its way through a node.
+// request is one call that a node carries.
 type request struct {
 	method  string
 	service string
-	// caller is who asks, "" below the root.
+	// caller identifies the caller for fair ranking, "" downstream of the root.
 	caller string
-	// whose tells the customer. It is known only where the request enters.
+	// whose is the customer that the request belongs to. It is known only at the node
+	// where the request enters.
 	whose ownership
-	// quotaEnds is until when its place below the customer's limit can be given back,
-	// zero where it has none.
+	// quotaEnds is the time until which the quota taken for this request can be
+	// returned, zero if none was taken.
 	quotaEnds time.Time
-	// use is the customer's demand as a part of its limit, 0 if not known.
+	// use is the customer's demand as a fraction of its limit, 0 if unknown.
 	use float64
 	// url has the path and query as received.
 	url     *url.URL
@@ -29,25 +30,25 @@
 	trailer http.Header
 	call    call.Context
 	profile *config.Profile
-	// key is the idempotency key, "" without one.
+	// key is the idempotency key, "" if there is none.
 	key string
-	// named tells that the caller gave the request its id.
+	// named reports whether the caller supplied the request id.
 	named    bool
 	deadline time.Time
-	// idempotent tells whether running the call twice is harmless.
+	// idempotent reports whether running the call twice is harmless.
 	idempotent bool
-	// remaining is how many calls the run that makes this one still needs, this one
-	// included; 0 where no run is known.
+	// remaining is how many calls the visit that makes this call still needs,
+	// including this one; 0 if the visit is unknown.
 	remaining int
-	// parent is the run that makes this call, nil where none is known.
+	// parent is the visit that makes this call, nil if it is unknown.
 	parent *visit
 	span   span
-	// homeHops counts how often the call was passed on in search of its
-	// key's home.
+	// homeHops counts how often the call was forwarded in search of the node that owns
+	// its key.
 	homeHops int
 }
 
-// idempotentMethod tells whether running a call twice is harmless: safe methods
+// idempotentMethod reports whether running a call twice is harmless: safe methods
 // change nothing (RFC 9110, 9.2.1), and PUT and DELETE are idempotent unless the
 // profile says otherwise (9.2.2).
 func idempotentMethod(method string, profile *config.Profile) bool {
@@ -61,7 +62,7 @@
 	}
 }
 
-// readRequest reads the bounded parts of a request.
+// readRequest reads a request and buffers the start of its body.
 func (n *Node) readRequest(w http.ResponseWriter, r *http.Request, service string, profile *config.Profile) (*request, error) {
 	body := &replayBody{}
 	if r.ContentLength != 0 {
@@ -82,8 +83,8 @@
 	}, nil
 }
 
-// readBelowRoot reads a request of another node, or of the upstream here for a
-// visit: its trace and its key come with it.
+// readBelowRoot reads a call from another node, or from the upstream on this VM for
+// one of its visits, including its trace and its idempotency key.
 func (n *Node) readBelowRoot(w http.ResponseWriter, r *http.Request, service string, profile *config.Profile) (*request, error) {
 	req, err := n.readRequest(w, r, service, profile)
 	if err != nil {
@@ -99,9 +100,9 @@
 	return req, nil
 }
 
-// bodyTimeout bounds the reading of one request body. Operators of a dialect
-// give a request its time; the node's own bound may not be shorter, or an upload
-// that they allow is broken off.
+// bodyTimeout bounds the reading of one request body. With a dialect, operators set
+// the time for a request in its profile. The node's own timeout must not be shorter,
+// or it would abort uploads that they allow.
 func (n *Node) bodyTimeout(profile *config.Profile) time.Duration {
 	if n.spoken() {
 		return max(n.settings.BodyTimeout, time.Duration(profile.Deadline))
@@ -109,7 +110,7 @@
 	return n.settings.BodyTimeout
 }
 
-// readRequestBody reads the part of a body that is held for further attempts.
+// readRequestBody reads the part of a body that is buffered for further attempts.
 func (n *Node) readRequestBody(w http.ResponseWriter, r *http.Request, timeout time.Duration) (*replayBody, error) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(timeout))
@@ -120,16 +121,18 @@
 	body.shared = n.settings.Ablate.SharedStream
 	n.stripTrailer(r.Trailer)
 	body.onEnd(func() {
-		// net/http goes on to watch the connection for its end, and a deadline
-		// left in place would look like one: the call would be cancelled while
-		// its caller waits for the answer.
+		// After the body, net/http keeps reading the connection to notice when the
+		// caller closes it. A read deadline left in place would look like such a
+		// close, and the call would be cancelled while its caller waits for the
+		// answer.
 		_ = controller.SetReadDeadline(time.Time{})
 		n.stripTrailer(r.Trailer)
 	})
 	return body, nil
 }
 
-// stripTrailer is strip, and takes out a key that a caller put there.
+// stripTrailer removes the headers that strip removes, and a customer key that a
+// caller sent in the trailer.
 func (n *Node) stripTrailer(trailer http.Header) {
 	n.strip(trailer)
 	if !n.spoken() && len(trailer) > 0 {
@@ -137,8 +140,8 @@
 	}
 }
 
-// keyOf reads the idempotency key, "" without one. One that can't be used is
-// refused: ignored, it would leave its call without protection.
+// keyOf returns the idempotency key, "" if there is none. An invalid key is refused:
+// if it were ignored, the call could run twice.
 func keyOf(h http.Header) (string, error) {
 	key := h.Get(call.HeaderIdempotencyKey)
 	if key != "" && !call.ValidToken(key, call.MaxKeyLength) {
--- a/node/reset.go
+++ b/node/reset.go
@@ -9,15 +9,15 @@
 	"pollengauge.dev/node/pipelining"
 )
 
-// limitListener returns a listener of at most that many connections, each of
-// which can be reset.
+// limitListener returns a listener that accepts at most conns connections at a time,
+// each of which can be reset.
 func limitListener(l net.Listener, conns int) net.Listener {
 	raw := &rawListener{Listener: l}
 	return &resetListener{Listener: netutil.LimitListener(raw, conns), raw: raw}
 }
 
-// rawListener keeps the connection that it accepted last, which a
-// LimitListener hides. Only the accept loop of one server uses it.
+// rawListener stores the connection that it accepted last, which a LimitListener
+// hides. Only the accept loop of one server uses it.
 type rawListener struct {
 	net.Listener
 	last net.Conn
@@ -44,14 +44,14 @@
 	return &resetConn{Conn: conn, raw: l.raw.last}, nil
 }
 
-// resetConn is a connection that can be ended so that its peer sees a break.
+// resetConn is a connection that can be closed so that its peer sees an error.
 type resetConn struct {
 	net.Conn
 	raw  net.Conn
 	idle idleTimer
 }
 
-// reset closes the connection without the usual end of its stream.
+// reset closes the connection without the normal end of stream; TCP sends a reset.
 func (c *resetConn) reset() {
 	if l, ok := c.raw.(interface{ SetLinger(sec int) error }); ok {
 		_ = l.SetLinger(0)
@@ -59,12 +59,11 @@
 	_ = c.Close()
 }
 
-// breakConn resets the connection of a request of HTTP/1.0.
+// breakConn resets the connection of an HTTP/1.0 request.
 //
-// The failure: an answer of unknown length breaks off, and its caller speaks
-// HTTP/1.0. It has no chunks whose end could be missing; the connection's end
-// is the answer's end. Closed like any other, the connection makes a part of
-// the answer a complete one.
+// An answer of unknown length may break off. HTTP/1.0 has no chunks whose end could be
+// missing: the answer ends where the connection ends. If the connection were closed
+// normally, the caller would take a part of the answer for a complete one.
 func breakConn(w http.ResponseWriter, r *http.Request) {
 	if r.ProtoAtLeast(1, 1) {
 		return
@@ -79,8 +78,7 @@
 	_ = conn.Close()
 }
 
-// resetConnOf returns the resetConn that a listener's connection is, or is built
-// on.
+// resetConnOf returns the resetConn that conn is or wraps.
 func resetConnOf(conn net.Conn) (*resetConn, bool) {
 	if ahead, ok := conn.(*pipelining.Conn); ok {
 		conn = ahead.Conn
--- a/node/root_request.go
+++ b/node/root_request.go
@@ -9,12 +9,12 @@
 	"pollengauge.dev/config"
 )
 
-// headerRequestID is the customary name under which callers send an id.
+// headerRequestID is the customary header in which callers send a request id.
 const headerRequestID = "X-Request-Id"
 
-// rootRequest builds the request that the root sends on. Everything that
-// nodes trust is made here; nothing of it comes from the caller.
-// A trusted caller, the upstream here, needs no key.
+// rootRequest builds the request that the root sends on. The context that nodes trust
+// is created here; apart from a valid request id it takes nothing from the caller. A
+// trusted caller, which is the upstream on this VM, needs no customer key.
 func (n *Node) rootRequest(w http.ResponseWriter, r *http.Request, service string, trusted bool) (*request, error) {
 	profile, err := n.profileFor(service, r)
 	if err != nil {
@@ -23,7 +23,7 @@
 	current := n.config.Current()
 	whose, reason := n.identify(takeKey(r.Header, current), profile, current)
 	if trusted {
-		// The upstream beside this node calls out without a key.
+		// The upstream on this VM makes its calls without a customer key.
 		reason = call.ReasonNone
 	}
 	if reason != call.ReasonNone {
@@ -56,7 +56,8 @@
 	return req, nil
 }
 
-// rank places the request among those of its priority.
+// rank returns the request's level: its priority, and its rank among the requests of
+// that priority. It also sets the request's caller.
 func (n *Node) rank(r *http.Request, req *request) call.Level {
 	req.caller = callerOf(r, req.profile)
 	if name := req.whose.name(); name != "" {
@@ -70,8 +71,8 @@
 	return call.MakeLevel(n.config.Current().PriorityFor(req.whose.customer, req.profile), tie)
 }
 
-// callerOf names who is asking, for fairness: the profile's header, else the
-// credentials, else the address.
+// callerOf returns what identifies the caller for fairness: the value of the profile's
+// caller header, else the credentials, else the address.
 func callerOf(r *http.Request, profile *config.Profile) string {
 	if profile.CallerHeader != "" {
 		if caller := r.Header.Get(profile.CallerHeader); caller != "" {
@@ -91,8 +92,8 @@
 // callerRetry is the metric label of a retry that a caller made.
 const callerRetry = "caller"
 
-// noteRepeat recognises a caller's own retry by its key or its request id and
-// takes the chain's credit from it: the first request already had it.
+// noteRepeat recognizes a caller's own retry by its idempotency key or its request id,
+// and gives it no retry credit: the first request already received the credit.
 func (n *Node) noteRepeat(req *request) {
 	id := req.key
 	if id == "" && req.named {
--- a/node/routed.go
+++ b/node/routed.go
@@ -12,8 +12,8 @@
 	"pollengauge.dev/config"
 )
 
-// serveRouted is the root of every request where a dialect is spoken: those of
-// callers on this VM and those of its upstream.
+// serveRouted handles every request of a node with a dialect: those of callers on this
+// VM and those of its upstream. This node is their root.
 func (n *Node) serveRouted(w http.ResponseWriter, r *http.Request) {
 	n.active.Add(1)
 	defer n.active.Add(-1)
@@ -30,7 +30,8 @@
 	parent := n.parentOf(req)
 	if parent == nil {
 		if req.whose.customer == nil && n.config.Current().KeyRequired(req.profile) {
-			// The run that made it has ended since it was let in as a call of it.
+			// The visit that made this call has ended since the call was accepted as a
+			// part of it.
 			n.writeRefused(w, n.refuse(call.NotRun, call.ReasonVisitClosed, 0), r)
 			return
 		}
@@ -44,14 +45,14 @@
 	report = n.serveRoot(w, r.WithContext(ctx), req)
 }
 
-// parentOf finds the run that a call of the upstream is made for, and has the
-// call inherit from it: it ranks as the request that needs it, and can't
-// outlive it. It returns nil for a request of a caller, and for a call whose
-// run isn't known. A request whose id tells no parent is a caller's.
+// parentOf finds the visit that an upstream's call is made for. The call inherits from
+// that visit: it gets the level of the request that needs it, and can't outlive it.
+// parentOf returns nil for a call whose visit isn't known and for a caller's request,
+// which is any request whose id names no parent.
 //
-// The failure: calls were guessed by their route, a customers' route ranked as
-// high as the routes of calls, and its requests were never refused where they
-// began; 1305 of 4818 requests of the highest rank were refused in their place.
+// When calls were recognized by their route instead, a customers' route that had the
+// same rank as the routes of calls was never refused at the root; 1305 of 4818
+// requests of the highest rank were refused in its place.
 func (n *Node) parentOf(req *request) *visit {
 	id := n.settings.Dialect.ParentOf(req.call.RequestID)
 	if id == "" {
@@ -77,8 +78,8 @@
 	return parent
 }
 
-// writeRefused answers a request that has no route or can't be read. Nothing
-// was run.
+// writeRefused writes the refusal of a request that has no route or can't be read. The
+// request has not run.
 func (n *Node) writeRefused(w http.ResponseWriter, a *answer, r *http.Request) {
 	id := ""
 	if told, err := n.settings.Dialect.ReadCaller(r.Header); err == nil {
@@ -97,7 +98,7 @@
 		return nil, n.refuse(call.NotRun, call.ReasonDraining, endRetry)
 	}
 	if !n.config.Status().Heard {
-		// A node that knows no configuration can't say that a route isn't there.
+		// Without a configuration a node can't know whether a route exists.
 		return nil, n.refuse(call.NotRun, call.ReasonNoConfig, noConfigRetry)
 	}
 	told, err := n.settings.Dialect.ReadCaller(r.Header)
@@ -111,14 +112,14 @@
 	}
 	service := call.ServiceToken(pickShare(route.Shares, rand.Uint64()))
 	if service == "" {
-		// The route is there, so its callers may come back; operators have yet
-		// to name who serves it.
+		// The route exists, so its callers may retry; operators have not yet named a
+		// service for it.
 		return nil, n.refuse(call.NotRun, call.ReasonNoTarget, unservedRetry)
 	}
 	profile := current.Profile(route.Profile)
 	whose, stranger := n.identify(told.Key, profile, current)
 	if parent := n.settings.Dialect.ParentOf(told.ID); parent != "" && !told.Key.Sent() && stranger != call.ReasonNone {
-		// Calls bring no key: the request that they are made for did.
+		// Calls carry no customer key: the request that they are made for did.
 		if _, made := n.visits.find(parent); !made {
 			return nil, n.refuse(call.NotRun, call.ReasonVisitClosed, 0)
 		}
@@ -153,12 +154,13 @@
 	return req, nil
 }
 
-// refuseUnrouted refuses a request for which a version has no route. While a later
-// one is known to exist, that is not the last word: also one that has come into force
-// since the route was looked up.
+// refuseUnrouted refuses a request for which a configuration version has no route. If
+// a later version is known to exist, the refusal asks the caller to retry. That
+// includes a version that came into force after the route was looked up.
 //
-// The failure: operators add a route, and a node that has not got the version yet,
-// or refuses it, answers that there is no such route. Callers take that for final.
+// Otherwise, after operators add a route, a node that has not yet received the
+// version, or refuses it, would answer that the route doesn't exist, and callers would
+// take that as final.
 func (n *Node) refuseUnrouted(version uint64) *answer {
 	reason, retry := call.ReasonNoRoute, time.Duration(0)
 	if n.laterThan(version) {
@@ -168,31 +170,30 @@
 	return n.refuse(call.NotRun, reason, retry)
 }
 
-// behindRetry is the least Retry-After of a node that lacks a version: a peer has
-// it within a few messages.
+// behindRetry is the least Retry-After of a node that lacks a configuration version:
+// nodes receive it from each other within a few messages.
 const behindRetry = 250 * time.Millisecond
 
-// drawLevel places a request among those of its priority by chance. A dialect
-// does not tell callers apart: those of a VM share its address, and ranked by it
-// they would all crowd into a few levels, of which only whole ones can be
-// refused.
+// drawLevel gives a request a random rank among those of its priority. With a dialect,
+// callers can't be told apart: those on one VM share its address. Ranked by address
+// they would all fall into a few levels, and levels can only be refused as a whole.
 func drawLevel(priority call.Priority, random uint64) call.Level {
 	return call.MakeLevel(priority, call.Tiebreak(random%(uint64(call.MaxTiebreak)+1)))
 }
 
 // noConfigRetry is the least Retry-After of a node without a configuration: it
-// gets one within a round trip to the platform or a peer.
+// receives one within a round trip to the platform or a peer.
 const noConfigRetry = 250 * time.Millisecond
 
-// unservedRetry is the least Retry-After of a route that names no service: it
-// takes an operator's change to be served.
+// unservedRetry is the least Retry-After of a route that names no service: an operator
+// has to change the configuration first.
 const unservedRetry = time.Second
 
-// endRetry is the least Retry-After of a node that ends: its callers are on another
-// one by then.
+// endRetry is the least Retry-After of a node that shuts down: by then its callers use
+// another node.
 const endRetry = 50 * time.Millisecond
 
-// hostOf drops the port from a Host header.
+// hostOf returns the host of a Host header in lower case, without the port.
 func hostOf(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -200,13 +201,14 @@
 	return strings.ToLower(host)
 }
 
-// rawPath is the path as it came, without its query. A path whose escapes are the
-// usual ones is kept only decoded.
+// rawPath returns the path as received, without its query. If all escapes are the
+// standard ones, net/url stores only the decoded path, and EscapedPath encodes it
+// again.
 func rawPath(r *http.Request) string { return r.URL.EscapedPath() }
 
-// pickShare draws one of the services of a route, each with the probability of
-// its weight. What a service refuses is not moved to another: its share would
-// then not be the one that the operator set. It returns "" where no share is
+// pickShare draws one of the services of a route with the probability of its weight. A
+// request that one service refuses is not moved to another, since the shares would
+// then differ from those that the operator set. pickShare returns "" if no weight is
 // above 0.
 func pickShare(shares []config.Share, random uint64) string {
 	total := uint64(0)
@@ -226,13 +228,14 @@
 	return ""
 }
 
-// maxHeldAnswer is the longest answer that the node beside the upstream holds
-// until it is whole. A longer one is streamed.
+// maxHeldAnswer is the longest answer, in bytes, that the node beside the upstream
+// buffers completely before it sends the head on. A longer one is streamed.
 const maxHeldAnswer = 128 << 10
 
-// heldBody reads an answer of the upstream to its end before its head is sent
-// on. An upstream that breaks off midway then costs the caller another attempt
-// at most, never half an answer, and a slow caller does not hold its slot.
+// heldBody reads an answer of the upstream to its end before its head is sent on. If
+// the upstream fails midway, the caller waits for another attempt at most and never
+// gets half an answer, and a slow caller doesn't occupy the upstream's slot. heldBody
+// reports false for an answer that is too long or has no length.
 func heldBody(resp *http.Response) ([]byte, bool, error) {
 	if resp.ContentLength < 0 || resp.ContentLength > maxHeldAnswer {
 		return nil, false, nil
@@ -241,7 +244,7 @@
 	if _, err := io.ReadFull(resp.Body, body); err != nil {
 		return nil, false, &TruncatedError{Cause: err}
 	}
-	// The end is read too, or the connection is not used again.
+	// Read up to EOF, since otherwise the transport doesn't reuse the connection.
 	if _, err := resp.Body.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		return nil, false, &TruncatedError{Cause: err}
 	}
--- a/node/target.go
+++ b/node/target.go
@@ -8,13 +8,13 @@
 	"pollengauge.dev/config"
 )
 
-// profileFor checks the target of a request and returns its profile.
+// profileFor validates the target of a request and returns its profile.
 //
-// The failure: the profile is chosen by one reading of a path and the upstream
-// serves another, as with /browse/..%2ffilings or //filings. A filing then
-// runs under a profile that allows a second run, or browsing goes before
-// filings. A path is refused if another customary reading of it would choose
-// another profile; where all agree it is passed on as it came.
+// An upstream may interpret a path differently than the node that chose the profile,
+// as with /browse/..%2ffilings or //filings. A filing would then run under a profile
+// that allows a second run, or browsing would be ranked before filings. A path is
+// therefore refused if another common interpretation would choose another profile. A
+// path for which all agree is forwarded as received.
 func (n *Node) profileFor(service string, r *http.Request) (*config.Profile, error) {
 	if err := checkTarget(r); err != nil {
 		return nil, err
@@ -29,11 +29,11 @@
 	return profile, nil
 }
 
-// checkTarget refuses what can't be carried as a call.
+// checkTarget refuses methods and request targets that can't be carried as a call.
 func checkTarget(r *http.Request) error {
 	switch r.Method {
 	case http.MethodConnect, http.MethodTrace:
-		// TRACE would show the context headers to the caller.
+		// TRACE would return the context headers to the caller.
 		return &MethodError{Method: r.Method}
 	}
 	if r.URL.Opaque != "" || (r.URL.Path != "" && r.URL.Path[0] != '/') {
@@ -42,9 +42,9 @@
 	return nil
 }
 
-// readings lists how servers may read a path otherwise than decoded and
-// cleaned, which Match does itself. Most paths have nothing to read
-// differently, and the list is empty.
+// readings returns how servers may interpret a path other than decoded and cleaned,
+// which Match does itself. The list is empty for most paths, since they have only one
+// interpretation.
 func readings(u *url.URL) []string {
 	path := u.Path
 	if u.RawPath == "" && !strings.ContainsAny(path, `%\;`) && !strings.Contains(path, "//") && !strings.Contains(path, "/.") {
@@ -62,8 +62,8 @@
 	return list
 }
 
-// asWritten is a path for a server that resolves neither dots nor doubled
-// slashes: they become segments like any other.
+// asWritten returns the path as interpreted by a server that resolves neither dot
+// segments nor doubled slashes: they become ordinary segments.
 func asWritten(path string) string {
 	segments := strings.Split(path, "/")
 	for i, segment := range segments {
@@ -74,8 +74,8 @@
 	return strings.Join(segments, "/")
 }
 
-// segmentsDecoded is a path for a server that splits it before it decodes the
-// segments: an encoded slash does not divide.
+// segmentsDecoded returns the path as interpreted by a server that splits it before it
+// decodes the segments: an encoded slash doesn't separate segments.
 func segmentsDecoded(escaped string) string {
 	segments := strings.Split(escaped, "/")
 	for i, segment := range segments {
@@ -88,8 +88,8 @@
 	return strings.Join(segments, "/")
 }
 
-// withoutParameters drops ";name=value" from each segment, as servers with
-// path parameters do before they look for a handler.
+// withoutParameters removes ";name=value" from each segment, as servers with path
+// parameters do before they look up a handler.
 func withoutParameters(path string) string {
 	segments := strings.Split(path, "/")
 	for i, segment := range segments {
--- a/node/transport.go
+++ b/node/transport.go
@@ -15,20 +15,20 @@
 const (
 	idleConnTimeout = 60 * time.Second
 	transportBuffer = 8 << 10
-	// maxResponseHeader bounds the head of an answer, in bytes. Nothing tells what
-	// upstreams may send, and one that is too long here ends each try of a request
-	// as unknown: it is as long as the longest that operators can allow callers.
+	// maxResponseHeader bounds the head of an answer, in bytes. No rule limits what
+	// upstreams may send, and each attempt at a request whose answer exceeds this
+	// bound ends as unknown. The bound is therefore the highest that operators can
+	// allow callers.
 	maxResponseHeader = config.MaxHeaderBytes
 )
 
-// newTransport returns a transport that never replays a request on its own.
+// newTransport returns a transport that never resends a request on its own.
 //
-// The failure: http.Transport resends a request on a fresh connection when a
-// reused one breaks, if the method is idempotent or an Idempotency-Key header
-// is present and the body can be rewound. Such a resend is an attempt that no
-// credit paid for, and for a filing a duplicate. A request without GetBody
-// and with a Body that is neither nil nor http.NoBody is never resent; every
-// request that goes through roundTrip below has such a body.
+// http.Transport resends a request on a new connection when a reused one breaks, if
+// the method is idempotent or an Idempotency-Key header is present and the body can be
+// rewound. No credit paid for such an attempt, and for a filing it is a duplicate. A
+// request without GetBody and with a Body that is neither nil nor http.NoBody is never
+// resent. Every request that goes through roundTrip below has such a body.
 func newTransport(network Network, maxConns int) *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
@@ -51,18 +51,18 @@
 	}
 }
 
-// memoryBody returns a body that can't be rewound. An empty request uses one
-// too: see newTransport. The transport knows this type to be in memory, and
-// sends it in one packet with the header.
+// memoryBody returns a body that can't be rewound. Empty requests use one too, for the
+// reason given at newTransport. The transport recognizes that this type is in memory,
+// and sends it in one packet with the header.
 func memoryBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
 
-// identity says that a body is sent as it is. On a request whose method
-// usually has no body it keeps the transport from starting a goroutine to
-// find out whether an empty body is empty; nothing more is sent.
+// identity is the transfer encoding of a body that is sent unchanged. On a request
+// whose method usually has no body it prevents the transport from starting a goroutine
+// that checks whether an empty body is empty. It adds nothing to the bytes sent.
 var identity = []string{"identity"}
 
-// usuallyWithoutBody tells the methods whose empty body the transport probes.
-// An empty body of any other method is announced, as chunks.
+// usuallyWithoutBody reports whether method is one whose empty body the transport
+// checks in a goroutine. An empty body of any other method is announced as chunked.
 func usuallyWithoutBody(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodDelete, http.MethodOptions:
@@ -72,10 +72,10 @@
 	}
 }
 
-// sent tells how far a round trip got.
+// sent records how far a round trip got.
 type sent struct {
-	// got tells that a connection was had. One that can't be sealed proves
-	// nothing: conn is nil then, and the fate of its request unknown.
+	// got is set once the request has a connection. If that connection can't be
+	// sealed, conn is nil, and whether the request was sent is unknown.
 	got   bool
 	conn  *sealConn
 	trace httptrace.ClientTrace
@@ -107,13 +107,12 @@
 	}
 }
 
-// provedUnsent reports whether the request never left this process: no
-// connection was had for it, or the one that was had is sealed before its
-// first byte.
+// provedUnsent reports whether the request never left this process: it got no
+// connection, or its connection was sealed before the first byte.
 func (s *sent) provedUnsent() bool { return !s.got || (s.conn != nil && s.conn.seal()) }
 
-// roundTrip sends req once. On an error, unsent tells whether the request is
-// proved not to have been sent.
+// roundTrip sends req once. On an error, unsent reports whether the request was
+// provably not sent.
 func roundTrip(ctx context.Context, transport http.RoundTripper, req *http.Request) (resp *http.Response, unsent bool, err error) {
 	if req.Body == nil || req.Body == http.NoBody {
 		req.Body = memoryBody(nil)
@@ -125,15 +124,16 @@
 		return nil, s.provedUnsent(), err
 	}
 	if resp.StatusCode < http.StatusContinue {
-		// net/http reads such a code, but panics where it is to be written: the
-		// caller's connection broke instead of bringing an outcome.
+		// net/http reads such a code, but panics when it has to write it. The caller's
+		// connection would break without an outcome.
 		_ = resp.Body.Close()
 		return nil, false, &StatusError{Status: resp.StatusCode}
 	}
 	return resp, false, nil
 }
 
-// roundTrip is roundTrip, unless the transport's own replays are to be shown.
+// roundTrip calls the function roundTrip, unless an ablation enables the transport's
+// own resending.
 func (n *Node) roundTrip(ctx context.Context, transport http.RoundTripper, req *http.Request) (resp *http.Response, unsent bool, err error) {
 	if !n.settings.Ablate.TransportReplays || req.Body == nil {
 		return roundTrip(ctx, transport, req)
