--- a/node/ahead_test.go
+++ b/node/ahead_test.go
@@ -20,8 +20,8 @@
 // workTime is how long the upstreams of these tests work on a request.
 const workTime = 300 * time.Millisecond
 
-// sendBehind sends requests to paths behind one another, with ids r0, r1 and so
-// on, and returns the connection.
+// sendBehind pipelines requests to paths, with ids r0, r1 and so on, and returns the
+// connection.
 func (f *fleet) sendBehind(n *Node, paths ...string) net.Conn {
 	conn := f.stranger(n, OutboundListener)
 	for i, path := range paths {
@@ -42,16 +42,16 @@
 	}
 }
 
-// A caller sends five searches on one connection before the first is answered.
-// Served in turn, the last one took five times the work of one and was late,
-// although upstreams had room for all. They have to run side by side, and their
-// answers to come in the order in which they were asked for.
+// A caller pipelines five searches on one connection before the first is answered.
+// Served one after another, the last took five times as long as one search and was
+// late, although upstreams had free capacity. The searches have to run concurrently,
+// and their answers must arrive in the order of the requests.
 func TestRequestsBehindOneAnotherRunSideBySide(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
 			id := r.Header.Get("X-Id")
 			if id != "r3" {
-				time.Sleep(workTime) // r3 is ready first and has to wait
+				time.Sleep(workTime) // r3 is ready first, and its answer has to wait
 			}
 			echo(w, r, call)
 		})
@@ -66,8 +66,9 @@
 	})
 }
 
-// Guards against runs that are thrown away since the node took headers out of a request
-// that was begun early: its key, and what callers forge.
+// Guards against discarding the run of a request that was started early because the
+// node has since removed headers from it: its customer key, and headers that callers
+// forge.
 func TestRequestsBehindOneAnotherRunOnceWhateverTheirHeaders(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var runs atomic.Int64
@@ -90,10 +91,10 @@
 	})
 }
 
-// A filing stands behind two searches and before two others. Begun before its turn,
-// it could run and its caller then find the connection closed before its answer.
-// It has to wait until what stands before it is answered. Searches behind it may
-// run beside it.
+// A filing is queued behind two searches and before two others. If it were started
+// before its turn, it could run and its caller could then find the connection closed
+// before the answer. It has to wait until everything before it is answered. Searches
+// behind it may run concurrently with it.
 func TestUnrepeatableRequestsWaitForTheirTurn(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var before, early atomic.Int64
@@ -111,13 +112,13 @@
 		defer conn.Close()
 		began := time.Now()
 		f.expectInOrder(bufio.NewReader(conn), 5)
-		f.c.Check(early.Load(), qt.Equals, int64(0), qt.Commentf("requests before it that still ran"))
-		f.c.Check(time.Since(began) < 3*workTime, qt.IsTrue, qt.Commentf("what stands behind it runs beside it"))
+		f.c.Check(early.Load(), qt.Equals, int64(0), qt.Commentf("requests before the filing that were still running"))
+		f.c.Check(time.Since(began) < 3*workTime, qt.IsTrue, qt.Commentf("requests behind the filing did not run concurrently with it"))
 	})
 }
 
-// A caller leaves while five of its searches run. All of them have to stop:
-// before, the node noticed an end of the connection only for the first one.
+// A caller leaves while several of its pipelined searches run. All of them have to
+// stop. The node used to notice the end of the connection only for the first one.
 func TestCallersThatLeaveStopAllThatTheyBegan(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var stopped, ended sync.WaitGroup
@@ -141,9 +142,9 @@
 	})
 }
 
-// A node is told to end while searches that stand behind one another run. Closed
-// with the first answer, the connection would lose the others, whose work is
-// done. The last of them has to be the one that closes it.
+// A node starts to shut down while pipelined searches run. If it closed the connection
+// with the first answer, the others would be lost although their work is done. The
+// last of them has to close the connection.
 func TestEndAnswersWhatWasBegunBehind(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
@@ -168,8 +169,8 @@
 	})
 }
 
-// More requests stand behind one another than a connection may begin early. The
-// rest is begun as the first are answered, and none is lost.
+// More requests are pipelined than a connection may start early. The rest are started
+// as the first are answered, and none is lost.
 func TestMoreRequestsThanBeginEarlyAreAllAnswered(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 100, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
@@ -190,9 +191,10 @@
 	})
 }
 
-// A search is begun behind another one, and before its turn the operators lower the
-// limit on heads: the node refuses it. Its run has to be let go of; counted as under
-// way for ever, it kept the node from ending before its grace period was over.
+// A search is started early behind another one. Before its turn, operators lower the
+// limit on heads, so that the node refuses it. Its run has to be released: counted as
+// in flight for ever, it kept the node from shutting down before the end of its grace
+// period.
 func TestRefusedTurnsLetGoOfTheirRun(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
@@ -218,8 +220,8 @@
 	})
 }
 
-// A caller posts a change and sends a read behind it. Run beside each other, the
-// read could miss the change that its caller made first.
+// A caller posts a change and pipelines a read behind it. If both ran concurrently,
+// the read could miss the change that its caller made first.
 func TestReadsBehindAChangeWaitForIt(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var changed, early atomic.Bool
--- a/node/answerheads_test.go
+++ b/node/answerheads_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An upstream answers with a head longer than any that callers may send. It was
-// thrown away as unreadable, and each try ended as a request of unknown fate.
+// An upstream answers with a head longer than callers may send. The node used to
+// discard the answer as unreadable, and each attempt ended with an unknown fate.
 func TestLongHeadsOfAnswersPassEveryHop(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
--- a/node/answers_test.go
+++ b/node/answers_test.go
@@ -10,9 +10,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A caller uses a header for its own ends that is the key of a call in the
-// project's own interface. With a dialect it is a header like any other: the next
-// node refused the request for its form.
+// A caller uses the header Idempotency-Key, which has a meaning in the project's own
+// interface, for its own purpose. With a dialect it is a header like any other. The
+// next node used to refuse such a request because the value was no valid key.
 func TestKeysOfCallersAreOnlyHeaders(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
@@ -32,9 +32,9 @@
 	})
 }
 
-// Answers come in forms that are proper, if not usual: after several interim
-// answers, without a length up to the end of the connection, with a trailer. Each
-// has to reach the caller whole.
+// Some answers have a valid but unusual form: several interim answers first, no length
+// but the end of the connection, a trailer, empty chunks. Each has to reach the caller
+// complete.
 func TestProperFormsOfAnswersReachTheCaller(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nX-Echo: one\r\n"
 	for name, answer := range map[string]string{
--- a/node/behind_test.go
+++ b/node/behind_test.go
@@ -11,7 +11,7 @@
 	"pollengauge.dev/config"
 )
 
-// lines returns the lines of an event.
+// lines returns the log lines of an event.
 func (b *logBuffer) lines(event string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -30,12 +30,12 @@
 	f.c.Assert(err, qt.IsNil)
 }
 
-// withoutPlatform has a node hear of configurations from its peers only.
+// withoutPlatform lets a node receive configurations from its peers only.
 func withoutPlatform(s *Settings) { s.Store = nil }
 
-// Operators store a version that the nodes which watch the platform refuse. The
-// other nodes have heard nothing of it: by their metrics and logs they are up to
-// date. Each node must tell of the version that it lacks, once.
+// Operators store a version that the nodes which watch the platform refuse. The other
+// nodes used to learn nothing of it, so their metrics and logs showed them as up to
+// date. Each node must log once that it lacks the version.
 func TestEveryNodeTellsOfAVersionThatItLacks(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		watching, _ := f.addLogged("watching", "desk", echo)
@@ -54,9 +54,9 @@
 	})
 }
 
-// A request's route is looked up in one version, and the next one, which has it, comes
-// into force before the request is refused. Compared with the version in force by
-// then, the node would seem to be up to date and its answer final.
+// A request's route is looked up in one version, and the next version, which has the
+// route, comes into force before the request is refused. Compared with the version
+// then in force, the node would seem up to date and its answer final.
 func TestVersionThatComesMeanwhileIsLater(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("vm", "desk", 10, echo)
@@ -69,10 +69,10 @@
 	})
 }
 
-// Operators add a route, and this node hears that there is a later version before
-// it has it, or can't read it at all. A caller on the new route is told that there
-// is no such route, and never asks again. It must be told to come back, until the
-// version in force is the newest known.
+// Operators add a route. This node learns that a later version exists before it has
+// that version, or can't read it at all. A caller on the new route that is told that
+// there is no such route never retries. It must be told to retry, until the version in
+// force is the newest known.
 func TestMissingRouteIsNotFinalWhileBehind(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		watching := f.addRouted("watching", "desk", 10, echo)
--- a/node/carry_test.go
+++ b/node/carry_test.go
@@ -14,9 +14,9 @@
 	"pollengauge.dev/call"
 )
 
-// A caller leaves in the middle of a long request. The upstream two hops down
-// must see its own request end at once: work for nobody holds slots that
-// others wait for.
+// A caller leaves in the middle of a long request. The upstream two hops downstream
+// must see its own request end at once, since work that nobody waits for occupies
+// slots that others need.
 func TestCancellationReachesTheDeepestUpstream(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		ended := make(chan time.Duration, 1)
@@ -48,8 +48,9 @@
 	})
 }
 
-// Each hop is told what is left of the root's deadline, less what the hops
-// above have used, and a call that outlives it ends unknown, not complete.
+// Each hop receives the time left until the root's deadline, reduced by what the
+// earlier hops have used. A call that outlives the deadline ends as unknown, not as
+// complete.
 func TestDeadlineShrinksOnTheWayDown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		left := make(chan time.Duration, 1)
@@ -75,9 +76,9 @@
 		start := time.Now()
 		got := f.ask(front, http.MethodGet, "/status")
 		f.c.Check(<-left, qt.Equals, deadline-time.Second)
-		// The deep hop's answer and the front's own timer are due at the same
-		// instant. Whichever is first, neither hop may say complete, so the
-		// upstream in front has no reason to answer.
+		// The deep hop's answer and the front node's own timer are due at the same
+		// instant. Whichever is first, neither hop may report complete, so the
+		// upstream of the front node has nothing to answer with.
 		f.c.Check(<-below, qt.Not(qt.Equals), "complete")
 		f.c.Check(got.outcome, qt.Equals, "unknown")
 		f.c.Check(got.reason, qt.Equals, "timeout")
@@ -85,8 +86,8 @@
 	})
 }
 
-// An upstream streams an answer with a trailer. The caller gets both, and no
-// header that belongs to the connection between the upstream and its node.
+// An upstream streams an answer with a trailer. The caller gets both, but no header
+// that applies only to the connection between the upstream and its node.
 func TestTrailersAreKeptAndHopHeadersAreNot(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.add("front", "portal", 10, func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
--- a/node/content_test.go
+++ b/node/content_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Guards against taking different requests for the same one, and the same request for
-// another when it comes again.
+// Guards against equal fingerprints of different requests, and against different
+// fingerprints of one request that comes again.
 func TestFingerprintIsThatOfTheContent(t *testing.T) {
 	c := qt.New(t)
 	first := contentFingerprint(contentRequest())
@@ -51,13 +51,14 @@
 	}
 }
 
-// Guards against memory spent on each call that ends no upstream.
+// Guards against allocations on every call, since most calls crash no upstream.
 func TestFingerprintAllocatesNothing(t *testing.T) {
 	req := contentRequest()
 	qt.Assert(t, testing.AllocsPerRun(100, func() { contentFingerprint(req) }), qt.Equals, 0.0)
 }
 
-// BenchmarkFingerprint is what a call that ends no upstream costs beside it, in ns.
+// BenchmarkFingerprint measures what the fingerprint costs a call that crashes no
+// upstream, in ns.
 func BenchmarkFingerprint(b *testing.B) {
 	req := contentRequest()
 	b.ReportAllocs()
--- a/node/context_test.go
+++ b/node/context_test.go
@@ -9,10 +9,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A call below a visit ends with the visit, with its own caller, or at the
-// deadline that both share. What the upstream is told depends on which: at the
-// deadline it must read timeout and never cancelled, although the visit's
-// context ends at the same moment and may be first.
+// A call made by a visit ends with the visit, with its own caller, or at the deadline
+// that both share. The upstream learns which one it was: at the deadline it must read
+// timeout and never cancelled, although the visit's context ends at the same moment
+// and may end first.
 func TestMergedContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -39,8 +39,8 @@
 	})
 }
 
-// An attempt needs no timer of its own under a context that ends by the
-// deadline; under any other it must get one, or it would outlive its request.
+// An attempt needs no timer of its own under a context that ends by the deadline.
+// Under any other context it must get one, or it would outlive its request.
 func TestWithDeadline(t *testing.T) {
 	c := qt.New(t)
 	now := time.Now()
--- a/node/decoders_test.go
+++ b/node/decoders_test.go
@@ -17,13 +17,13 @@
 	"pollengauge.dev/call"
 )
 
-// otherListeners are those that FuzzInbound doesn't reach.
+// otherListeners are those that FuzzInbound doesn't cover.
 var otherListeners = []Listener{AdminListener, OutboundListener, GossipListener}
 
-// FuzzOtherListeners sends arbitrary bytes to the admin, the outbound or the
-// gossip listener. Whatever they are, nothing panics, the connection is
-// answered or closed in bounded time, no slot stays taken, and the node serves
-// its callers afterwards, unless it was told to drain.
+// FuzzOtherListeners sends arbitrary bytes to the admin, the outbound or the gossip
+// listener. In every case nothing panics, the connection is answered or closed in
+// bounded time, no slot stays occupied, and the node serves its callers afterwards,
+// unless the bytes told it to drain.
 func FuzzOtherListeners(f *testing.F) {
 	f.Add(uint8(0), "POST /v1/announce HTTP/1.1\r\nHost: x\r\nContent-Length: 51\r\n\r\n"+`{"service":"portal","addr":"front:1002","slots":10}`)
 	f.Add(uint8(0), "POST /v1/announce HTTP/1.1\r\nHost: x\r\nContent-Length: 34\r\n\r\n"+`{"service":"portal","slots":1e309}`)
@@ -58,10 +58,10 @@
 	})
 }
 
-// FuzzUpstreamAnswer lets the upstream answer with arbitrary bytes and then
-// end the connection, cleanly or not. The caller gets an outcome or a broken
-// answer; nothing panics, no slot stays taken, and an answer that the upstream
-// broke off is never a complete one.
+// FuzzUpstreamAnswer lets the upstream answer with arbitrary bytes and then close the
+// connection normally or break it. The caller gets an outcome or a broken answer;
+// nothing panics, no slot stays occupied, and an answer that the upstream broke off is
+// never reported as complete.
 func FuzzUpstreamAnswer(f *testing.F) {
 	f.Add(false, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	f.Add(true, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nok")
@@ -96,8 +96,8 @@
 	})
 }
 
-// rawUpstream puts an upstream beside n that answers each connection with text
-// and then closes it, or breaks it once the node has read what came.
+// rawUpstream adds an upstream beside n that answers each connection with text and
+// then closes it, or breaks it after the node has had time to read the text.
 func (f *fleet) rawUpstream(n *Node, service, text string, reset bool) {
 	listener, err := f.net.Host("front").Listen("x:0")
 	f.c.Assert(err, qt.IsNil)
@@ -121,8 +121,8 @@
 	}()
 }
 
-// framed reports whether text has a whole answer whose end is told by itself,
-// and not by the end of the connection.
+// framed reports whether text contains a complete answer that marks its own end and
+// doesn't rely on the end of the connection.
 func framed(text string) bool {
 	reader := bufio.NewReader(strings.NewReader(text))
 	for {
@@ -139,9 +139,9 @@
 	}
 }
 
-// FuzzClaim reads arbitrary bytes as a claim on a key that the platform holds.
-// What is read must be written and read again as the same claim: a fate that
-// changed on the way would be told to a caller.
+// FuzzClaim decodes arbitrary bytes as a claim that the platform stores for a key. A
+// decoded claim must survive encoding and decoding unchanged, since a fate that
+// changed would be reported to a caller.
 func FuzzClaim(f *testing.F) {
 	whole, err := encodeClaim(atmostonce.Claim{Service: "filing", Home: "h", ID: "i", ExpiresUnix: 5, State: 3, Fingerprint: 7,
 		Answer: &atmostonce.Answer{Status: 200, Header: http.Header{"A": {"b"}}, Body: []byte("ok"), At: time.Unix(5, 0).UTC()}})
@@ -170,9 +170,10 @@
 	})
 }
 
-// FuzzHandover hands arbitrary fates over to a node, as a member of its service
-// may. Whatever they are, nothing panics, a caller who presents a key of them
-// gets an outcome or sees its answer break, and a key that is handed over as run does not run again.
+// FuzzHandover hands arbitrary fates over to a node, as a member of its service can.
+// In every case nothing panics, a caller that sends one of the handed-over keys gets
+// an outcome or a broken answer, and a key that was handed over as run does not run
+// again.
 func FuzzHandover(f *testing.F) {
 	f.Add(uint64(1), 0, 1, int64(1e18), true, 200, "A", "b", "", true)
 	f.Add(uint64(1), 0, 1, int64(1e18), true, -1, "A\r\n", "b\r\nc: d", "Pollengauge-Outcome", true)
--- a/node/headrequests_test.go
+++ b/node/headrequests_test.go
@@ -8,9 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A caller asks for a head alone. The answer names the length of a body that
-// doesn't come; the node waited for that body, and took the answer for a broken
-// one.
+// The answer to a HEAD request states the length of a body that doesn't follow. The
+// node used to wait for that body and then treat the answer as truncated.
 func TestAnswersToHeadRequestsAreWhole(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
--- a/node/hostile_test.go
+++ b/node/hostile_test.go
@@ -22,14 +22,14 @@
 	"pollengauge.dev/membership"
 )
 
-// stranger opens a connection to a listener of n from a host of its own.
+// stranger opens a connection to a listener of n from a host that runs no node.
 func (f *fleet) stranger(n *Node, listener Listener) net.Conn {
 	conn, err := f.net.Host("stranger").Dial(f.t.Context(), n.Addr(listener))
 	f.c.Assert(err, qt.IsNil)
 	return conn
 }
 
-// raw sends text as it is and returns the first answer, nil if there is none.
+// raw sends text unchanged and returns the first answer, nil if there is none.
 func (f *fleet) raw(n *Node, listener Listener, text string) *http.Response {
 	conn := f.stranger(n, listener)
 	defer conn.Close()
@@ -47,7 +47,7 @@
 	return line + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n" + strings.Join(append(fields, "\r\n"), "\r\n")
 }
 
-// refused checks a refusal by status, outcome and event.
+// refused checks a refusal by its status, its outcome and the logged event.
 func (f *fleet) refused(resp *http.Response, status int, told *events, event string, what string) {
 	f.c.Assert(resp, qt.IsNotNil, qt.Commentf(what))
 	f.c.Check(resp.StatusCode, qt.Equals, status, qt.Commentf(what))
@@ -55,7 +55,7 @@
 	f.c.Check(told.has(event), qt.IsTrue, qt.Commentf("%s: event %s", what, event))
 }
 
-// twoHops is a portal that passes calls on to the filing service.
+// twoHops starts a portal and a filing service, and returns the portal's node.
 func twoHops(f *fleet, below handler, adjust ...func(*Settings)) (front *Node) {
 	f.apply(filingProfiles)
 	front = f.add("front", "portal", 10, answerOK, adjust...)
@@ -64,11 +64,11 @@
 	return front
 }
 
-// A caller from outside writes every header that only nodes may set, in each
-// way there is: plain, with _ for - (the same variable to a CGI-like upstream),
-// as trailers, named by Connection so that a hop might drop the true one. An
-// upstream does the same to the hop above. Nothing forged may arrive, be
-// believed, or push out what is true.
+// A caller from outside sends every header that only nodes may set, in each possible
+// form: plain, with _ for - (a CGI-like upstream sees the same variable), as trailers,
+// and named in Connection so that a hop might drop the genuine one. An upstream does
+// the same in its answer. No forged value may be forwarded, trusted, or displace a
+// genuine one.
 func TestForgedNamesReachNobody(t *testing.T) {
 	forged := []string{"Pollengauge-Level", "Pollengauge-Credit", "Pollengauge-Visit", "Pollengauge-Home", "Pollengauge-Outcome",
 		"Pollengauge-Request", "Pollengauge-Depth", "Pollengauge-Progress", "Pollengauge_Visit", "POLLENGAUGE_level", "Pollengauge-Worst-Level",
@@ -114,8 +114,9 @@
 	})
 }
 
-// Heads over a limit, senders that stall in head or body. Each must get a
-// refusal with its reason or be closed in time, without a run, and be told of.
+// Heads exceed a limit, or senders stall in the head or the body. Each connection must
+// get a refusal with its reason or be closed in time, without a run. Refusals must be
+// logged.
 func TestHeadsAndStallsAreBounded(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		told := &events{}
@@ -136,10 +137,10 @@
 	})
 }
 
-// A call whose head is just within the limit at the edge grows by the context
-// that nodes add, and an answer by the report. Neither may be lost on the way
-// for that: the filing has run by then, or could have. The edge refuses a head
-// that is too long, and an answer passes two nodes if it passes one.
+// A call whose head is just within the limit at the edge grows by the context that
+// nodes add, and an answer by the report. Neither may fail on the way because of that,
+// since the filing has run by then, or may have run. The edge refuses a head that is
+// too long, and an answer that passes one node also passes two.
 func TestHeadWithinTheLimitPassesEveryHop(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(filingProfiles)
@@ -165,10 +166,10 @@
 	})
 }
 
-// Bodies beyond what is held for a retry: one larger than the bound must pass
-// whole through two nodes, and its answer be awaited for as long as the profile
-// allows although the time for reading bodies is shorter; a caller that does
-// not read its answer must not hold the slot beyond the deadline.
+// Bodies exceed what is buffered for a retry. A body above that limit must arrive
+// complete at the upstream, and its answer be awaited for as long as the profile
+// allows, although the timeout for reading bodies is shorter. A caller that doesn't
+// read its answer must not occupy the slot beyond the deadline.
 func TestLongBodiesAndSlowReaders(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.add("front", "portal", 1, func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
@@ -196,8 +197,8 @@
 	})
 }
 
-// A flood of connections, and an admin body without end. Connections over the
-// bound wait and are told of; those that leave make room.
+// Callers open too many connections, and an admin request has an oversized body.
+// Connections over the limit wait and are logged; those that close free capacity.
 func TestConnectionsAndAdminBodiesAreBounded(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		told := &events{}
@@ -221,13 +222,13 @@
 		resp := f.raw(n, "admin", head("POST /v1/announce", "Content-Length: 1000000")+`{"service":"`+strings.Repeat("x", 100_000))
 		f.c.Check(resp.StatusCode, qt.Equals, http.StatusRequestEntityTooLarge)
 		f.c.Check(told.has("too-large"), qt.IsTrue)
-		f.settle() // net/http lingers on refused connections
+		f.settle() // net/http waits before it closes refused connections
 	})
 }
 
-// Requests that two parsers could read as two different ones, or that ask for
-// another kind of connection. The upstream must see at most one request, as
-// framed by the node, and its bytes must never become a second one.
+// Two parsers could read these requests as different requests, or the requests ask for
+// another kind of connection. The upstream must see at most one request, framed by the
+// node, and bytes of its body must never become a second request.
 func TestRequestShapes(t *testing.T) {
 	smuggled := "GET /smuggled HTTP/1.1\r\nHost: x\r\nX-Operation: smuggled\r\n\r\n"
 	shapes := []struct {
@@ -270,10 +271,10 @@
 	}
 }
 
-// Paths that one server reads as /file and another does not. Where the two
-// would get different profiles the call is refused, so that a filing can't run
-// as something repeatable, nor browsing as a filing; all else is passed on as
-// it came. Case is told apart, as in the assignment.
+// Some servers read these paths as /file and others don't. If the two readings would
+// choose different profiles, the call is refused, so that a filing can't run as a
+// repeatable call, nor browsing as a filing. All other paths are forwarded unchanged.
+// Upper and lower case differ, as in the configured path prefixes.
 func TestPathTricks(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(filingProfiles)
@@ -297,10 +298,10 @@
 	})
 }
 
-// Something that is no node reaches the peer listener, or one that is broken:
-// context headers missing, malformed, out of range, a home that would let a
-// call for another service through, keys handed over. Nothing may run and no
-// key be taken.
+// A client that is not a node, or a faulty node, connects to the peer listener. It
+// sends context headers that are missing, malformed or out of range, a home header
+// that would let a call for another service pass, and a hand-over of keys. Nothing may
+// run, and no key may be accepted.
 func TestPeerListenerTakesOnlyWholeContexts(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		told := &events{}
@@ -327,7 +328,7 @@
 				f.refused(send(name, value), 400, told, "bad-request", name+": "+value)
 			}
 		}
-		// With a key it can't be told whether an earlier call ran.
+		// With a key, the node can't know whether an earlier call ran.
 		f.c.Check(send(call.HeaderIdempotencyKey, strings.Repeat("k", 201)).Header.Get(call.HeaderOutcome), qt.Equals, "unknown")
 		f.c.Check(f.runs.of("portal", "op"), qt.Equals, 0)
 		f.c.Check(send("X", "y").Header.Get(call.HeaderOutcome), qt.Equals, "complete")
@@ -345,9 +346,9 @@
 	})
 }
 
-// A member of the gossip claims to be another: the same incarnation at the
-// liar's address, further on in its announcements. Calls must go on to the
-// true one, and none to the liar.
+// A gossip member impersonates another one: it announces the same incarnation with its
+// own address and a later sequence number. Calls must continue to reach the genuine
+// member, and none may reach the impostor.
 func TestRoutingIgnoresALiar(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.add("front", "portal", 10, relayFiling)
@@ -384,7 +385,7 @@
 	})
 }
 
-// rawOf gives the 16 byte form of an incarnation.
+// rawOf returns the 16 byte form of an incarnation.
 func rawOf(c *qt.C, id string) string {
 	raw, err := hex.DecodeString(id)
 	c.Assert(err, qt.IsNil)
--- a/node/names_test.go
+++ b/node/names_test.go
@@ -14,9 +14,9 @@
 	"pollengauge.dev/retry"
 )
 
-// A platform names services, zones and regions by its own rules. A name that the
-// node takes at its start has to be one by which other nodes find it, and which
-// they can put in front of a call.
+// A platform has its own rules for the names of services, zones and regions. Other
+// nodes must be able to find a node by any name that it accepts at startup, and must
+// be able to use that name in a call.
 func TestNamesOfAPlatformCarryCalls(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		places := func(s *Settings) { s.Zone, s.Region = "Hall_A/1", "HU:Central" }
--- a/node/path_test.go
+++ b/node/path_test.go
@@ -19,8 +19,8 @@
 limits: {retryRatio: 0.1}
 `
 
-// A caller's request goes client -> node -> upstream -> node -> node ->
-// upstream and the whole answer comes back with its outcome.
+// A caller's request passes client -> node -> upstream -> node -> node -> upstream,
+// and the complete answer comes back with its outcome.
 func TestWholePath(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.add("front", "portal", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
@@ -44,10 +44,10 @@
 	})
 }
 
-// http.Transport resends a request by itself when a reused connection breaks,
-// if the method or an Idempotency-Key makes it look safe. The caller would see
-// one answer, the upstream two filings. Here the upstream reads each request
-// on a reused connection and closes without answering; one run is allowed.
+// http.Transport resends a request by itself when a reused connection breaks, if the
+// method or an Idempotency-Key makes a resend look safe. The caller would see one
+// answer and the upstream two filings. Here the upstream reads each request on a
+// reused connection and closes without answering; exactly one run is allowed.
 func TestTransportNeverReplays(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodPost} {
 		inFleet(t, func(f *fleet) {
@@ -68,10 +68,10 @@
 	}
 }
 
-// The connection between two nodes is cut after k bytes, for every k from
-// none to more than the exchange has. Whatever the caller is told must be
-// true: not-run only if the filing did not run, complete only with the whole
-// answer, and it never runs twice.
+// The connection between two nodes is closed after k bytes, for k from zero to more
+// than the exchange has. The outcome that the caller receives must be true: not-run
+// only if the filing did not run, complete only with the complete answer. The filing
+// never runs twice.
 func TestCutAtEveryByte(t *testing.T) {
 	seen := map[string]int{}
 	for limit := 0; limit < 1100; limit += 13 {
@@ -116,11 +116,11 @@
 	qt.New(t).Check(seen["unknown"] > 0 && seen["complete"] > 0, qt.IsTrue, qt.Commentf("%v", seen))
 }
 
-// A filing fans out to two, and each connection of one link is cut after k
-// bytes: the caller's, those between a node and its upstream in both
-// directions, or those between the nodes. What the caller sees must be true,
-// whichever breaks: not-run only if none of the two ran, complete only with both
-// answers whole, and a broken answer never looks like a whole one.
+// A filing makes two calls in parallel, and every connection of one link is closed
+// after k bytes: those of the caller, those between a node and its upstream in either
+// direction, or those between the nodes. Whichever link breaks, what the caller sees
+// must be true: not-run only if neither call ran, complete only with both complete
+// answers, and a truncated answer never looks like a complete one.
 func TestFanOutCutOnEachLink(t *testing.T) {
 	twice := func(w http.ResponseWriter, _ *http.Request, call func(string, string, string) (*http.Response, error)) {
 		var wait sync.WaitGroup
@@ -188,9 +188,9 @@
 	qt.New(t).Check(seen["broken"] > 0 && seen["unknown"] > 0 && seen["complete"] > 0, qt.IsTrue, qt.Commentf("%v", seen))
 }
 
-// An operator asks why a request went as it did. Each step of the chain must
-// be on record with its place in the trace: without the outbound step the
-// chain falls apart and explain can't tell which hop called which.
+// The record of a request must contain each step of its chain with its place in the
+// trace. Without the outbound step the chain has a gap, and the explain command can't
+// show which hop called which.
 func TestEveryStepIsOnRecord(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.add("front", "portal", 10, func(w http.ResponseWriter, _ *http.Request, call func(string, string, string) (*http.Response, error)) {
@@ -202,7 +202,7 @@
 		deep := f.add("deep", "registry", 10, answerOK)
 		f.settle()
 		got := f.ask(front, http.MethodGet, "/status", "X-Request-Id", "req-1")
-		f.c.Check(got.header.Get("Pollengauge-Credit-Left"), qt.Equals, "", qt.Commentf("what nodes tell each other stays inside"))
+		f.c.Check(got.header.Get("Pollengauge-Credit-Left"), qt.Equals, "", qt.Commentf("header for nodes only in an answer to a caller"))
 		var kinds []string
 		parents := map[string]string{}
 		spans := map[string]string{}
@@ -222,7 +222,7 @@
 			"attempt registry":  "outbound registry",
 			"inbound registry":  "attempt registry",
 		} {
-			f.c.Check(parents[child], qt.Equals, spans[parent], qt.Commentf("%s under %s", child, parent))
+			f.c.Check(parents[child], qt.Equals, spans[parent], qt.Commentf("parent span of %s is not that of %s", child, parent))
 		}
 	})
 }
--- a/node/plaindialect_test.go
+++ b/node/plaindialect_test.go
@@ -18,8 +18,8 @@
 	"pollengauge.dev/objects"
 )
 
-// plainDialect is a small dialect for tests: X-Id names a request, X-Echo and
-// X-Not-Run are what an upstream says of it.
+// plainDialect is a small dialect for tests. X-Id identifies a request; an upstream
+// states in X-Echo which request it answers, and in X-Not-Run that it did not run it.
 type plainDialect struct{}
 
 func (plainDialect) ReadCaller(h http.Header) (CallerRequest, error) {
@@ -76,7 +76,7 @@
 	return set, err
 }
 
-// routedSet has one repeatable and one unrepeatable route to each service.
+// routedSet has one repeatable and one unrepeatable route to the service desk.
 const routedSet = `
 version: 1
 profiles:
@@ -88,8 +88,8 @@
   - {name: file, host: desk.example, pathPrefix: /file/, profile: write, shares: [{service: desk, weight: 1}]}
 `
 
-// addRouted starts a node that speaks plainDialect, with an upstream that
-// announces itself as an incarnation.
+// addRouted starts a node that uses plainDialect, with an upstream that announces
+// itself as an incarnation.
 func (f *fleet) addRouted(name, service string, slots int, h handler, adjust ...func(*Settings)) *Node {
 	n := f.add(name, service, slots, h, func(s *Settings) {
 		s.Edge = ""
@@ -136,8 +136,8 @@
 	return reply{status: resp.StatusCode, reason: resp.Header.Get("X-Reason"), body: string(body), header: resp.Header, err: err}
 }
 
-// announceAgain has the upstream of n announce itself every second and a half,
-// as upstreams do that send heartbeats.
+// announceAgain lets the upstream of n announce itself every 1.5 seconds, as upstreams
+// do that send heartbeats.
 func (f *fleet) announceAgain(n *Node) {
 	a := n.upstream.Load().Announcement
 	a.Instance = "one"
--- a/node/retries_test.go
+++ b/node/retries_test.go
@@ -31,22 +31,22 @@
   - {name: index, host: index.example, pathPrefix: /, profile: index, shares: [{service: index, weight: 1}]}
 `
 
-// chain is a fleet whose services call each other: desk calls lookup once, which
-// calls index several times in turn.
+// chain is a fleet whose services call each other: desk calls lookup once, and lookup
+// calls index several times in sequence.
 type chain struct {
 	*fleet
-	// calls is how often a run of lookup calls index.
+	// calls is how often one run of lookup calls index.
 	calls int
-	// lost is the share of lookup's runs whose answer is lost after their calls,
-	// and refused the share of the arrivals at index that it turns away, with
-	// slots free.
+	// lost is the fraction of lookup's runs whose answer is lost after lookup made its
+	// calls. refused is the fraction of arrivals that index refuses although it has
+	// free slots.
 	lost, refused float64
 
 	mu     sync.Mutex
 	random *rand.Rand
 	next   int
-	// seen counts arrivals by service and id; repeat has the ids of calls whose run
-	// was a repeat.
+	// seen counts arrivals by service and id. repeat reports, by id, whether a call
+	// was made by a run that was itself a repeat.
 	seen   map[string]map[string]int
 	repeat map[string]bool
 }
@@ -59,7 +59,7 @@
 	}
 }
 
-// arrive notes an arrival, and tells whether it is a repeat.
+// arrive records an arrival and reports whether it is a repeat.
 func (c *chain) arrive(service, id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +73,7 @@
 	return c.random.Float64() < share
 }
 
-// childID names a call of a run.
+// childID returns a new id for a call made by a run.
 func (c *chain) childID(parent string, repeat bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,7 +83,7 @@
 	return id
 }
 
-// repeats counts the arrivals at a service that are repeats, and the others.
+// repeats returns how many arrivals at a service are repeats, and how many are not.
 func (c *chain) repeats(service string) (repeats, firsts int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,7 +99,7 @@
 	return repeats, firsts
 }
 
-// start adds as many nodes of each service.
+// start adds the given number of nodes for each service and returns those of desk.
 func (c *chain) start(each int, adjust ...func(*Settings)) []*Node {
 	var desks []*Node
 	for i := range each {
@@ -111,8 +111,8 @@
 	return desks
 }
 
-// addLink adds a node whose upstream makes its calls in turn and fails with the
-// first one that fails.
+// addLink adds a node whose upstream makes its calls one after another and fails when
+// one of them fails.
 func (c *chain) addLink(name, service, below string, calls int, adjust []func(*Settings)) *Node {
 	var n *Node
 	host := c.net.Host(name)
@@ -148,7 +148,7 @@
 	return n
 }
 
-// callBelow makes one call and tells whether it ended well.
+// callBelow makes one call and reports whether it succeeded.
 func callBelow(ctx context.Context, out *http.Transport, host, id string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+host+"/x", nil)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// browse sends requests evenly for a while and returns how many were served.
+// browse sends requests at a fixed interval and returns how many were served.
 func (c *chain) browse(desks []*Node, count int, every time.Duration) (served int) {
 	answers := make(chan reply, count)
 	for i := range count {
@@ -179,11 +179,12 @@
 	return served
 }
 
-// A service in the middle loses half of its answers, so its runs are repeated, and
-// each repeated run calls the deep service anew; that one refuses a third of all
-// arrivals, and those calls are repeated as well. At each service repeats of both
-// kinds together must stay the share that operators set, over the whole fleet: the
-// deep service would otherwise get the share once for each hop above it.
+// A service in the middle of the chain loses half of its answers, so its runs are
+// repeated, and each repeated run calls the last service again. The last service
+// refuses 30% of all arrivals, and those calls are repeated as well. At each service
+// both kinds of repeats together must stay within the ratio that operators set for the
+// whole fleet. Otherwise the last service would get that ratio of repeats once for
+// each hop above it.
 func TestRepeatsStayTheirShareAtEveryDepth(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		c := newChain(f, 2)
@@ -195,7 +196,7 @@
 			repeats, firsts := c.repeats(service)
 			t.Logf("%s: %d repeats for %d first arrivals", service, repeats, firsts)
 			f.c.Check(float64(repeats) <= 0.2*float64(firsts)+each, qt.IsTrue, qt.Commentf("%s", service))
-			f.c.Check(float64(repeats) >= 0.1*float64(firsts), qt.IsTrue, qt.Commentf("%s is hardly repeated", service))
+			f.c.Check(float64(repeats) >= 0.1*float64(firsts), qt.IsTrue, qt.Commentf("%s gets too few repeats", service))
 		}
 	})
 	inFleet(t, func(f *fleet) {
@@ -204,28 +205,30 @@
 		desks := c.start(3, func(s *Settings) { s.Ablate.RepeatsEarn = true })
 		c.browse(desks, 1500, 8*time.Millisecond)
 		repeats, firsts := c.repeats("index")
-		t.Logf("index, with repeated runs taken for new ones: %d repeats for %d first arrivals", repeats, firsts)
+		t.Logf("index, with calls of repeated runs counted as first calls: %d repeats for %d first arrivals", repeats, firsts)
 		f.c.Check(float64(repeats) > 0.2*float64(firsts)+3, qt.IsTrue)
 	})
 }
 
-// All servers of the deep service refuse more than half of all arrivals, though they
-// have free slots. Taken for an overload, no call was repeated, and of requests with
-// four such calls one in thirty was served. What is refused for another cause than
-// load is taken by the next server as likely as by any.
+// All servers of the last service refuse more than half of all arrivals although they
+// have free slots. When these refusals were taken for overload, no call was repeated,
+// and one in thirty of the requests with four such calls was served. A call refused
+// for another reason than load is as likely to be accepted by the next server as by
+// any.
 func TestRefusalsWithFreeSlotsAreRepeated(t *testing.T) {
 	c := qt.New(t)
 	none := serveRefused(t, 3, 4, 0.55, func(s *Settings) { s.RetryRatio = 0 })
 	first := serveRefused(t, 3, 4, 0.55, func(s *Settings) { s.Ablate.NoRation = true })
 	chosen := serveRefused(t, 3, 4, 0.55, func(*Settings) {})
-	t.Logf("of 1500 served: %d without retries, %d with those that ask first, %d chosen", none, first, chosen)
+	t.Logf("of 1500 served: %d without retries, %d with retries in order of arrival, %d with rationed retries", none, first, chosen)
 	c.Check(chosen > 2*none, qt.IsTrue)
 	c.Check(chosen > first, qt.IsTrue)
 }
 
-// The same with fewer refusals, more calls and a larger fleet, each node of which has
-// few of the calls: one in five is refused, and the share that may be repeated is one in
-// five, so most requests with eight calls must be served, where one in six was.
+// The same as above with fewer refusals, more calls and a larger fleet, in which each
+// node makes few of the calls. One call in five is refused, and one in five may be
+// repeated, so most requests with eight calls must be served. Without repeats it was
+// one in six.
 func TestRefusalsOfALongerChainAreMended(t *testing.T) {
 	c := qt.New(t)
 	none := serveRefused(t, 8, 8, 0.2, func(s *Settings) { s.RetryRatio = 0 })
@@ -234,8 +237,9 @@
 	c.Check(chosen > 2*none, qt.IsTrue)
 }
 
-// serveRefused returns how many of 1,500 requests are served by a chain with as many
-// nodes of each service, whose deep service refuses a share of its arrivals.
+// serveRefused returns how many of 1,500 requests are served by a chain that has the
+// given number of nodes for each service and whose last service refuses a fraction of
+// its arrivals.
 func serveRefused(t *testing.T, each, calls int, refused float64, adjust func(*Settings)) (served int) {
 	inFleet(t, func(f *fleet) {
 		c := newChain(f, calls)
--- a/node/routed_bench_test.go
+++ b/node/routed_bench_test.go
@@ -13,10 +13,10 @@
 	"pollengauge.dev/observe"
 )
 
-// BenchmarkCall sends one request at a time on loopback to an upstream that
-// does nothing: without nodes, through two nodes by the project's own
-// interface, and through two that speak a dialect, without and with their log.
-// The differences are what both hops cost, and what the dialect and the log add.
+// BenchmarkCall sends one request at a time on loopback to an upstream that does no
+// work: without nodes, through two nodes with the project's own interface, and through
+// two nodes with a dialect, without and with their log. The differences are the costs
+// of both hops, of the dialect and of the log.
 func BenchmarkCall(b *testing.B) {
 	upstream := benchUpstream(b)
 	b.Run("direct", func(b *testing.B) { benchRequests(b, upstream, "desk.example") })
@@ -59,8 +59,8 @@
 	return listener.Addr().String()
 }
 
-// benchNodes starts a node of the service "front" and one of "desk", and
-// returns the first once it knows the second.
+// benchNodes starts a node of the service "front" and one of "desk", and returns the
+// first as soon as it knows the second.
 func benchNodes(b *testing.B, upstream string, adjust func(*Settings)) *Node {
 	set, err := config.Parse([]byte(routedSet), config.YAML)
 	if err != nil {
--- a/node/routed_test.go
+++ b/node/routed_test.go
@@ -16,9 +16,9 @@
 	"pollengauge.dev/config"
 )
 
-// A node gets SIGTERM while its upstream goes on to announce itself. The
-// announcements must not cancel the drain: the others would go on to send work
-// here, and it would be cut off when the grace period ends.
+// A node gets SIGTERM while its upstream continues to announce itself. If the
+// announcements cancelled the drain, the other nodes would continue to send work here,
+// and that work would be lost when the grace period ends.
 func TestAnnouncementsDoNotCancelTheEnd(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		slow := func(w http.ResponseWriter, r *http.Request, c func(string, string, string) (*http.Response, error)) {
@@ -47,8 +47,9 @@
 	})
 }
 
-// Callers on a VM learn that its node ends by asking once a second. What they
-// send until they know must be served, and what was taken must be answered.
+// Callers on a VM poll their node once a second and so learn that it shuts down.
+// Requests that they send before that must be served, and every accepted request must
+// be answered.
 func TestEndServesCallersThatHaveNotHeard(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		leaving := f.addRouted("leaving", "front", 10, echo)
@@ -67,8 +68,8 @@
 	})
 }
 
-// A route is split nine to one. Over some hundred requests each service gets its
-// share, also one whose upstreams refuse.
+// A route is split nine to one. Over 3000 draws each service gets its share, including
+// one whose upstreams refuse.
 func TestSharesFollowTheWeights(t *testing.T) {
 	c := qt.New(t)
 	rnd := rand.New(rand.NewPCG(3, 3))
@@ -81,18 +82,18 @@
 	c.Check(counts["c"], qt.Equals, 0)
 }
 
-// Operators take the weight of a route's last part away, and the platform accepts
-// it. Its callers are told that nothing ran and when to come back; a draw among no
-// parts must not end in a panic, nor in a service that gets nothing.
+// Operators set the last weight of a route above 0 to 0, and the platform accepts
+// that. Callers learn that nothing ran and when to retry. A draw among no shares must
+// neither panic nor pick a service with weight 0.
 func TestRouteWithoutASharePicksNobody(t *testing.T) {
 	c := qt.New(t)
 	c.Check(pickShare(nil, 7), qt.Equals, "")
 	c.Check(pickShare([]config.Share{{Service: "a"}, {Service: "b"}}, 7), qt.Equals, "")
 }
 
-// An announcement of an incarnation that has crashed arrives after its
-// successor's. Taken for the present one, each call would be meant for an
-// incarnation that is gone, and be refused.
+// An announcement of an incarnation that has crashed arrives after that of its
+// successor. If it were taken for the current one, each call would name an incarnation
+// that no longer exists, and would be refused.
 func TestLateAnnouncementsAreLeftOut(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("vm", "desk", 10, echo)
@@ -117,10 +118,11 @@
 	})
 }
 
-// An upstream starts again under the name that it had, with its counts anew.
-// Known by its name alone it was taken for a late word of its earlier life, or for
-// one that had left, and got no calls any more. What was held about that life has
-// to end, and its late words to change nothing.
+// An upstream restarts under the same name, and its sequence numbers start again. When
+// it was identified by its name alone, its announcements were taken for late ones of
+// the earlier incarnation, or for those of an upstream that had left, and it received
+// no more calls. The state of the earlier incarnation has to be dropped, and late
+// announcements of it must change nothing.
 func TestUpstreamsComeBackUnderTheirName(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("vm", "desk", 10, echo)
@@ -138,10 +140,10 @@
 		announce(9000, 1, false)
 		f.c.Check(n.draining.Load(), qt.IsFalse)
 		f.c.Check(n.upstream.Load().Born, qt.Equals, int64(9000))
-		f.c.Check(n.upstream.Load().transport != first, qt.IsTrue, qt.Commentf("connections of the earlier life are kept"))
+		f.c.Check(n.upstream.Load().transport != first, qt.IsTrue, qt.Commentf("connections of the earlier incarnation are still used"))
 		n.Leaving("i", 1000)
 		announce(1000, 50, true)
-		f.c.Check(n.draining.Load(), qt.IsFalse, qt.Commentf("late words of the earlier life"))
+		f.c.Check(n.draining.Load(), qt.IsFalse, qt.Commentf("late announcement of the earlier incarnation"))
 		f.c.Check(n.upstream.Load().Born, qt.Equals, int64(9000))
 		announce(9000, 1, true)
 		f.c.Check(n.draining.Load(), qt.IsFalse, qt.Commentf("a repeated announcement"))
@@ -151,8 +153,9 @@
 	})
 }
 
-// The upstream restarts, and requests meant for the old incarnation are refused
-// by the new one. Its own word for who it is must be enough to go on.
+// The upstream restarts, and the new incarnation refuses requests that are meant for
+// the old one. The incarnation stated in its answer must be enough for the next
+// request to succeed.
 func TestRestartedUpstreamIsKnownByItsAnswer(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
@@ -174,9 +177,9 @@
 	})
 }
 
-// An upstream's answer breaks off, or is that to another request. The caller of
-// a repeatable request gets a whole answer from another upstream; that of an
-// unrepeatable one learns that its fate is unknown.
+// An upstream's answer breaks off, or belongs to another request. The caller of a
+// repeatable request gets a complete answer from another upstream. The caller of an
+// unrepeatable request learns that its fate is unknown.
 func TestBrokenAnswersReachNoCaller(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
@@ -193,7 +196,7 @@
 		})
 		f.addRouted("good", "desk", 10, echo)
 		f.settle()
-		for range 200 { // earn a budget for retries
+		for range 200 { // earn retry budget
 			f.askRouted(front, "/file/x", "earn")
 		}
 		for i := range 20 {
@@ -208,9 +211,9 @@
 	})
 }
 
-// A zone's only node of a service is restarted beside its upstream, which runs
-// on. A few seconds later it must have its zone's requests again, or the other
-// zones carry them all while the next node restarts.
+// A zone's only node of a service is restarted while its upstream keeps running. A few
+// seconds later it must receive its zone's requests again. Otherwise the other zones
+// carry all of them while the next node restarts.
 func TestRestartedNodeHasItsZoneAgainSoon(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		zone := func(name string) func(*Settings) { return func(s *Settings) { s.Zone = name } }
@@ -239,10 +242,10 @@
 	})
 }
 
-// A customers' route may rank as high as the routes of an upstream's calls, and
-// be repeatable like them. A request on it that tells no parent was taken for such
-// a call: it was let in under any pressure, and requests that rank higher were
-// refused for it. It has to be shed as the customer's request that it is.
+// A customers' route may have the same rank as the routes of an upstream's calls, and
+// may be repeatable like them. A request on it whose id names no parent was once taken
+// for such a call: it was admitted under any load, and requests of a higher rank were
+// refused in its place. It has to be shed like any customer's request.
 func TestRequestsWithoutAParentAreCustomers(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "desk", 10, echo)
@@ -259,8 +262,9 @@
 	})
 }
 
-// The upstream makes a call for a request that it runs. The call ranks as the
-// request, so a filing's lookup goes before a browser's, and ends with it.
+// The upstream makes a call for a request that it runs. The call has the rank of that
+// request, so that a filing's lookup ranks before a browser's, and it ends with the
+// request.
 func TestCallsBelongToTheirRequest(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "desk", 10, echo)
@@ -278,9 +282,9 @@
 	})
 }
 
-// Operators name a route by a path with escaped bytes, and its callers send just
-// those. Compared with the decoded path, it has no route, and they are told so for
-// good.
+// Operators name a route by a path with escaped bytes, and its callers send the same
+// bytes. If the decoded path were compared, no route would match, and callers would be
+// told so as a final answer.
 func TestPathsAreComparedAsTheyCame(t *testing.T) {
 	c := qt.New(t)
 	for _, path := range []string{"/a%20b/x", "/a%2Fb/x", "/a+b/x", "/a;b/x", "/%C3%A9/x"} {
--- a/node/slowbodies_test.go
+++ b/node/slowbodies_test.go
@@ -24,9 +24,10 @@
   - {name: slow, host: desk.example, pathPrefix: /slow/, profile: slow, shares: [{service: desk, weight: 1}]}
 `
 
-// Operators allow a request minutes. Its upstream takes one; or its caller
-// takes one to send the body. The node's own time for reading a request ended
-// it meanwhile, the caller being taken for gone.
+// Operators allow a request several minutes. Its upstream takes more than one minute
+// to answer, or its caller takes that long to send the body. The node's own timeout
+// for reading a request used to end such a request, because it looked as if the caller
+// had left.
 func TestSlowRequestsHaveTheTimeThatOperatorsGive(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
@@ -68,9 +69,9 @@
 	})
 }
 
-// A caller sends half of its body and stalls until the time that operators give
-// has passed. Nothing was run, and nothing is wrong with the request: its caller
-// was told that it is bad, and would not have come back.
+// A caller sends half of its body and stalls until the time that operators allow has
+// passed. Nothing ran, and the request itself is valid. Its caller used to be told
+// that the request was bad, and would not have retried.
 func TestStalledBodiesAreNoFaultOfTheRequest(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, echo, func(s *Settings) { s.BodyTimeout = time.Second })
--- a/node/transport_test.go
+++ b/node/transport_test.go
@@ -14,15 +14,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An upstream sees from the header alone whether a request has a body. A GET
-// that announces one is refused by many; a POST that announces none may be
-// refused as lacking a length; a body that comes in a packet of its own costs
-// the call another wake-up. What goes over the wire must therefore not depend
-// on how the node holds a body.
+// An upstream learns only from the header whether a request has a body. Many refuse a
+// GET that announces one; some refuse a POST without one for lacking a length; a body
+// sent in a packet of its own costs the upstream another wake-up. The bytes sent must
+// therefore not depend on how the node stores a body.
 func TestBodyOnTheWire(t *testing.T) {
 	for _, test := range []struct {
 		method, body string
-		want         string // of the header and the body
+		want         string // end of the header, and the body
 		not          []string
 	}{
 		{"GET", "", "\r\n\r\n", []string{"Content-Length", "Transfer-Encoding"}},
--- a/node/uploads_test.go
+++ b/node/uploads_test.go
@@ -42,7 +42,7 @@
 	return len(p), nil
 }
 
-// brokenBody ends with an error instead of its end.
+// brokenBody returns an error instead of its end.
 type brokenBody struct{ left int }
 
 func (b *brokenBody) Read(p []byte) (int, error) {
@@ -54,10 +54,10 @@
 	return n, nil
 }
 
-// Two hundred callers upload scans at once. Held whole until they are sent on,
-// the bodies would take more than a VM gives its node, and the process be ended
-// with all its requests. Each may take the part that is kept for another attempt,
-// and some buffers.
+// Two hundred callers upload scans at once. If the node buffered the complete bodies,
+// they would exceed the memory that a VM gives its node, and the process would be
+// killed with all its requests. Each upload may use the part that is buffered for
+// another attempt, and some buffers.
 func TestUploadsAreStreamed(t *testing.T) {
 	const (
 		uploads  = 200
@@ -88,17 +88,17 @@
 			})
 		}
 		begun.Wait()
-		time.Sleep(100 * time.Millisecond) // the callers send as much as is taken
+		time.Sleep(100 * time.Millisecond) // the callers send as much as the node accepts
 		held := heapInUse() - before
 		close(goOn)
 		all.Wait()
 		f.c.Check(whole.Load(), qt.Equals, int64(uploads))
 		f.c.Check(held < heapMost, qt.IsTrue, qt.Commentf("%d MB", held>>20))
-		t.Logf("%d MB held for %d MB of bodies", held>>20, uploads*size>>20)
+		t.Logf("%d MB of heap used for %d MB of bodies", held>>20, uploads*size>>20)
 	})
 }
 
-// heapInUse is the memory that is in use, in bytes.
+// heapInUse returns the heap memory in use, in bytes.
 func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -107,7 +107,7 @@
 }
 
 // A caller breaks off in the middle of its upload. The upstream must not take the
-// half for the whole, and no other one may get it.
+// first half for the complete body, and no other upstream may get it.
 func TestHalfAnUploadIsNeverWhole(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var runs, whole atomic.Int64
@@ -121,7 +121,7 @@
 		n := f.addRouted("a", "desk", 4, upstream)
 		f.addRouted("b", "desk", 4, upstream)
 		f.settle()
-		for _, length := range []int64{1 << 20, -1} { // by length, and in chunks
+		for _, length := range []int64{1 << 20, -1} { // with a length, and chunked
 			runs.Store(0)
 			_, err := f.upload(n, "up", &brokenBody{left: 300 << 10}, length)
 			f.c.Check(err, qt.IsNotNil)
@@ -132,9 +132,9 @@
 	})
 }
 
-// An upstream fails after it has read a part of an upload. What was read is gone,
-// and the upload may have run: sent to the other upstream, it would run twice, or
-// arrive with its begin missing.
+// An upstream fails after it has read a part of an upload. The node no longer has that
+// part, and the upload may have run. If it were sent to the other upstream, it would
+// run twice or arrive without its start.
 func TestUploadsThatWereBegunAreNotReplayed(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var runs atomic.Int64
