--- a/node/errors.go
+++ b/node/errors.go
@@ -19,13 +19,13 @@
 type SwitchedError struct{}
 
 // Error implements error.
-func (*SwitchedError) Error() string { return "upstream switched protocols unasked" }
+func (*SwitchedError) Error() string { return "upstream switched protocols, which no caller requested" }
 
 // StatusError reports that an answer had an invalid status code.
 type StatusError struct{ Status int }
 
 // Error implements error.
-func (e *StatusError) Error() string { return "no such status: " + strconv.Itoa(e.Status) }
+func (e *StatusError) Error() string { return "invalid status code: " + strconv.Itoa(e.Status) }
 
 // WriteError reports that the receiver of an answer closed the connection.
 type WriteError struct{ Cause error }
@@ -82,7 +82,7 @@
 type DrainError struct{ InFlight int }
 
 // Error implements error.
-func (*DrainError) Error() string { return "drain ended at its bound with calls still in flight" }
+func (*DrainError) Error() string { return "drain reached its time limit with calls still in flight" }
 
 // BodyError reports that a request's body could not be read.
 type BodyError struct{ Cause error }
@@ -115,13 +115,13 @@
 type DepthError struct{ Depth int }
 
 // Error implements error.
-func (e *DepthError) Error() string { return "call depth " + strconv.Itoa(e.Depth) + " is the limit" }
+func (e *DepthError) Error() string { return "call depth " + strconv.Itoa(e.Depth) + " has reached the limit" }
 
 // MethodError reports that requests with this method are not carried.
 type MethodError struct{ Method string }
 
 // Error implements error.
-func (e *MethodError) Error() string { return "method " + e.Method + " can't be carried" }
+func (e *MethodError) Error() string { return "method " + e.Method + " is not supported" }
 
 // HeadError reports that the head of a request exceeds a limit.
 type HeadError struct {
@@ -146,7 +146,7 @@
 	if len(path) > shown {
 		path = path[:shown] + "..."
 	}
-	return "path " + strconv.Quote(path) + ": want one that can be read in one way only"
+	return "path " + strconv.Quote(path) + ": want a path that all servers interpret alike"
 }
 
 // StrangerError reports that a node that is not a known member of this service tried
@@ -155,5 +155,5 @@
 
 // Error implements error.
 func (e *StrangerError) Error() string {
-	return "hand-over from " + strconv.Quote(e.From) + ": no known member of this service"
+	return "hand-over from " + strconv.Quote(e.From) + ": sender is no known member of this service"
 }
