--- a/node/ahead.go
+++ b/node/ahead.go
@@ -13,25 +13,25 @@
 	"pollengauge.dev/observe"
 )
 
-// maxBegun bounds the requests of all callers that were started before their turn on
+// maxEarlyRuns bounds the requests of all callers that were started before their turn on
 // the connection and are not answered yet. Each one holds a goroutine, its head and a
 // connection to another node, about 40 KiB in all. The body of its answer stays at the
 // node that it comes from until the turn.
-const maxBegun = 256
+const maxEarlyRuns = 256
 
-// readAhead returns a listener whose connections read ahead and start pipelined
+// pipelined returns a listener whose connections read ahead and start pipelined
 // requests before their turn.
-func (n *Node) readAhead(l net.Listener) net.Listener {
-	return &aheadListener{Listener: l, begin: n.beginAhead}
+func (n *Node) pipelined(l net.Listener) net.Listener {
+	return &pipelinedListener{Listener: l, begin: n.startEarly}
 }
 
-type aheadListener struct {
+type pipelinedListener struct {
 	net.Listener
 	begin pipelining.Begin
 }
 
 // Accept implements net.Listener.
-func (l *aheadListener) Accept() (net.Conn, error) {
+func (l *pipelinedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -52,20 +52,20 @@
 	return conn
 }
 
-// turnOf takes from the connection the run of a request that was started before its
+// takeEarlyRun takes from the connection the run of a request that was started before its
 // turn. It returns nil for other requests.
-func turnOf(r *http.Request) *begunRun {
+func takeEarlyRun(r *http.Request) *earlyRun {
 	conn := connOf(r)
 	if conn == nil {
 		return nil
 	}
-	run, _ := conn.Take().(*begunRun)
+	run, _ := conn.Take().(*earlyRun)
 	return run
 }
 
-// begunRun is the run of a pipelined request that was started before its turn. Its
+// earlyRun is the run of a pipelined request that was started before its turn. Its
 // time counts from its arrival.
-type begunRun struct {
+type earlyRun struct {
 	node   *Node
 	req    *request
 	cancel context.CancelFunc
@@ -76,12 +76,12 @@
 	endOnce sync.Once
 }
 
-// beginAhead starts a request that is queued behind an earlier one on its connection.
+// startEarly starts a request that is queued behind an earlier one on its connection.
 // It returns nil for a request that has to wait for its turn: one that must not run
 // twice, one that the node would refuse, and a call of the upstream on this VM, which
 // its handler has to account to its visit.
-func (n *Node) beginAhead(ctx context.Context, r *http.Request) pipelining.Answer {
-	if n.ending.Load() || n.begun.Add(1) > maxBegun {
+func (n *Node) startEarly(ctx context.Context, r *http.Request) pipelining.Answer {
+	if n.ending.Load() || n.begun.Add(1) > maxEarlyRuns {
 		n.begun.Add(-1)
 		return nil
 	}
@@ -90,22 +90,22 @@
 	// own copy.
 	own := *r
 	own.Header = r.Header.Clone()
-	req := n.aheadRequest(&own)
+	req := n.earlyRequest(&own)
 	if req == nil {
 		n.begun.Add(-1)
 		return nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	run := &begunRun{node: n, req: req, cancel: cancel, begun: n.now(), done: make(chan struct{})}
+	run := &earlyRun{node: n, req: req, cancel: cancel, begun: n.now(), done: make(chan struct{})}
 	n.active.Add(1)
 	n.metrics.Begun.Inc(1)
 	go run.run(ctx)
 	return run
 }
 
-// aheadRequest reads a request without a body. It returns nil if the request has to
+// earlyRequest reads a request without a body. It returns nil if the request has to
 // wait for its turn.
-func (n *Node) aheadRequest(r *http.Request) *request {
+func (n *Node) earlyRequest(r *http.Request) *request {
 	if n.headLimitOf(EdgeListener).check(r) != nil || n.limitCaller(nil, r) != nil {
 		return nil
 	}
@@ -133,7 +133,7 @@
 	return req
 }
 
-func (run *begunRun) run(ctx context.Context) {
+func (run *earlyRun) run(ctx context.Context) {
 	defer close(run.done)
 	defer func() {
 		if recover() == nil {
@@ -149,7 +149,7 @@
 }
 
 // end releases the run once its answer has been written or is no longer needed.
-func (run *begunRun) end() {
+func (run *earlyRun) end() {
 	run.endOnce.Do(func() {
 		run.cancel()
 		run.answer.close()
@@ -159,7 +159,7 @@
 }
 
 // Drop implements pipelining.Answer.
-func (run *begunRun) Drop() {
+func (run *earlyRun) Drop() {
 	run.cancel()
 	go func() {
 		<-run.done
@@ -167,14 +167,14 @@
 	}()
 }
 
-// serveBegun writes the answer of a run when its turn on the connection has come.
-func (n *Node) serveBegun(w http.ResponseWriter, r *http.Request, run *begunRun) {
+// serveEarlyRun writes the answer of a run when its turn on the connection has come.
+func (n *Node) serveEarlyRun(w http.ResponseWriter, r *http.Request, run *earlyRun) {
 	turn := n.now()
 	stop := context.AfterFunc(r.Context(), run.cancel)
 	defer stop()
 	<-run.done
 	defer run.end()
-	n.noteTurn(run, turn)
+	n.logLateTurn(run, turn)
 	n.writeRoot(w, run.req, run.answer)
 }
 
@@ -182,8 +182,8 @@
 // logged: it can make an answer late that was ready in time.
 const lateTurnShare = 0.5
 
-// noteTurn logs a request that was queued for long behind others on its connection.
-func (n *Node) noteTurn(run *begunRun, turn time.Time) {
+// logLateTurn logs a request that was queued for long behind others on its connection.
+func (n *Node) logLateTurn(run *earlyRun, turn time.Time) {
 	behind := turn.Sub(run.begun)
 	target := time.Duration(run.req.profile.Target)
 	if target == 0 || float64(behind) < lateTurnShare*float64(target) {
--- a/node/answer.go
+++ b/node/answer.go
@@ -91,7 +91,7 @@
 	switch {
 	case a.plain:
 	case a.outside:
-		tellOutside(h, a.report)
+		writePublicReport(h, a.report)
 	default:
 		a.report.Inject(h)
 	}
--- a/node/attempt.go
+++ b/node/attempt.go
@@ -90,7 +90,7 @@
 		Trailer:       req.trailer,
 	}
 	if length == 0 && usuallyWithoutBody(req.method) {
-		out.TransferEncoding = identity
+		out.TransferEncoding = identityEncoding
 	}
 	if _, ok := out.Header["User-Agent"]; !ok {
 		// Without this entry net/http sends its own User-Agent.
@@ -197,8 +197,8 @@
 	return n.runLocal(ctx, &local)
 }
 
-// feedbackOf returns the feedback that routing gets from an answer.
-func feedbackOf(a *answer, service string, latency time.Duration) routing.Feedback {
+// routingFeedback returns the feedback that routing gets from an answer.
+func routingFeedback(a *answer, service string, latency time.Duration) routing.Feedback {
 	return routing.Feedback{
 		Outcome: a.report.Outcome,
 		Reason:  a.report.Reason,
--- a/node/behind.go
+++ b/node/behind.go
@@ -39,9 +39,9 @@
 	reported uint64
 }
 
-// behindLooks is the number of consecutive checks at which a version counts as
+// checksUntilBehind is the number of consecutive checks at which a version counts as
 // missing. Until then it may still be on its way.
-const behindLooks = 3
+const checksUntilBehind = 3
 
 // reportBehind logs, once for each version, that other nodes know a version that is
 // not in force here.
@@ -56,7 +56,7 @@
 	}
 	seen.looks++
 	newest, _ := n.config.Newest(n.now())
-	if seen.looks < behindLooks || newest == seen.reported {
+	if seen.looks < checksUntilBehind || newest == seen.reported {
 		return
 	}
 	seen.reported = newest
--- a/node/budget.go
+++ b/node/budget.go
@@ -9,12 +9,12 @@
 	"pollengauge.dev/retry"
 )
 
-// smallestRatio replaces a ratio of 0, which retry.Budget takes for "use the default".
-const smallestRatio = 1e-9
+// zeroRatioSubstitute replaces a ratio of 0, which retry.Budget takes for "use the default".
+const zeroRatioSubstitute = 1e-9
 
 // newBudget returns the bound on this node's retries.
 func (n *Node) newBudget(ratio float64) *retry.Budget {
-	c := retry.BudgetConfig{Ratio: max(ratio, smallestRatio), Start: n.started}
+	c := retry.BudgetConfig{Ratio: max(ratio, zeroRatioSubstitute), Start: n.started}
 	if n.settings.Ablate.NoBudget {
 		c.Ratio = 1
 		c.Burst = math.MaxInt32
@@ -58,7 +58,7 @@
 // makes it is one.
 const inheritedRetry = "inherited"
 
-// payFirst accounts for the first attempt of a call, and returns a refusal if the
+// payFirstAttempt accounts for the first attempt of a call, and returns a refusal if the
 // attempt can't be paid. A call made by a visit that is a retry earns nothing and is
 // paid for as a retry.
 //
@@ -66,7 +66,7 @@
 // each repeated visit makes its own calls again. If these counted as first calls, they
 // would earn retries for the downstream services, which would then get more than the
 // ratio allows.
-func (n *Node) payFirst(req *request) *answer {
+func (n *Node) payFirstAttempt(req *request) *answer {
 	retries := n.retriesOf(req.service)
 	if !n.spoken() || !req.call.Repeat || n.settings.Ablate.RepeatsEarn {
 		retries.bound.OnFirst(n.now())
--- a/node/coalesce.go
+++ b/node/coalesce.go
@@ -9,21 +9,21 @@
 
 // coalescer runs a task soon after a run is requested, and once for many requests.
 type coalescer struct {
-	asked chan struct{}
+	requested chan struct{}
 	// pause is the least time between two runs.
 	pause time.Duration
 	task  func()
 }
 
 func newCoalescer(pause time.Duration, task func()) *coalescer {
-	return &coalescer{asked: make(chan struct{}, 1), pause: pause, task: task}
+	return &coalescer{requested: make(chan struct{}, 1), pause: pause, task: task}
 }
 
 // ask requests a run and returns at once. The run sees everything that was written
 // before the request.
 func (c *coalescer) ask() {
 	select {
-	case c.asked <- struct{}{}:
+	case c.requested <- struct{}{}:
 	default:
 	}
 }
@@ -34,7 +34,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.asked:
+		case <-c.requested:
 		}
 		c.task()
 		if !objects.Pause(ctx, c.pause) {
--- a/node/conn.go
+++ b/node/conn.go
@@ -74,4 +74,4 @@
 type SealedError struct{}
 
 // Error implements error.
-func (*SealedError) Error() string { return "connection sealed: its request was already reported as not sent" }
+func (*SealedError) Error() string { return "connection sealed: its request was reported as not sent" }
--- a/node/content.go
+++ b/node/content.go
@@ -20,21 +20,21 @@
 	}
 	for _, part := range [...]string{
 		req.method, req.call.Host, path, req.url.RawQuery, req.call.Origin,
-		req.header.Get("Authorization"), req.header.Get("Cookie"), callerNamed(req),
+		req.header.Get("Authorization"), req.header.Get("Cookie"), callerHeaderValue(req),
 	} {
 		_, _ = digest.WriteString(part)
-		_, _ = digest.Write(partEnd[:])
+		_, _ = digest.Write(partSeparator[:])
 	}
 	_, _ = digest.Write(req.body.head)
 	return quarantine.Fingerprint(digest.Sum64())
 }
 
-// partEnd separates the parts in the hash, so that moving bytes from one part to the
+// partSeparator separates the parts in the hash, so that moving bytes from one part to the
 // next changes the fingerprint.
-var partEnd [1]byte
+var partSeparator [1]byte
 
-// callerNamed returns the value of the profile's caller header.
-func callerNamed(req *request) string {
+// callerHeaderValue returns the value of the profile's caller header.
+func callerHeaderValue(req *request) string {
 	if req.profile == nil || req.profile.CallerHeader == "" {
 		return ""
 	}
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -12,8 +12,8 @@
 	"pollengauge.dev/routing"
 )
 
-// dispatching is the state of one dispatch across all its attempts.
-type dispatching struct {
+// dispatchState is the state of one dispatch across all its attempts.
+type dispatchState struct {
 	node   *Node
 	req    *request
 	credit *retry.Credit
@@ -41,8 +41,8 @@
 	if refused != nil {
 		return refused
 	}
-	d := &dispatching{node: n, req: req, credit: credit}
-	if unpaid := n.payFirst(req); unpaid != nil {
+	d := &dispatchState{node: n, req: req, credit: credit}
+	if unpaid := n.payFirstAttempt(req); unpaid != nil {
 		return unpaid
 	}
 	if trial {
@@ -50,19 +50,19 @@
 	}
 	for attempt := 1; ; attempt++ {
 		if refused := n.keyTakenAway(req); refused != nil {
-			return d.judge(refused)
+			return d.finalAnswer(refused)
 		}
 		a := d.attempt(ctx, attempt)
-		if a.target == "" || !d.again(ctx, a) {
-			return d.judge(a)
+		if a.target == "" || !d.payForRetry(ctx, a) {
+			return d.finalAnswer(a)
 		}
-		d.put(a)
+		d.keepOrClose(a)
 	}
 }
 
 // attempt makes one attempt. The returned answer has no target if there was no member
 // to try.
-func (d *dispatching) attempt(ctx context.Context, attempt int) *answer {
+func (d *dispatchState) attempt(ctx context.Context, attempt int) *answer {
 	n := d.node
 	begin := n.now()
 	picked, err := n.router.Place(routing.Call{
@@ -87,9 +87,9 @@
 	req.span = d.req.span.child()
 	a := n.attempt(ctx, target, &req, lent)
 	took := n.now().Sub(start)
-	picked.Done(feedbackOf(a, d.req.service, took), n.now())
+	picked.Done(routingFeedback(a, d.req.service, took), n.now())
 	if a.reported || a.report.Outcome != call.Unknown {
-		d.takeBack(lent, a.report.CreditLeft)
+		d.returnCredit(lent, a.report.CreditLeft)
 	}
 	d.worst = max(d.worst, a.report.Worst)
 	d.ends = max(d.ends, a.report.Ends)
@@ -104,7 +104,7 @@
 }
 
 // lend takes from the credit the part that is sent downstream with one attempt.
-func (d *dispatching) lend() int {
+func (d *dispatchState) lend() int {
 	if d.node.settings.Ablate.CopiedCredit {
 		return d.credit.Available()
 	}
@@ -115,18 +115,18 @@
 	return d.credit.Lend()
 }
 
-// takeBack returns to the credit the part of the lent credit that the answer reports
+// returnCredit returns to the credit the part of the lent credit that the answer reports
 // as unspent.
-func (d *dispatching) takeBack(lent, left int) {
+func (d *dispatchState) returnCredit(lent, left int) {
 	if d.node.settings.Ablate.CopiedCredit {
 		return
 	}
 	d.credit.Return(lent, left)
 }
 
-// again reports whether another attempt follows a, and charges that attempt to the
+// payForRetry reports whether another attempt follows a, and charges that attempt to the
 // retry budget.
-func (d *dispatching) again(ctx context.Context, a *answer) bool {
+func (d *dispatchState) payForRetry(ctx context.Context, a *answer) bool {
 	if a.report.Outcome == call.Complete && a.report.Reason != call.ReasonUpstreamFailed {
 		return false
 	}
@@ -166,9 +166,9 @@
 	return verdict.Retry
 }
 
-// put stores the first error response that is followed by another attempt, and closes
+// keepOrClose stores the first error response that is followed by another attempt, and closes
 // all other answers.
-func (d *dispatching) put(a *answer) {
+func (d *dispatchState) keepOrClose(a *answer) {
 	if a.report.Outcome == call.Complete && d.failed == nil {
 		d.failed = a
 		return
@@ -176,10 +176,10 @@
 	a.close()
 }
 
-// judge gives the final answer the outcome of the whole dispatch. An upstream's error
+// finalAnswer gives the final answer the outcome of the whole dispatch. An upstream's error
 // response takes precedence over the refusal of a later attempt: the call has run, and
 // its caller gets the only response that there is.
-func (d *dispatching) judge(a *answer) *answer {
+func (d *dispatchState) finalAnswer(a *answer) *answer {
 	if d.failed != nil {
 		if a.report.Outcome != call.Complete {
 			a.close()
--- a/node/edge.go
+++ b/node/edge.go
@@ -20,8 +20,8 @@
 	}
 	n.active.Add(1)
 	defer n.active.Add(-1)
-	if run := turnOf(r); run != nil {
-		n.serveBegun(w, r, run)
+	if run := takeEarlyRun(r); run != nil {
+		n.serveEarlyRun(w, r, run)
 		return
 	}
 	n.noteForged(r)
@@ -44,7 +44,7 @@
 // answerRoot runs a root request and returns its answer.
 func (n *Node) answerRoot(ctx context.Context, req *request) *answer {
 	start := n.now()
-	n.noteRepeat(req)
+	n.noteCallerRetry(req)
 	a := n.runRoot(ctx, req)
 	n.finishRefusal(a, req)
 	n.recordRoot(req, a, start)
--- a/node/headers.go
+++ b/node/headers.go
@@ -51,12 +51,12 @@
 	}
 }
 
-// insideHeaders are exchanged only between nodes.
-var insideHeaders = []string{call.HeaderWorst, call.HeaderCreditLeft, call.HeaderLoad, call.HeaderPressure, call.HeaderWork}
+// nodeOnlyHeaders are exchanged only between nodes.
+var nodeOnlyHeaders = []string{call.HeaderWorst, call.HeaderCreditLeft, call.HeaderLoad, call.HeaderPressure, call.HeaderWork}
 
-// tellOutside writes the part of a report that callers may see.
-func tellOutside(h http.Header, r call.Report) {
-	for _, name := range insideHeaders {
+// writePublicReport writes the part of a report that callers may see.
+func writePublicReport(h http.Header, r call.Report) {
+	for _, name := range nodeOnlyHeaders {
 		delete(h, name)
 	}
 	h.Set(call.HeaderOutcome, r.Outcome.String())
--- a/node/listeners.go
+++ b/node/listeners.go
@@ -116,7 +116,7 @@
 	}
 	listener := limitListener(n.listeners[name], conns)
 	if n.forCallers(name) {
-		listener = n.readAhead(listener)
+		listener = n.pipelined(listener)
 		server.ConnContext = withConn
 	}
 	n.servers = append(n.servers, server)
--- a/node/outbound.go
+++ b/node/outbound.go
@@ -35,14 +35,14 @@
 	}
 	v, ok := n.visits.find(id)
 	if !ok || !v.begin(n.now()) {
-		n.serveLate(w, r, service)
+		n.serveClosedVisit(w, r, service)
 		return
 	}
 	n.serveChild(w, r, service, v)
 }
 
-// serveLate handles an outbound call for a visit that has ended.
-func (n *Node) serveLate(w http.ResponseWriter, r *http.Request, service string) {
+// serveClosedVisit handles an outbound call for a visit that has ended.
+func (n *Node) serveClosedVisit(w http.ResponseWriter, r *http.Request, service string) {
 	if n.settings.Ablate.NoClosedVisit {
 		n.serveOrphan(w, r, service)
 		return
--- a/node/refusal.go
+++ b/node/refusal.go
@@ -100,7 +100,7 @@
 		a.refusal.after = max(a.refusal.after, n.retryAfter(a, req))
 	}
 	if n.spoken() {
-		n.speakRefusal(a, req)
+		n.writeDialectRefusal(a, req)
 		return
 	}
 	setRetryAfter(a.header, a.refusal.after)
@@ -124,8 +124,8 @@
 	a.body = memoryBody(append(body, '\n'))
 }
 
-// speakRefusal replaces a refusal by the dialect's form of it.
-func (n *Node) speakRefusal(a *answer, req *request) {
+// writeDialectRefusal replaces a refusal by the dialect's form of it.
+func (n *Node) writeDialectRefusal(a *answer, req *request) {
 	a.close()
 	a.body, a.resp, a.trailer = nil, nil, nil
 	a.header = http.Header{}
@@ -142,8 +142,8 @@
 	if after <= 0 {
 		return
 	}
-	r := randoms.Get().(*rand.Rand)
-	defer randoms.Put(r)
+	r := randPool.Get().(*rand.Rand)
+	defer randPool.Put(r)
 	h.Set("Retry-After", strconv.Itoa(retry.WholeSeconds(after, r)))
 	h.Set(call.HeaderRetryAfterMs, strconv.FormatInt(after.Milliseconds(), 10))
 }
@@ -162,45 +162,45 @@
 	return min(time.Duration(ms)*time.Millisecond, maxRetryAfter)
 }
 
-// randoms pools random sources for jitter, which are not safe for concurrent use.
-var randoms = sync.Pool{New: func() any { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }}
+// randPool pools random sources for jitter, which are not safe for concurrent use.
+var randPool = sync.Pool{New: func() any { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }}
 
 // retryAfter returns a random delay that spreads the retries of refused callers. It
 // grows with the share of requests that are refused.
 func (n *Node) retryAfter(a *answer, req *request) time.Duration {
-	r := randoms.Get().(*rand.Rand)
-	defer randoms.Put(r)
-	base, limit := afterBounds(req)
+	r := randPool.Get().(*rand.Rand)
+	defer randPool.Put(r)
+	base, limit := retryAfterBounds(req)
 	return retry.After(retry.AfterInput{
 		Base:         base,
 		Max:          limit,
 		Level:        req.call.Level,
 		InForce:      a.report.Worst,
 		RefusedShare: n.refusedShare(req.call.Level.Priority()),
-		Recovery:     preference(req),
+		Recovery:     profilePreference(req),
 	}, r)
 }
 
 // Fractions of a profile's target that bound the Retry-After of a refusal.
 const (
-	afterBaseShare = 0.15
-	afterMaxShare  = 0.6
+	retryAfterBaseShare = 0.15
+	retryAfterMaxShare  = 0.6
 )
 
-// afterBounds returns bounds that keep the Retry-After so short that the answer to the
+// retryAfterBounds returns bounds that keep the Retry-After so short that the answer to the
 // next try can still arrive within the profile's target, when it is worth most to the
 // caller. Without a target it returns zeros, which stand for the defaults.
-func afterBounds(req *request) (base, limit time.Duration) {
+func retryAfterBounds(req *request) (base, limit time.Duration) {
 	if req.profile == nil || req.profile.Target == 0 {
 		return 0, 0
 	}
 	target := float64(req.profile.Target)
-	return time.Duration(afterBaseShare * target), time.Duration(afterMaxShare * target)
+	return time.Duration(retryAfterBaseShare * target), time.Duration(retryAfterMaxShare * target)
 }
 
-// preference returns what the request's profile prefers. It is 0 (goodput) for a call
+// profilePreference returns what the request's profile prefers. It is 0 (goodput) for a call
 // that was refused before it had a profile, such as a call for a closed visit.
-func preference(req *request) float64 {
+func profilePreference(req *request) float64 {
 	if req.profile == nil {
 		return 0
 	}
--- a/node/root_request.go
+++ b/node/root_request.go
@@ -92,9 +92,9 @@
 // callerRetry is the metric label of a retry that a caller made.
 const callerRetry = "caller"
 
-// noteRepeat recognizes a caller's own retry by its idempotency key or its request id,
+// noteCallerRetry recognizes a caller's own retry by its idempotency key or its request id,
 // and gives it no retry credit: the first request already received the credit.
-func (n *Node) noteRepeat(req *request) {
+func (n *Node) noteCallerRetry(req *request) {
 	id := req.key
 	if id == "" && req.named {
 		id = req.call.RequestID
--- a/node/routed.go
+++ b/node/routed.go
@@ -18,8 +18,8 @@
 	n.active.Add(1)
 	defer n.active.Add(-1)
 	n.retireConn(w.Header(), r)
-	if run := turnOf(r); run != nil {
-		n.serveBegun(w, r, run)
+	if run := takeEarlyRun(r); run != nil {
+		n.serveEarlyRun(w, r, run)
 		return
 	}
 	req, refused := n.routedRequest(w, r)
@@ -95,7 +95,7 @@
 // routedRequest reads a request and finds its route, or returns the refusal.
 func (n *Node) routedRequest(w http.ResponseWriter, r *http.Request) (*request, *answer) {
 	if n.closed.Load() {
-		return nil, n.refuse(call.NotRun, call.ReasonDraining, endRetry)
+		return nil, n.refuse(call.NotRun, call.ReasonDraining, shutdownRetry)
 	}
 	if !n.config.Status().Heard {
 		// Without a configuration a node can't know whether a route exists.
@@ -114,7 +114,7 @@
 	if service == "" {
 		// The route exists, so its callers may retry; operators have not yet named a
 		// service for it.
-		return nil, n.refuse(call.NotRun, call.ReasonNoTarget, unservedRetry)
+		return nil, n.refuse(call.NotRun, call.ReasonNoTarget, noServiceRetry)
 	}
 	profile := current.Profile(route.Profile)
 	whose, stranger := n.identify(told.Key, profile, current)
@@ -149,7 +149,7 @@
 	}
 	req.whose = whose
 	req.call.Customer = whose.name()
-	req.call.Level = drawLevel(current.PriorityFor(whose.customer, profile), rand.Uint64())
+	req.call.Level = randomLevel(current.PriorityFor(whose.customer, profile), rand.Uint64())
 	req.span = n.startSpan(r.Header)
 	return req, nil
 }
@@ -174,10 +174,10 @@
 // nodes receive it from each other within a few messages.
 const behindRetry = 250 * time.Millisecond
 
-// drawLevel gives a request a random rank among those of its priority. With a dialect,
+// randomLevel gives a request a random rank among those of its priority. With a dialect,
 // callers can't be told apart: those on one VM share its address. Ranked by address
 // they would all fall into a few levels, and levels can only be refused as a whole.
-func drawLevel(priority call.Priority, random uint64) call.Level {
+func randomLevel(priority call.Priority, random uint64) call.Level {
 	return call.MakeLevel(priority, call.Tiebreak(random%(uint64(call.MaxTiebreak)+1)))
 }
 
@@ -185,13 +185,13 @@
 // receives one within a round trip to the platform or a peer.
 const noConfigRetry = 250 * time.Millisecond
 
-// unservedRetry is the least Retry-After of a route that names no service: an operator
+// noServiceRetry is the least Retry-After of a route that names no service: an operator
 // has to change the configuration first.
-const unservedRetry = time.Second
+const noServiceRetry = time.Second
 
-// endRetry is the least Retry-After of a node that shuts down: by then its callers use
+// shutdownRetry is the least Retry-After of a node that shuts down: by then its callers use
 // another node.
-const endRetry = 50 * time.Millisecond
+const shutdownRetry = 50 * time.Millisecond
 
 // hostOf returns the host of a Host header in lower case, without the port.
 func hostOf(host string) string {
@@ -228,16 +228,16 @@
 	return ""
 }
 
-// maxHeldAnswer is the longest answer, in bytes, that the node beside the upstream
+// maxBufferedAnswer is the longest answer, in bytes, that the node beside the upstream
 // buffers completely before it sends the head on. A longer one is streamed.
-const maxHeldAnswer = 128 << 10
+const maxBufferedAnswer = 128 << 10
 
 // heldBody reads an answer of the upstream to its end before its head is sent on. If
 // the upstream fails midway, the caller waits for another attempt at most and never
 // gets half an answer, and a slow caller doesn't occupy the upstream's slot. heldBody
 // reports false for an answer that is too long or has no length.
 func heldBody(resp *http.Response) ([]byte, bool, error) {
-	if resp.ContentLength < 0 || resp.ContentLength > maxHeldAnswer {
+	if resp.ContentLength < 0 || resp.ContentLength > maxBufferedAnswer {
 		return nil, false, nil
 	}
 	body := make([]byte, resp.ContentLength)
--- a/node/target.go
+++ b/node/target.go
@@ -21,7 +21,7 @@
 	}
 	current := n.config.Current()
 	profile := current.Match(service, r.Method, r.URL.Path)
-	for _, reading := range readings(r.URL) {
+	for _, reading := range pathInterpretations(r.URL) {
 		if current.Match(service, r.Method, reading) != profile {
 			return nil, &PathError{Path: r.URL.EscapedPath()}
 		}
@@ -42,17 +42,17 @@
 	return nil
 }
 
-// readings returns how servers may interpret a path other than decoded and cleaned,
+// pathInterpretations returns how servers may interpret a path other than decoded and cleaned,
 // which Match does itself. The list is empty for most paths, since they have only one
 // interpretation.
-func readings(u *url.URL) []string {
+func pathInterpretations(u *url.URL) []string {
 	path := u.Path
 	if u.RawPath == "" && !strings.ContainsAny(path, `%\;`) && !strings.Contains(path, "//") && !strings.Contains(path, "/.") {
 		return nil
 	}
 	list := []string{
-		asWritten(path),
-		asWritten(segmentsDecoded(u.EscapedPath())),
+		pathUnresolved(path),
+		pathUnresolved(segmentsDecoded(u.EscapedPath())),
 		withoutParameters(path),
 		strings.ReplaceAll(path, `\`, "/"),
 	}
@@ -62,9 +62,9 @@
 	return list
 }
 
-// asWritten returns the path as interpreted by a server that resolves neither dot
+// pathUnresolved returns the path as interpreted by a server that resolves neither dot
 // segments nor doubled slashes: they become ordinary segments.
-func asWritten(path string) string {
+func pathUnresolved(path string) string {
 	segments := strings.Split(path, "/")
 	for i, segment := range segments {
 		if i > 0 && (segment == "" && i < len(segments)-1 || segment == "." || segment == "..") {
--- a/node/transport.go
+++ b/node/transport.go
@@ -56,10 +56,10 @@
 // and sends it in one packet with the header.
 func memoryBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
 
-// identity is the transfer encoding of a body that is sent unchanged. On a request
+// identityEncoding is the transfer encoding of a body that is sent unchanged. On a request
 // whose method usually has no body it prevents the transport from starting a goroutine
 // that checks whether an empty body is empty. It adds nothing to the bytes sent.
-var identity = []string{"identity"}
+var identityEncoding = []string{"identity"}
 
 // usuallyWithoutBody reports whether method is one whose empty body the transport
 // checks in a goroutine. An empty body of any other method is announced as chunked.
@@ -72,36 +72,36 @@
 	}
 }
 
-// sent records how far a round trip got.
-type sent struct {
-	// got is set once the request has a connection. If that connection can't be
+// sendState records how far a round trip got.
+type sendState struct {
+	// gotConnection is set once the request has a connection. If that connection can't be
 	// sealed, conn is nil, and whether the request was sent is unknown.
-	got   bool
-	conn  *sealConn
-	trace httptrace.ClientTrace
+	gotConnection bool
+	conn          *sealConn
+	trace         httptrace.ClientTrace
 }
 
-func newSent() *sent {
-	s := &sent{}
+func newSendState() *sendState {
+	s := &sendState{}
 	s.trace.GotConn = s.gotConn
 	return s
 }
 
-func (s *sent) gotConn(info httptrace.GotConnInfo) {
-	s.got = true
-	conn, ok := unwrap(info.Conn)
+func (s *sendState) gotConn(info httptrace.GotConnInfo) {
+	s.gotConnection = true
+	conn, ok := unwrapSealConn(info.Conn)
 	s.conn = conn
 	if ok {
 		conn.arm()
 	}
 }
 
-func unwrap(conn net.Conn) (*sealConn, bool) {
+func unwrapSealConn(conn net.Conn) (*sealConn, bool) {
 	switch c := conn.(type) {
 	case *sealConn:
 		return c, true
 	case interface{ NetConn() net.Conn }:
-		return unwrap(c.NetConn())
+		return unwrapSealConn(c.NetConn())
 	default:
 		return nil, false
 	}
@@ -109,7 +109,7 @@
 
 // provedUnsent reports whether the request never left this process: it got no
 // connection, or its connection was sealed before the first byte.
-func (s *sent) provedUnsent() bool { return !s.got || (s.conn != nil && s.conn.seal()) }
+func (s *sendState) provedUnsent() bool { return !s.gotConnection || (s.conn != nil && s.conn.seal()) }
 
 // roundTrip sends req once. On an error, unsent reports whether the request was
 // provably not sent.
@@ -118,7 +118,7 @@
 		req.Body = memoryBody(nil)
 	}
 	req.GetBody = nil
-	s := newSent()
+	s := newSendState()
 	resp, err = transport.RoundTrip(req.WithContext(httptrace.WithClientTrace(ctx, &s.trace)))
 	if err != nil {
 		return nil, s.provedUnsent(), err
