--- a/node/ahead.go
+++ b/node/ahead.go
@@ -184,11 +184,11 @@
 
 // logLateTurn logs a request that was queued for long behind others on its connection.
 func (n *Node) logLateTurn(run *earlyRun, turn time.Time) {
-	behind := turn.Sub(run.begun)
+	waited := turn.Sub(run.begun)
 	target := time.Duration(run.req.profile.Target)
-	if target == 0 || float64(behind) < lateTurnShare*float64(target) {
+	if target == 0 || float64(waited) < lateTurnShare*float64(target) {
 		return
 	}
 	n.log.Emit(observe.TurnAwaited, observe.Str("request", call.KeptID(run.req.call.RequestID)),
-		observe.Dur("behind", behind), observe.Dur("took", n.now().Sub(run.begun)))
+		observe.Dur("behind", waited), observe.Dur("took", n.now().Sub(run.begun)))
 }
--- a/node/ahead_test.go
+++ b/node/ahead_test.go
@@ -20,9 +20,9 @@
 // workTime is how long the upstreams of these tests work on a request.
 const workTime = 300 * time.Millisecond
 
-// sendBehind pipelines requests to paths, with ids r0, r1 and so on, and returns the
+// sendPipelined pipelines requests to paths, with ids r0, r1 and so on, and returns the
 // connection.
-func (f *fleet) sendBehind(n *Node, paths ...string) net.Conn {
+func (f *fleet) sendPipelined(n *Node, paths ...string) net.Conn {
 	conn := f.stranger(n, OutboundListener)
 	for i, path := range paths {
 		_, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: desk.example\r\nX-Id: r"+strconv.Itoa(i)+"\r\n\r\n")
@@ -46,7 +46,7 @@
 // Served one after another, the last took five times as long as one search and was
 // late, although upstreams had free capacity. The searches have to run concurrently,
 // and their answers must arrive in the order of the requests.
-func TestRequestsBehindOneAnotherRunSideBySide(t *testing.T) {
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
 			id := r.Header.Get("X-Id")
@@ -57,7 +57,7 @@
 		})
 		f.settle()
 		began := time.Now()
-		conn := f.sendBehind(n, "/browse/a", "/browse/b", "/browse/c", "/browse/d", "/browse/e")
+		conn := f.sendPipelined(n, "/browse/a", "/browse/b", "/browse/c", "/browse/d", "/browse/e")
 		defer conn.Close()
 		f.expectInOrder(bufio.NewReader(conn), 5)
 		took := time.Since(began)
@@ -69,7 +69,7 @@
 // Guards against discarding the run of a request that was started early because the
 // node has since removed headers from it: its customer key, and headers that callers
 // forge.
-func TestRequestsBehindOneAnotherRunOnceWhateverTheirHeaders(t *testing.T) {
+func TestPipelinedRequestsRunOnceWhateverTheirHeaders(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var runs atomic.Int64
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
@@ -108,7 +108,7 @@
 			echo(w, r, call)
 		})
 		f.settle()
-		conn := f.sendBehind(n, "/browse/a", "/browse/b", "/file/c", "/browse/d", "/browse/e")
+		conn := f.sendPipelined(n, "/browse/a", "/browse/b", "/file/c", "/browse/d", "/browse/e")
 		defer conn.Close()
 		began := time.Now()
 		f.expectInOrder(bufio.NewReader(conn), 5)
@@ -119,7 +119,7 @@
 
 // A caller leaves while several of its pipelined searches run. All of them have to
 // stop. The node used to notice the end of the connection only for the first one.
-func TestCallersThatLeaveStopAllThatTheyBegan(t *testing.T) {
+func TestCallersThatLeaveStopAllPipelinedRequests(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var stopped, ended sync.WaitGroup
 		stopped.Add(4)
@@ -130,7 +130,7 @@
 			ended.Done()
 		})
 		f.settle()
-		conn := f.sendBehind(n, "/browse/a", "/browse/b", "/browse/c", "/browse/d")
+		conn := f.sendPipelined(n, "/browse/a", "/browse/b", "/browse/c", "/browse/d")
 		stopped.Wait()
 		began := time.Now()
 		_ = conn.Close()
@@ -145,14 +145,14 @@
 // A node starts to shut down while pipelined searches run. If it closed the connection
 // with the first answer, the others would be lost although their work is done. The
 // last of them has to close the connection.
-func TestEndAnswersWhatWasBegunBehind(t *testing.T) {
+func TestShutdownAnswersPipelinedRequests(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
 			time.Sleep(workTime)
 			echo(w, r, call)
 		})
 		f.settle()
-		conn := f.sendBehind(n, "/browse/a", "/browse/b", "/browse/c")
+		conn := f.sendPipelined(n, "/browse/a", "/browse/b", "/browse/c")
 		defer conn.Close()
 		time.Sleep(workTime / 2)
 		n.ending.Store(true)
@@ -171,7 +171,7 @@
 
 // More requests are pipelined than a connection may start early. The rest are started
 // as the first are answered, and none is lost.
-func TestMoreRequestsThanBeginEarlyAreAllAnswered(t *testing.T) {
+func TestPipelinedRequestsAboveTheEarlyLimitAreAnswered(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 100, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
 			time.Sleep(workTime)
@@ -182,7 +182,7 @@
 		for i := range paths {
 			paths[i] = "/browse/x"
 		}
-		conn := f.sendBehind(n, paths...)
+		conn := f.sendPipelined(n, paths...)
 		defer conn.Close()
 		f.expectInOrder(bufio.NewReader(conn), len(paths))
 		_, err := io.WriteString(conn, "GET /browse/x HTTP/1.1\r\nHost: desk.example\r\nX-Id: r0\r\n\r\n")
@@ -195,14 +195,14 @@
 // limit on heads, so that the node refuses it. Its run has to be released: counted as
 // in flight for ever, it kept the node from shutting down before the end of its grace
 // period.
-func TestRefusedTurnsLetGoOfTheirRun(t *testing.T) {
+func TestRefusedPipelinedRequestsReleaseTheirRun(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
 			time.Sleep(workTime)
 			echo(w, r, call)
 		})
 		f.settle()
-		conn := f.sendBehind(n, "/browse/a")
+		conn := f.sendPipelined(n, "/browse/a")
 		defer conn.Close()
 		_, err := io.WriteString(conn, "GET /browse/b HTTP/1.1\r\nHost: desk.example\r\nX-Id: r1\r\nX-Long: "+strings.Repeat("x", 2*config.MinHeaderBytes)+"\r\n\r\n")
 		f.c.Assert(err, qt.IsNil)
--- a/node/answers_test.go
+++ b/node/answers_test.go
@@ -13,7 +13,7 @@
 // A caller uses the header Idempotency-Key, which has a meaning in the project's own
 // interface, for its own purpose. With a dialect it is a header like any other. The
 // next node used to refuse such a request because the value was no valid key.
-func TestKeysOfCallersAreOnlyHeaders(t *testing.T) {
+func TestIdempotencyKeyIsAnOrdinaryHeaderWithADialect(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
 		var seen string
@@ -35,7 +35,7 @@
 // Some answers have a valid but unusual form: several interim answers first, no length
 // but the end of the connection, a trailer, empty chunks. Each has to reach the caller
 // complete.
-func TestProperFormsOfAnswersReachTheCaller(t *testing.T) {
+func TestUnusualFormsOfAnswersReachTheCaller(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nX-Echo: one\r\n"
 	for name, answer := range map[string]string{
 		"interim":        strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", 12) + head + "Content-Length: 4\r\n\r\nbody",
--- a/node/attempt.go
+++ b/node/attempt.go
@@ -65,7 +65,7 @@
 
 // outgoing builds the parts of a request that all attempts share. Its header map has
 // capacity for that many more headers.
-func outgoing(addr string, req *request, room int) *http.Request {
+func outgoing(addr string, req *request, extraHeaders int) *http.Request {
 	body, length := req.body.open()
 	if len(req.trailer) > 0 {
 		length = -1 // trailers need a chunked body
@@ -84,7 +84,7 @@
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
 		ProtoMinor:    1,
-		Header:        copyHeader(req.header, room),
+		Header:        copyHeader(req.header, extraHeaders),
 		Body:          body,
 		ContentLength: length,
 		Trailer:       req.trailer,
--- a/node/behind_test.go
+++ b/node/behind_test.go
@@ -36,7 +36,7 @@
 // Operators store a version that the nodes which watch the platform refuse. The other
 // nodes used to learn nothing of it, so their metrics and logs showed them as up to
 // date. Each node must log once that it lacks the version.
-func TestEveryNodeTellsOfAVersionThatItLacks(t *testing.T) {
+func TestEveryNodeLogsAVersionThatItLacks(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		watching, _ := f.addLogged("watching", "desk", echo)
 		hearing, log := f.addLogged("hearing", "desk", echo, withoutPlatform)
@@ -57,7 +57,7 @@
 // A request's route is looked up in one version, and the next version, which has the
 // route, comes into force before the request is refused. Compared with the version
 // then in force, the node would seem up to date and its answer final.
-func TestVersionThatComesMeanwhileIsLater(t *testing.T) {
+func TestVersionInForceSinceTheLookupIsLater(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("vm", "desk", 10, echo)
 		lookedUp := n.ConfigVersion()
--- a/node/carry_test.go
+++ b/node/carry_test.go
@@ -51,7 +51,7 @@
 // Each hop receives the time left until the root's deadline, reduced by what the
 // earlier hops have used. A call that outlives the deadline ends as unknown, not as
 // complete.
-func TestDeadlineShrinksOnTheWayDown(t *testing.T) {
+func TestDeadlineShrinksAtEachHop(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		left := make(chan time.Duration, 1)
 		below := make(chan string, 1)
--- a/node/content_test.go
+++ b/node/content_test.go
@@ -24,7 +24,7 @@
 
 // Guards against equal fingerprints of different requests, and against different
 // fingerprints of one request that comes again.
-func TestFingerprintIsThatOfTheContent(t *testing.T) {
+func TestFingerprintCoversTheContent(t *testing.T) {
 	c := qt.New(t)
 	first := contentFingerprint(contentRequest())
 	again := contentRequest()
--- a/node/decoders_test.go
+++ b/node/decoders_test.go
@@ -39,8 +39,8 @@
 	f.Add(uint8(2), "\xfc\xff\xff\xff\xff")
 	f.Fuzz(func(t *testing.T, which uint8, text string) {
 		inFleet(t, func(f *fleet) {
-			told := &events{}
-			n := f.add("front", "portal", 4, answerOK, logged(f.c, told), func(s *Settings) { s.GossipInterval = time.Minute })
+			emitted := &events{}
+			n := f.add("front", "portal", 4, answerOK, logged(f.c, emitted), func(s *Settings) { s.GossipInterval = time.Minute })
 			conn := f.stranger(n, otherListeners[int(which)%len(otherListeners)])
 			defer conn.Close()
 			go func() { _, _ = io.WriteString(conn, text) }()
@@ -48,7 +48,7 @@
 			_, err := io.ReadAll(conn)
 			f.c.Check(err == nil || !strings.Contains(err.Error(), "timeout"), qt.IsTrue, qt.Commentf("still open: %v", err))
 			synctest.Wait()
-			f.c.Check(told.has("panic-recovered") || strings.Contains(told.text.String(), "panic"), qt.IsFalse, qt.Commentf("%s", told.text.String()))
+			f.c.Check(emitted.has("panic-recovered") || strings.Contains(emitted.text.String(), "panic"), qt.IsFalse, qt.Commentf("%s", emitted.text.String()))
 			f.c.Check(n.gate.InFlight(), qt.Equals, 0)
 			if !n.draining.Load() && !strings.Contains(text, "announce") {
 				f.c.Check(f.ask(n, http.MethodGet, "/x").outcome, qt.Equals, "complete")
@@ -77,8 +77,8 @@
 	f.Add(false, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: A\r\n\r\n0\r\nA: b\r\nPollengauge-Outcome: unknown\r\n\r\n")
 	f.Fuzz(func(t *testing.T, reset bool, text string) {
 		inFleet(t, func(f *fleet) {
-			told := &events{}
-			n := f.add("front", "portal", 4, answerOK, logged(f.c, told), func(s *Settings) { s.GossipInterval = time.Minute })
+			emitted := &events{}
+			n := f.add("front", "portal", 4, answerOK, logged(f.c, emitted), func(s *Settings) { s.GossipInterval = time.Minute })
 			f.rawUpstream(n, "portal", text, reset)
 			got := f.ask(n, http.MethodGet, "/x")
 			if got.err == nil {
@@ -89,7 +89,7 @@
 				}
 			}
 			synctest.Wait()
-			f.c.Check(told.has("panic-recovered") || strings.Contains(told.text.String(), "panic"), qt.IsFalse)
+			f.c.Check(emitted.has("panic-recovered") || strings.Contains(emitted.text.String(), "panic"), qt.IsFalse)
 			f.c.Check(n.gate.InFlight(), qt.Equals, 0)
 			time.Sleep(time.Second)
 		})
@@ -183,10 +183,10 @@
 	f.Add(uint64(1<<63), 1<<40, 1<<62, int64(1<<63-1), true, 1000, "Trailer", "Connection", "Trailer", true)
 	f.Fuzz(func(t *testing.T, attempt uint64, seq, total int, expires int64, done bool, status int, name, value, trailer string, held bool) {
 		inFleet(t, func(f *fleet) {
-			told := &events{}
+			emitted := &events{}
 			f.apply(filingProfiles)
 			a := f.add("a", "filing", 4, answerOK)
-			b := f.add("b", "filing", 4, answerOK, logged(f.c, told))
+			b := f.add("b", "filing", 4, answerOK, logged(f.c, emitted))
 			f.settle()
 			from, to := atmostonce.Incarnation(a.id), atmostonce.Incarnation(b.id)
 			entry := atmostonce.EntryRecord{Key: f.mintAt(a), Home: from, ExpiresUnixNano: expires, Done: done}
@@ -203,7 +203,7 @@
 			}
 			got := f.file(b, entry.Key)
 			synctest.Wait()
-			f.c.Check(told.has("panic-recovered") || strings.Contains(told.text.String(), "panic"), qt.IsFalse, qt.Commentf("%s", told.text.String()))
+			f.c.Check(emitted.has("panic-recovered") || strings.Contains(emitted.text.String(), "panic"), qt.IsFalse, qt.Commentf("%s", emitted.text.String()))
 			if got.err == nil {
 				_, parsed := call.ParseOutcome(got.outcome)
 				f.c.Check(parsed, qt.IsNil, qt.Commentf("%d %v", got.status, got.header))
--- a/node/headers.go
+++ b/node/headers.go
@@ -18,8 +18,8 @@
 // copyHeader returns a copy of h without hop-by-hop headers, with capacity for the
 // headers that the node adds. The copy shares the value slices: values are replaced,
 // never modified.
-func copyHeader(h http.Header, room int) http.Header {
-	out := make(http.Header, len(h)+room)
+func copyHeader(h http.Header, extra int) http.Header {
+	out := make(http.Header, len(h)+extra)
 	for name, values := range h {
 		out[name] = slices.Clip(values)
 	}
--- a/node/headrequests_test.go
+++ b/node/headrequests_test.go
@@ -10,7 +10,7 @@
 
 // The answer to a HEAD request states the length of a body that doesn't follow. The
 // node used to wait for that body and then treat the answer as truncated.
-func TestAnswersToHeadRequestsAreWhole(t *testing.T) {
+func TestAnswersToHeadRequestsAreComplete(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
 		desk := f.addRouted("desk", "desk", 10, func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
--- a/node/hostile_test.go
+++ b/node/hostile_test.go
@@ -48,18 +48,18 @@
 }
 
 // refused checks a refusal by its status, its outcome and the logged event.
-func (f *fleet) refused(resp *http.Response, status int, told *events, event string, what string) {
+func (f *fleet) refused(resp *http.Response, status int, emitted *events, event string, what string) {
 	f.c.Assert(resp, qt.IsNotNil, qt.Commentf(what))
 	f.c.Check(resp.StatusCode, qt.Equals, status, qt.Commentf(what))
 	f.c.Check(resp.Header.Get(call.HeaderOutcome), qt.Equals, "not-run", qt.Commentf(what))
-	f.c.Check(told.has(event), qt.IsTrue, qt.Commentf("%s: event %s", what, event))
+	f.c.Check(emitted.has(event), qt.IsTrue, qt.Commentf("%s: event %s", what, event))
 }
 
 // twoHops starts a portal and a filing service, and returns the portal's node.
-func twoHops(f *fleet, below handler, adjust ...func(*Settings)) (front *Node) {
+func twoHops(f *fleet, filing handler, adjust ...func(*Settings)) (front *Node) {
 	f.apply(filingProfiles)
 	front = f.add("front", "portal", 10, answerOK, adjust...)
-	f.add("deep", "filing", 10, below, adjust...)
+	f.add("deep", "filing", 10, filing, adjust...)
 	f.settle()
 	return front
 }
@@ -69,13 +69,13 @@
 // and named in Connection so that a hop might drop the genuine one. An upstream does
 // the same in its answer. No forged value may be forwarded, trusted, or displace a
 // genuine one.
-func TestForgedNamesReachNobody(t *testing.T) {
+func TestForgedHeadersAreNotForwarded(t *testing.T) {
 	forged := []string{"Pollengauge-Level", "Pollengauge-Credit", "Pollengauge-Visit", "Pollengauge-Home", "Pollengauge-Outcome",
 		"Pollengauge-Request", "Pollengauge-Depth", "Pollengauge-Progress", "Pollengauge_Visit", "POLLENGAUGE_level", "Pollengauge-Worst-Level",
 		"Pollengauge-Credit-Left", "Pollengauge-Stale", "Pollengauge-Reason", "Pollengauge-Of-Later"}
 	inFleet(t, func(f *fleet) {
 		var seen http.Header
-		told := &events{}
+		emitted := &events{}
 		n := f.add("front", "portal", 10, func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			seen = r.Header.Clone()
@@ -86,7 +86,7 @@
 			}
 			w.Header().Set("Pollengauge-Outcome", "complete")
 			w.Header().Set("Connection", "Pollengauge-Outcome, Pollengauge-Credit-Left")
-		}, logged(f.c, told))
+		}, logged(f.c, emitted))
 		f.settle()
 		var fields []string
 		for _, name := range forged {
@@ -110,7 +110,7 @@
 			f.c.Check(seen.Get(call.HeaderVisit), qt.Not(qt.Equals), "")
 			f.c.Check(seen.Get(call.HeaderProfile), qt.Equals, "default-write")
 		}
-		f.c.Check(told.has("forged-headers"), qt.IsTrue)
+		f.c.Check(emitted.has("forged-headers"), qt.IsTrue)
 	})
 }
 
@@ -119,10 +119,10 @@
 // logged.
 func TestHeadsAndStallsAreBounded(t *testing.T) {
 	inFleet(t, func(f *fleet) {
-		told := &events{}
-		n := twoHops(f, answerOK, logged(f.c, told), func(s *Settings) { s.BodyTimeout = 2 * time.Second })
-		f.refused(f.raw(n, "edge", head("GET /x", "X-Operation: o", "A: "+strings.Repeat("a", 32<<10))), 431, told, "too-large", "bytes")
-		f.refused(f.raw(n, "edge", head("GET /x", "X-Operation: o"+strings.Repeat("\r\nA: b", 200))), 431, told, "too-large", "fields")
+		emitted := &events{}
+		n := twoHops(f, answerOK, logged(f.c, emitted), func(s *Settings) { s.BodyTimeout = 2 * time.Second })
+		f.refused(f.raw(n, "edge", head("GET /x", "X-Operation: o", "A: "+strings.Repeat("a", 32<<10))), 431, emitted, "too-large", "bytes")
+		f.refused(f.raw(n, "edge", head("GET /x", "X-Operation: o"+strings.Repeat("\r\nA: b", 200))), 431, emitted, "too-large", "fields")
 		resp := f.raw(n, "edge", head("GET /x", "X-Operation: o", "A: "+strings.Repeat("a", 1<<20)))
 		f.c.Check(resp == nil || resp.StatusCode == 431, qt.IsTrue)
 		for what, text := range map[string]string{"head": "GET /x HTTP/1.1\r\nHost: x\r\nA", "body": head("POST /x", "X-Operation: o", "Content-Length: 5") + "ab"} {
@@ -130,7 +130,7 @@
 			resp := f.raw(n, "edge", text)
 			f.c.Check(time.Since(start) <= readHeaderTimeout, qt.IsTrue)
 			if what == "body" {
-				f.refused(resp, 400, told, "bad-request", what)
+				f.refused(resp, 400, emitted, "bad-request", what)
 			}
 		}
 		f.c.Check(f.runs.of("portal", "o"), qt.Equals, 0)
@@ -201,8 +201,8 @@
 // Connections over the limit wait and are logged; those that close free capacity.
 func TestConnectionsAndAdminBodiesAreBounded(t *testing.T) {
 	inFleet(t, func(f *fleet) {
-		told := &events{}
-		n := f.add("front", "portal", 10, answerOK, logged(f.c, told), func(s *Settings) { s.EdgeConns, s.PeerInbound = 2, 2 })
+		emitted := &events{}
+		n := f.add("front", "portal", 10, answerOK, logged(f.c, emitted), func(s *Settings) { s.EdgeConns, s.PeerInbound = 2, 2 })
 		f.settle()
 		for _, listener := range []Listener{EdgeListener, PeerListener, AdminListener} {
 			var open []net.Conn
@@ -211,7 +211,7 @@
 				open = append(open, f.stranger(n, listener))
 			}
 			time.Sleep(time.Second)
-			f.c.Check(told.has("too-many-connections"), qt.IsTrue)
+			f.c.Check(emitted.has("too-many-connections"), qt.IsTrue)
 			start := time.Now()
 			f.c.Check(f.raw(n, listener, head("GET /healthz")), qt.IsNotNil)
 			f.c.Check(time.Since(start) > time.Second, qt.IsTrue, qt.Commentf(string(listener)))
@@ -221,7 +221,7 @@
 		}
 		resp := f.raw(n, "admin", head("POST /v1/announce", "Content-Length: 1000000")+`{"service":"`+strings.Repeat("x", 100_000))
 		f.c.Check(resp.StatusCode, qt.Equals, http.StatusRequestEntityTooLarge)
-		f.c.Check(told.has("too-large"), qt.IsTrue)
+		f.c.Check(emitted.has("too-large"), qt.IsTrue)
 		f.settle() // net/http waits before it closes refused connections
 	})
 }
@@ -278,15 +278,15 @@
 func TestPathTricks(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(filingProfiles)
-		told := &events{}
+		emitted := &events{}
 		var uri, profile string
 		n := f.add("front", "portal", 10, func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
 			uri, profile = r.RequestURI, r.Header.Get(call.HeaderProfile)
-		}, logged(f.c, told))
+		}, logged(f.c, emitted))
 		f.settle()
 		for _, path := range []string{"//file", "/./file", "/%2e/file", "/x/../file", "/x/%2e%2e/file", "/x%2f..%2ffile", "/file%2fx", "/file;a=b", `/\file`,
 			`/x/..%5cfile`, "/file/../x", "/file/%2e%2e/x", "/x/%252e%252e/file", "/file%252fx", "/x/..;/file"} {
-			f.refused(f.raw(n, "edge", head("POST "+path)), 400, told, "bad-request", path)
+			f.refused(f.raw(n, "edge", head("POST "+path)), 400, emitted, "bad-request", path)
 		}
 		for path, want := range map[string]string{"/file": "filing", "/file/1": "filing", "/f%69le/a%2Fb": "filing", "/file/a//b/./c": "filing",
 			"/FILE": "default", "/filex": "default", "/x//y/../z": "default", "/x;a=b/%C3%A1%2F%20": "default", "/file?a=/../x": "filing"} {
@@ -302,10 +302,10 @@
 // sends context headers that are missing, malformed or out of range, a home header
 // that would let a call for another service pass, and a hand-over of keys. Nothing may
 // run, and no key may be accepted.
-func TestPeerListenerTakesOnlyWholeContexts(t *testing.T) {
+func TestPeerListenerAcceptsOnlyCompleteContexts(t *testing.T) {
 	inFleet(t, func(f *fleet) {
-		told := &events{}
-		n := f.add("front", "portal", 10, answerOK, logged(f.c, told))
+		emitted := &events{}
+		n := f.add("front", "portal", 10, answerOK, logged(f.c, emitted))
 		f.settle()
 		good := map[string]string{call.HeaderRequest: "r1", call.HeaderProfile: "default", call.HeaderLevel: "128",
 			call.HeaderTimeout: "1000", call.HeaderCredit: "1", call.HeaderDepth: "1", "Host": "portal", "X-Operation": "op"}
@@ -325,7 +325,7 @@
 			"Host": {"filing", "portal.example"},
 		} {
 			for _, value := range values {
-				f.refused(send(name, value), 400, told, "bad-request", name+": "+value)
+				f.refused(send(name, value), 400, emitted, "bad-request", name+": "+value)
 			}
 		}
 		// With a key, the node can't know whether an earlier call ran.
@@ -338,7 +338,7 @@
 		client := rpc.NewClient(conn)
 		chunk := atmostonce.Chunk{From: atmostonce.Incarnation(membership.NewID()), To: atmostonce.Incarnation(n.ID()), Attempt: 1, Total: 1}
 		f.c.Check(client.Call("HandOver.Stage", chunk, &HandoverReply{}), qt.ErrorMatches, ".*no known member.*")
-		f.c.Check(told.has("peer-refused"), qt.IsTrue)
+		f.c.Check(emitted.has("peer-refused"), qt.IsTrue)
 		start := time.Now()
 		_, err := conn.Read(make([]byte, 1))
 		f.c.Check(err, qt.IsNotNil)
@@ -349,7 +349,7 @@
 // A gossip member impersonates another one: it announces the same incarnation with its
 // own address and a later sequence number. Calls must continue to reach the genuine
 // member, and none may reach the impostor.
-func TestRoutingIgnoresALiar(t *testing.T) {
+func TestRoutingIgnoresAnImpostor(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.add("front", "portal", 10, relayFiling)
 		deep := f.add("deep", "filing", 10, answerOK)
--- a/node/path_test.go
+++ b/node/path_test.go
@@ -21,7 +21,7 @@
 
 // A caller's request passes client -> node -> upstream -> node -> node -> upstream,
 // and the complete answer comes back with its outcome.
-func TestWholePath(t *testing.T) {
+func TestCompletePath(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.add("front", "portal", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
 			resp, err := call("registry", http.MethodGet, "/lookup")
--- a/node/retries_test.go
+++ b/node/retries_test.go
@@ -113,7 +113,7 @@
 
 // addLink adds a node whose upstream makes its calls one after another and fails when
 // one of them fails.
-func (c *chain) addLink(name, service, below string, calls int, adjust []func(*Settings)) *Node {
+func (c *chain) addLink(name, service, downstream string, calls int, adjust []func(*Settings)) *Node {
 	var n *Node
 	host := c.net.Host(name)
 	out := &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -131,7 +131,7 @@
 		}
 		for range calls {
 			time.Sleep(5 * time.Millisecond)
-			if !callBelow(r.Context(), out, below, c.childID(id, repeat)) {
+			if !callDownstream(r.Context(), out, downstream, c.childID(id, repeat)) {
 				w.WriteHeader(http.StatusInternalServerError)
 				return
 			}
@@ -148,8 +148,8 @@
 	return n
 }
 
-// callBelow makes one call and reports whether it succeeded.
-func callBelow(ctx context.Context, out *http.Transport, host, id string) bool {
+// callDownstream makes one call and reports whether it succeeded.
+func callDownstream(ctx context.Context, out *http.Transport, host, id string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+host+"/x", nil)
 	if err != nil {
 		return false
@@ -185,7 +185,7 @@
 // both kinds of repeats together must stay within the ratio that operators set for the
 // whole fleet. Otherwise the last service would get that ratio of repeats once for
 // each hop above it.
-func TestRepeatsStayTheirShareAtEveryDepth(t *testing.T) {
+func TestRetriesStayWithinTheRatioAtEveryDepth(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		c := newChain(f, 2)
 		c.lost, c.refused = 0.5, 0.3
@@ -215,7 +215,7 @@
 // and one in thirty of the requests with four such calls was served. A call refused
 // for another reason than load is as likely to be accepted by the next server as by
 // any.
-func TestRefusalsWithFreeSlotsAreRepeated(t *testing.T) {
+func TestRefusalsWithFreeSlotsAreRetried(t *testing.T) {
 	c := qt.New(t)
 	none := serveRefused(t, 3, 4, 0.55, func(s *Settings) { s.RetryRatio = 0 })
 	first := serveRefused(t, 3, 4, 0.55, func(s *Settings) { s.Ablate.NoRation = true })
@@ -229,7 +229,7 @@
 // node makes few of the calls. One call in five is refused, and one in five may be
 // repeated, so most requests with eight calls must be served. Without repeats it was
 // one in six.
-func TestRefusalsOfALongerChainAreMended(t *testing.T) {
+func TestRefusalsOfALongerChainAreRetried(t *testing.T) {
 	c := qt.New(t)
 	none := serveRefused(t, 8, 8, 0.2, func(s *Settings) { s.RetryRatio = 0 })
 	chosen := serveRefused(t, 8, 8, 0.2, func(*Settings) {})
--- a/node/routed.go
+++ b/node/routed.go
@@ -82,8 +82,8 @@
 // request has not run.
 func (n *Node) writeRefused(w http.ResponseWriter, a *answer, r *http.Request) {
 	id := ""
-	if told, err := n.settings.Dialect.ReadCaller(r.Header); err == nil {
-		id = told.ID
+	if stated, err := n.settings.Dialect.ReadCaller(r.Header); err == nil {
+		id = stated.ID
 	}
 	req := &request{call: call.Context{RequestID: id}}
 	n.finishRefusal(a, req)
@@ -101,7 +101,7 @@
 		// Without a configuration a node can't know whether a route exists.
 		return nil, n.refuse(call.NotRun, call.ReasonNoConfig, noConfigRetry)
 	}
-	told, err := n.settings.Dialect.ReadCaller(r.Header)
+	stated, err := n.settings.Dialect.ReadCaller(r.Header)
 	if err != nil {
 		return nil, n.refuse(call.NotRun, n.noteBad(err), 0)
 	}
@@ -117,16 +117,16 @@
 		return nil, n.refuse(call.NotRun, call.ReasonNoTarget, noServiceRetry)
 	}
 	profile := current.Profile(route.Profile)
-	whose, stranger := n.identify(told.Key, profile, current)
-	if parent := n.settings.Dialect.ParentOf(told.ID); parent != "" && !told.Key.Sent() && stranger != call.ReasonNone {
+	whose, unidentified := n.identify(stated.Key, profile, current)
+	if parent := n.settings.Dialect.ParentOf(stated.ID); parent != "" && !stated.Key.Sent() && unidentified != call.ReasonNone {
 		// Calls carry no customer key: the request that they are made for did.
 		if _, made := n.visits.find(parent); !made {
 			return nil, n.refuse(call.NotRun, call.ReasonVisitClosed, 0)
 		}
-		whose, stranger = ownership{}, call.ReasonNone
+		whose, unidentified = ownership{}, call.ReasonNone
 	}
-	if stranger != call.ReasonNone {
-		return nil, n.refuseStranger(told.ID, stranger)
+	if unidentified != call.ReasonNone {
+		return nil, n.refuseStranger(stated.ID, unidentified)
 	}
 	req, err := n.readRequest(w, r, service, profile)
 	if err != nil {
@@ -135,12 +135,12 @@
 	n.strip(req.header)
 	req.idempotent = !profile.Unrepeatable
 	timeout := time.Duration(profile.Deadline)
-	if told.Timeout > 0 {
-		timeout = min(timeout, told.Timeout)
+	if stated.Timeout > 0 {
+		timeout = min(timeout, stated.Timeout)
 	}
 	req.deadline = n.now().Add(timeout)
 	req.call = call.Context{
-		RequestID: told.ID,
+		RequestID: stated.ID,
 		Profile:   profile.Name,
 		Timeout:   timeout,
 		Credit:    profile.Credit,
--- a/node/routed_bench_test.go
+++ b/node/routed_bench_test.go
@@ -25,7 +25,7 @@
 		benchRequests(b, front.Addr(OutboundListener), "desk")
 	})
 	b.Run("dialect", func(b *testing.B) {
-		front := benchNodes(b, upstream, speaking)
+		front := benchNodes(b, upstream, usePlainDialect)
 		benchRequests(b, front.Addr(OutboundListener), "desk.example")
 	})
 	b.Run("dialect with log", func(b *testing.B) {
@@ -36,14 +36,14 @@
 			b.Fatal(err)
 		}
 		front := benchNodes(b, upstream, func(s *Settings) {
-			speaking(s)
+			usePlainDialect(s)
 			s.Log = log
 		})
 		benchRequests(b, front.Addr(OutboundListener), "desk.example")
 	})
 }
 
-func speaking(s *Settings) { s.Edge, s.Dialect = "", plainDialect{} }
+func usePlainDialect(s *Settings) { s.Edge, s.Dialect = "", plainDialect{} }
 
 func benchUpstream(b *testing.B) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/node/routed_test.go
+++ b/node/routed_test.go
@@ -19,7 +19,7 @@
 // A node gets SIGTERM while its upstream continues to announce itself. If the
 // announcements cancelled the drain, the other nodes would continue to send work here,
 // and that work would be lost when the grace period ends.
-func TestAnnouncementsDoNotCancelTheEnd(t *testing.T) {
+func TestAnnouncementsDoNotCancelTheDrain(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		slow := func(w http.ResponseWriter, r *http.Request, c func(string, string, string) (*http.Response, error)) {
 			time.Sleep(300 * time.Millisecond)
@@ -50,7 +50,7 @@
 // Callers on a VM poll their node once a second and so learn that it shuts down.
 // Requests that they send before that must be served, and every accepted request must
 // be answered.
-func TestEndServesCallersThatHaveNotHeard(t *testing.T) {
+func TestDrainServesCallersUntilTheyNotice(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		leaving := f.addRouted("leaving", "front", 10, echo)
 		f.addRouted("staying", "desk", 100, echo)
@@ -85,7 +85,7 @@
 // Operators set the last weight of a route above 0 to 0, and the platform accepts
 // that. Callers learn that nothing ran and when to retry. A draw among no shares must
 // neither panic nor pick a service with weight 0.
-func TestRouteWithoutASharePicksNobody(t *testing.T) {
+func TestRouteWithoutWeightPicksNoService(t *testing.T) {
 	c := qt.New(t)
 	c.Check(pickShare(nil, 7), qt.Equals, "")
 	c.Check(pickShare([]config.Share{{Service: "a"}, {Service: "b"}}, 7), qt.Equals, "")
@@ -94,7 +94,7 @@
 // An announcement of an incarnation that has crashed arrives after that of its
 // successor. If it were taken for the current one, each call would name an incarnation
 // that no longer exists, and would be refused.
-func TestLateAnnouncementsAreLeftOut(t *testing.T) {
+func TestLateAnnouncementsAreIgnored(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("vm", "desk", 10, echo)
 		a := n.upstream.Load().Announcement
@@ -214,7 +214,7 @@
 // A zone's only node of a service is restarted while its upstream keeps running. A few
 // seconds later it must receive its zone's requests again. Otherwise the other zones
 // carry all of them while the next node restarts.
-func TestRestartedNodeHasItsZoneAgainSoon(t *testing.T) {
+func TestRestartedNodeSoonServesItsZoneAgain(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		zone := func(name string) func(*Settings) { return func(s *Settings) { s.Zone = name } }
 		front := f.addRouted("front", "front", 10, echo, zone("zone-a"))
@@ -285,7 +285,7 @@
 // Operators name a route by a path with escaped bytes, and its callers send the same
 // bytes. If the decoded path were compared, no route would match, and callers would be
 // told so as a final answer.
-func TestPathsAreComparedAsTheyCame(t *testing.T) {
+func TestPathsAreComparedAsReceived(t *testing.T) {
 	c := qt.New(t)
 	for _, path := range []string{"/a%20b/x", "/a%2Fb/x", "/a+b/x", "/a;b/x", "/%C3%A9/x"} {
 		r := httptest.NewRequest(http.MethodGet, "http://desk.example"+path+"?q=1", nil)
--- a/node/slowbodies_test.go
+++ b/node/slowbodies_test.go
@@ -28,7 +28,7 @@
 // to answer, or its caller takes that long to send the body. The node's own timeout
 // for reading a request used to end such a request, because it looked as if the caller
 // had left.
-func TestSlowRequestsHaveTheTimeThatOperatorsGive(t *testing.T) {
+func TestSlowRequestsGetTheTimeThatOperatorsAllow(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
 		desk := f.addRouted("desk", "desk", 10, func(w http.ResponseWriter, r *http.Request, next func(string, string, string) (*http.Response, error)) {
@@ -72,7 +72,7 @@
 // A caller sends half of its body and stalls until the time that operators allow has
 // passed. Nothing ran, and the request itself is valid. Its caller used to be told
 // that the request was bad, and would not have retried.
-func TestStalledBodiesAreNoFaultOfTheRequest(t *testing.T) {
+func TestStalledBodiesAreReportedAsTimeout(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, echo, func(s *Settings) { s.BodyTimeout = time.Second })
 		f.settle()
--- a/node/uploads_test.go
+++ b/node/uploads_test.go
@@ -89,12 +89,12 @@
 		}
 		begun.Wait()
 		time.Sleep(100 * time.Millisecond) // the callers send as much as the node accepts
-		held := heapInUse() - before
+		heapUsed := heapInUse() - before
 		close(goOn)
 		all.Wait()
 		f.c.Check(whole.Load(), qt.Equals, int64(uploads))
-		f.c.Check(held < heapMost, qt.IsTrue, qt.Commentf("%d MB", held>>20))
-		t.Logf("%d MB of heap used for %d MB of bodies", held>>20, uploads*size>>20)
+		f.c.Check(heapUsed < heapMost, qt.IsTrue, qt.Commentf("%d MB", heapUsed>>20))
+		t.Logf("%d MB of heap used for %d MB of bodies", heapUsed>>20, uploads*size>>20)
 	})
 }
 
@@ -108,7 +108,7 @@
 
 // A caller breaks off in the middle of its upload. The upstream must not take the
 // first half for the complete body, and no other upstream may get it.
-func TestHalfAnUploadIsNeverWhole(t *testing.T) {
+func TestTruncatedUploadIsNeverComplete(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var runs, whole atomic.Int64
 		upstream := func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
@@ -135,7 +135,7 @@
 // An upstream fails after it has read a part of an upload. The node no longer has that
 // part, and the upload may have run. If it were sent to the other upstream, it would
 // run twice or arrive without its start.
-func TestUploadsThatWereBegunAreNotReplayed(t *testing.T) {
+func TestPartlyReadUploadsAreNotReplayed(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var runs atomic.Int64
 		upstream := func(_ http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
