--- a/node/errors.go
+++ b/node/errors.go
@@ -115,9 +115,7 @@
 type DepthError struct{ Depth int }
 
 // Error implements error.
-func (e *DepthError) Error() string {
-	return "call depth " + strconv.Itoa(e.Depth) + " reaches the limit"
-}
+func (e *DepthError) Error() string { return "call depth " + strconv.Itoa(e.Depth) + " is too high" }
 
 // MethodError reports that requests with this method are not carried.
 type MethodError struct{ Method string }
