--- a/node/pipelined.go
+++ b/node/pipelined.go
@@ -15,8 +15,8 @@
 
 // maxEarlyRuns bounds the requests of all callers that were started before their turn on
 // the connection and are not answered yet. Each one holds a goroutine, its head and a
-// connection to another node, about 40 KiB in all. The body of its answer stays at the
-// node that it comes from until the turn.
+// connection to another node, about 40 KiB in all. Its answer stays at the node that it
+// comes from until the turn.
 const maxEarlyRuns = 256
 
 // pipelined returns a listener whose connections read ahead and start pipelined
