--- a/node/headrequests_test.go
+++ b/node/headrequests_test.go
@@ -8,10 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A caller asks for a head alone. The answer names the length of a body that
-// doesn't come; the node waited for that body, and took the answer for a broken
-// one.
-func TestAnswersToHeadRequestsAreWhole(t *testing.T) {
+// The answer to a HEAD request states the length of a body that doesn't follow. The
+// node used to wait for that body and then treat the answer as truncated.
+func TestAnswersToHeadRequestsAreComplete(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
 		desk := f.addRouted("desk", "desk", 10, func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
--- a/node/ahead.go
+++ b/node/pipelined.go
@@ -13,25 +13,25 @@
 	"pollengauge.dev/observe"
 )
 
-// maxBegun bounds the requests of all callers that were begun before their turn
-// and not answered yet. Each one holds a goroutine, its head and a connection to
-// another node, some 40 KiB in all; answers stay with the node that they come
-// from until their turn.
-const maxBegun = 256
-
-// readAhead returns a listener whose connections begin requests before their
-// turn.
-func (n *Node) readAhead(l net.Listener) net.Listener {
-	return &aheadListener{Listener: l, begin: n.beginAhead}
+// maxEarlyRuns bounds the requests of all callers that were started before their turn on
+// the connection and are not answered yet. Each one holds a goroutine, its head and a
+// connection to another node, about 40 KiB in all. Its answer stays at the node that it
+// comes from until the turn.
+const maxEarlyRuns = 256
+
+// pipelined returns a listener whose connections read ahead and start pipelined
+// requests before their turn.
+func (n *Node) pipelined(l net.Listener) net.Listener {
+	return &pipelinedListener{Listener: l, begin: n.startEarly}
 }
 
-type aheadListener struct {
+type pipelinedListener struct {
 	net.Listener
 	begin pipelining.Begin
 }
 
 // Accept implements net.Listener.
-func (l *aheadListener) Accept() (net.Conn, error) {
+func (l *pipelinedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -46,25 +46,26 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// connOf returns the connection of a request of a caller, nil for others.
+// connOf returns the connection of a caller's request, nil for other requests.
 func connOf(r *http.Request) *pipelining.Conn {
 	conn, _ := r.Context().Value(connKey{}).(*pipelining.Conn)
 	return conn
 }
 
-// turnOf takes the run of a request that was begun before its turn, nil for others.
-func turnOf(r *http.Request) *begunRun {
+// takeEarlyRun takes from the connection the run of a request that was started before its
+// turn. It returns nil for other requests.
+func takeEarlyRun(r *http.Request) *earlyRun {
 	conn := connOf(r)
 	if conn == nil {
 		return nil
 	}
-	run, _ := conn.Take().(*begunRun)
+	run, _ := conn.Take().(*earlyRun)
 	return run
 }
 
-// begunRun is the run of a request that was begun before its turn. Its time
-// counts from its arrival.
-type begunRun struct {
+// earlyRun is the run of a pipelined request that was started before its turn. Its
+// time counts from its arrival.
+type earlyRun struct {
 	node   *Node
 	req    *request
 	cancel context.CancelFunc
@@ -75,34 +76,36 @@
 	endOnce sync.Once
 }
 
-// beginAhead begins a request that stands behind another one on its connection.
-// It returns nil for one that has to wait for its turn: what may not run twice,
-// what the node would refuse, and a call of the upstream here, whose run keeps
-// its account by the handler.
-func (n *Node) beginAhead(ctx context.Context, r *http.Request) pipelining.Answer {
-	if n.ending.Load() || n.begun.Add(1) > maxBegun {
+// startEarly starts a request that is queued behind an earlier one on its connection.
+// It returns nil for a request that has to wait for its turn: one that must not run
+// twice, one that the node would refuse, and a call of the upstream on this VM, which
+// its handler has to account to its visit.
+func (n *Node) startEarly(ctx context.Context, r *http.Request) pipelining.Answer {
+	if n.ending.Load() || n.begun.Add(1) > maxEarlyRuns {
 		n.begun.Add(-1)
 		return nil
 	}
 	// The connection compares the head that was read here with the one that net/http
-	// reads, and headers are taken out of a request that is passed on.
+	// reads, and forwarding a request removes headers from it. It therefore needs its
+	// own copy.
 	own := *r
 	own.Header = r.Header.Clone()
-	req := n.aheadRequest(&own)
+	req := n.earlyRequest(&own)
 	if req == nil {
 		n.begun.Add(-1)
 		return nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	run := &begunRun{node: n, req: req, cancel: cancel, begun: n.now(), done: make(chan struct{})}
+	run := &earlyRun{node: n, req: req, cancel: cancel, begun: n.now(), done: make(chan struct{})}
 	n.active.Add(1)
 	n.metrics.Begun.Inc(1)
 	go run.run(ctx)
 	return run
 }
 
-// aheadRequest reads a request without a body, nil if it has to wait.
-func (n *Node) aheadRequest(r *http.Request) *request {
+// earlyRequest reads a request without a body. It returns nil if the request has to
+// wait for its turn.
+func (n *Node) earlyRequest(r *http.Request) *request {
 	if n.headLimitOf(EdgeListener).check(r) != nil || n.limitCaller(nil, r) != nil {
 		return nil
 	}
@@ -130,7 +133,7 @@
 	return req
 }
 
-func (run *begunRun) run(ctx context.Context) {
+func (run *earlyRun) run(ctx context.Context) {
 	defer close(run.done)
 	defer func() {
 		if recover() == nil {
@@ -145,8 +148,8 @@
 	run.answer = run.node.answerRoot(ctx, run.req)
 }
 
-// end lets go of the run once its answer is written or not wanted any more.
-func (run *begunRun) end() {
+// end releases the run once its answer has been written or is no longer needed.
+func (run *earlyRun) end() {
 	run.endOnce.Do(func() {
 		run.cancel()
 		run.answer.close()
@@ -156,7 +159,7 @@
 }
 
 // Drop implements pipelining.Answer.
-func (run *begunRun) Drop() {
+func (run *earlyRun) Drop() {
 	run.cancel()
 	go func() {
 		<-run.done
@@ -164,28 +167,28 @@
 	}()
 }
 
-// serveBegun writes the answer of a run whose turn has come.
-func (n *Node) serveBegun(w http.ResponseWriter, r *http.Request, run *begunRun) {
+// serveEarlyRun writes the answer of a run when its turn on the connection has come.
+func (n *Node) serveEarlyRun(w http.ResponseWriter, r *http.Request, run *earlyRun) {
 	turn := n.now()
 	stop := context.AfterFunc(r.Context(), run.cancel)
 	defer stop()
 	<-run.done
 	defer run.end()
-	n.noteTurn(run, turn)
+	n.logLateTurn(run, turn)
 	n.writeRoot(w, run.req, run.answer)
 }
 
-// lateTurnShare is the part of a target from which a wait for the answers before
-// is told: it can make an answer late that was ready in time.
+// lateTurnShare is the fraction of a target from which the wait for earlier answers is
+// logged: it can make an answer late that was ready in time.
 const lateTurnShare = 0.5
 
-// noteTurn tells of a request that stood long behind others on its connection.
-func (n *Node) noteTurn(run *begunRun, turn time.Time) {
-	behind := turn.Sub(run.begun)
+// logLateTurn logs a request that was queued for long behind others on its connection.
+func (n *Node) logLateTurn(run *earlyRun, turn time.Time) {
+	waited := turn.Sub(run.begun)
 	target := time.Duration(run.req.profile.Target)
-	if target == 0 || float64(behind) < lateTurnShare*float64(target) {
+	if target == 0 || float64(waited) < lateTurnShare*float64(target) {
 		return
 	}
 	n.log.Emit(observe.TurnAwaited, observe.Str("request", call.KeptID(run.req.call.RequestID)),
-		observe.Dur("behind", behind), observe.Dur("took", n.now().Sub(run.begun)))
+		observe.Dur("behind", waited), observe.Dur("took", n.now().Sub(run.begun)))
 }
--- a/node/ahead_test.go
+++ b/node/pipelined_test.go
@@ -20,9 +20,9 @@
 // workTime is how long the upstreams of these tests work on a request.
 const workTime = 300 * time.Millisecond
 
-// sendBehind sends requests to paths behind one another, with ids r0, r1 and so
-// on, and returns the connection.
-func (f *fleet) sendBehind(n *Node, paths ...string) net.Conn {
+// sendPipelined pipelines requests to paths, with ids r0, r1 and so on, and returns the
+// connection.
+func (f *fleet) sendPipelined(n *Node, paths ...string) net.Conn {
 	conn := f.stranger(n, OutboundListener)
 	for i, path := range paths {
 		_, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: desk.example\r\nX-Id: r"+strconv.Itoa(i)+"\r\n\r\n")
@@ -42,22 +42,22 @@
 	}
 }
 
-// A caller sends five searches on one connection before the first is answered.
-// Served in turn, the last one took five times the work of one and was late,
-// although upstreams had room for all. They have to run side by side, and their
-// answers to come in the order in which they were asked for.
-func TestRequestsBehindOneAnotherRunSideBySide(t *testing.T) {
+// A caller pipelines five searches on one connection before the first is answered.
+// Served one after another, the last took five times as long as one search and was
+// late, although upstreams had free capacity. The searches have to run concurrently,
+// and their answers must arrive in the order of the requests.
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
 			id := r.Header.Get("X-Id")
 			if id != "r3" {
-				time.Sleep(workTime) // r3 is ready first and has to wait
+				time.Sleep(workTime) // r3 is ready first, and its answer has to wait
 			}
 			echo(w, r, call)
 		})
 		f.settle()
 		began := time.Now()
-		conn := f.sendBehind(n, "/browse/a", "/browse/b", "/browse/c", "/browse/d", "/browse/e")
+		conn := f.sendPipelined(n, "/browse/a", "/browse/b", "/browse/c", "/browse/d", "/browse/e")
 		defer conn.Close()
 		f.expectInOrder(bufio.NewReader(conn), 5)
 		took := time.Since(began)
@@ -66,9 +66,10 @@
 	})
 }
 
-// Guards against runs that are thrown away since the node took headers out of a request
-// that was begun early: its key, and what callers forge.
-func TestRequestsBehindOneAnotherRunOnceWhateverTheirHeaders(t *testing.T) {
+// Guards against discarding the run of a request that was started early because the
+// node has since removed headers from it: its customer key, and headers that callers
+// forge.
+func TestPipelinedRequestsRunOnceWhateverTheirHeaders(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var runs atomic.Int64
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
@@ -90,10 +91,10 @@
 	})
 }
 
-// A filing stands behind two searches and before two others. Begun before its turn,
-// it could run and its caller then find the connection closed before its answer.
-// It has to wait until what stands before it is answered. Searches behind it may
-// run beside it.
+// A filing is queued behind two searches and before two others. If it were started
+// before its turn, it could run and its caller could then find the connection closed
+// before the answer. It has to wait until everything before it is answered. Searches
+// behind it may run concurrently with it.
 func TestUnrepeatableRequestsWaitForTheirTurn(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var before, early atomic.Int64
@@ -107,18 +108,18 @@
 			echo(w, r, call)
 		})
 		f.settle()
-		conn := f.sendBehind(n, "/browse/a", "/browse/b", "/file/c", "/browse/d", "/browse/e")
+		conn := f.sendPipelined(n, "/browse/a", "/browse/b", "/file/c", "/browse/d", "/browse/e")
 		defer conn.Close()
 		began := time.Now()
 		f.expectInOrder(bufio.NewReader(conn), 5)
-		f.c.Check(early.Load(), qt.Equals, int64(0), qt.Commentf("requests before it that still ran"))
-		f.c.Check(time.Since(began) < 3*workTime, qt.IsTrue, qt.Commentf("what stands behind it runs beside it"))
+		f.c.Check(early.Load(), qt.Equals, int64(0), qt.Commentf("requests before the filing that were still running"))
+		f.c.Check(time.Since(began) < 3*workTime, qt.IsTrue, qt.Commentf("requests behind the filing did not run concurrently with it"))
 	})
 }
 
-// A caller leaves while five of its searches run. All of them have to stop:
-// before, the node noticed an end of the connection only for the first one.
-func TestCallersThatLeaveStopAllThatTheyBegan(t *testing.T) {
+// A caller leaves while several of its pipelined searches run. All of them have to
+// stop. The node used to notice the end of the connection only for the first one.
+func TestCallersThatLeaveStopAllPipelinedRequests(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var stopped, ended sync.WaitGroup
 		stopped.Add(4)
@@ -129,7 +130,7 @@
 			ended.Done()
 		})
 		f.settle()
-		conn := f.sendBehind(n, "/browse/a", "/browse/b", "/browse/c", "/browse/d")
+		conn := f.sendPipelined(n, "/browse/a", "/browse/b", "/browse/c", "/browse/d")
 		stopped.Wait()
 		began := time.Now()
 		_ = conn.Close()
@@ -141,17 +142,17 @@
 	})
 }
 
-// A node is told to end while searches that stand behind one another run. Closed
-// with the first answer, the connection would lose the others, whose work is
-// done. The last of them has to be the one that closes it.
-func TestEndAnswersWhatWasBegunBehind(t *testing.T) {
+// A node starts to shut down while pipelined searches run. If it closed the connection
+// with the first answer, the others would be lost although their work is done. The
+// last of them has to close the connection.
+func TestShutdownAnswersPipelinedRequests(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
 			time.Sleep(workTime)
 			echo(w, r, call)
 		})
 		f.settle()
-		conn := f.sendBehind(n, "/browse/a", "/browse/b", "/browse/c")
+		conn := f.sendPipelined(n, "/browse/a", "/browse/b", "/browse/c")
 		defer conn.Close()
 		time.Sleep(workTime / 2)
 		n.ending.Store(true)
@@ -168,9 +169,9 @@
 	})
 }
 
-// More requests stand behind one another than a connection may begin early. The
-// rest is begun as the first are answered, and none is lost.
-func TestMoreRequestsThanBeginEarlyAreAllAnswered(t *testing.T) {
+// More requests are pipelined than a connection may start early. The rest are started
+// as the first are answered, and none is lost.
+func TestPipelinedRequestsAboveTheEarlyLimitAreAnswered(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 100, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
 			time.Sleep(workTime)
@@ -181,7 +182,7 @@
 		for i := range paths {
 			paths[i] = "/browse/x"
 		}
-		conn := f.sendBehind(n, paths...)
+		conn := f.sendPipelined(n, paths...)
 		defer conn.Close()
 		f.expectInOrder(bufio.NewReader(conn), len(paths))
 		_, err := io.WriteString(conn, "GET /browse/x HTTP/1.1\r\nHost: desk.example\r\nX-Id: r0\r\n\r\n")
@@ -190,17 +191,18 @@
 	})
 }
 
-// A search is begun behind another one, and before its turn the operators lower the
-// limit on heads: the node refuses it. Its run has to be let go of; counted as under
-// way for ever, it kept the node from ending before its grace period was over.
-func TestRefusedTurnsLetGoOfTheirRun(t *testing.T) {
+// A search is started early behind another one. Before its turn, operators lower the
+// limit on heads, so that the node refuses it. Its run has to be released: counted as
+// in flight for ever, it kept the node from shutting down before the end of its grace
+// period.
+func TestRefusedPipelinedRequestsReleaseTheirRun(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, call func(string, string, string) (*http.Response, error)) {
 			time.Sleep(workTime)
 			echo(w, r, call)
 		})
 		f.settle()
-		conn := f.sendBehind(n, "/browse/a")
+		conn := f.sendPipelined(n, "/browse/a")
 		defer conn.Close()
 		_, err := io.WriteString(conn, "GET /browse/b HTTP/1.1\r\nHost: desk.example\r\nX-Id: r1\r\nX-Long: "+strings.Repeat("x", 2*config.MinHeaderBytes)+"\r\n\r\n")
 		f.c.Assert(err, qt.IsNil)
@@ -218,8 +220,8 @@
 	})
 }
 
-// A caller posts a change and sends a read behind it. Run beside each other, the
-// read could miss the change that its caller made first.
+// A caller posts a change and pipelines a read behind it. If both ran concurrently,
+// the read could miss the change that its caller made first.
 func TestReadsBehindAChangeWaitForIt(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var changed, early atomic.Bool
--- a/node/routed_bench_test.go
+++ b/node/routed_bench_test.go
@@ -13,10 +13,10 @@
 	"pollengauge.dev/observe"
 )
 
-// BenchmarkCall sends one request at a time on loopback to an upstream that
-// does nothing: without nodes, through two nodes by the project's own
-// interface, and through two that speak a dialect, without and with their log.
-// The differences are what both hops cost, and what the dialect and the log add.
+// BenchmarkCall sends one request at a time on loopback to an upstream that does no
+// work: without nodes, through two nodes with the project's own interface, and through
+// two nodes with a dialect, without and with their log. The differences are the costs
+// of both hops, of the dialect and of the log.
 func BenchmarkCall(b *testing.B) {
 	upstream := benchUpstream(b)
 	b.Run("direct", func(b *testing.B) { benchRequests(b, upstream, "desk.example") })
@@ -25,7 +25,7 @@
 		benchRequests(b, front.Addr(OutboundListener), "desk")
 	})
 	b.Run("dialect", func(b *testing.B) {
-		front := benchNodes(b, upstream, speaking)
+		front := benchNodes(b, upstream, usePlainDialect)
 		benchRequests(b, front.Addr(OutboundListener), "desk.example")
 	})
 	b.Run("dialect with log", func(b *testing.B) {
@@ -36,14 +36,14 @@
 			b.Fatal(err)
 		}
 		front := benchNodes(b, upstream, func(s *Settings) {
-			speaking(s)
+			usePlainDialect(s)
 			s.Log = log
 		})
 		benchRequests(b, front.Addr(OutboundListener), "desk.example")
 	})
 }
 
-func speaking(s *Settings) { s.Edge, s.Dialect = "", plainDialect{} }
+func usePlainDialect(s *Settings) { s.Edge, s.Dialect = "", plainDialect{} }
 
 func benchUpstream(b *testing.B) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,8 +59,8 @@
 	return listener.Addr().String()
 }
 
-// benchNodes starts a node of the service "front" and one of "desk", and
-// returns the first once it knows the second.
+// benchNodes starts a node of the service "front" and one of "desk", and returns the
+// first as soon as it knows the second.
 func benchNodes(b *testing.B, upstream string, adjust func(*Settings)) *Node {
 	set, err := config.Parse([]byte(routedSet), config.YAML)
 	if err != nil {
--- a/node/slowbodies_test.go
+++ b/node/slowbodies_test.go
@@ -24,10 +24,11 @@
   - {name: slow, host: desk.example, pathPrefix: /slow/, profile: slow, shares: [{service: desk, weight: 1}]}
 `
 
-// Operators allow a request minutes. Its upstream takes one; or its caller
-// takes one to send the body. The node's own time for reading a request ended
-// it meanwhile, the caller being taken for gone.
-func TestSlowRequestsHaveTheTimeThatOperatorsGive(t *testing.T) {
+// Operators allow a request several minutes. Its upstream takes more than one minute
+// to answer, or its caller takes that long to send the body. The node's own timeout
+// for reading a request used to end such a request, because it looked as if the caller
+// had left.
+func TestSlowRequestsGetTheTimeThatOperatorsAllow(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
 		desk := f.addRouted("desk", "desk", 10, func(w http.ResponseWriter, r *http.Request, next func(string, string, string) (*http.Response, error)) {
@@ -68,10 +69,10 @@
 	})
 }
 
-// A caller sends half of its body and stalls until the time that operators give
-// has passed. Nothing was run, and nothing is wrong with the request: its caller
-// was told that it is bad, and would not have come back.
-func TestStalledBodiesAreNoFaultOfTheRequest(t *testing.T) {
+// A caller sends half of its body and stalls until the time that operators allow has
+// passed. Nothing ran, and the request itself is valid. Its caller used to be told
+// that the request was bad, and would not have retried.
+func TestStalledBodiesAreReportedAsTimeout(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, echo, func(s *Settings) { s.BodyTimeout = time.Second })
 		f.settle()
--- a/node/target.go
+++ b/node/target.go
@@ -8,20 +8,20 @@
 	"pollengauge.dev/config"
 )
 
-// profileFor checks the target of a request and returns its profile.
+// profileFor validates the target of a request and returns its profile.
 //
-// The failure: the profile is chosen by one reading of a path and the upstream
-// serves another, as with /browse/..%2ffilings or //filings. A filing then
-// runs under a profile that allows a second run, or browsing goes before
-// filings. A path is refused if another customary reading of it would choose
-// another profile; where all agree it is passed on as it came.
+// An upstream may interpret a path differently than the node that chose the profile,
+// as with /browse/..%2ffilings or //filings. A filing would then run under a profile
+// that allows a second run, or browsing would be ranked before filings. A path is
+// therefore refused if another common interpretation would choose another profile. A
+// path for which all agree is forwarded as received.
 func (n *Node) profileFor(service string, r *http.Request) (*config.Profile, error) {
 	if err := checkTarget(r); err != nil {
 		return nil, err
 	}
 	current := n.config.Current()
 	profile := current.Match(service, r.Method, r.URL.Path)
-	for _, reading := range readings(r.URL) {
+	for _, reading := range pathInterpretations(r.URL) {
 		if current.Match(service, r.Method, reading) != profile {
 			return nil, &PathError{Path: r.URL.EscapedPath()}
 		}
@@ -29,11 +29,11 @@
 	return profile, nil
 }
 
-// checkTarget refuses what can't be carried as a call.
+// checkTarget refuses methods and request targets that can't be carried as a call.
 func checkTarget(r *http.Request) error {
 	switch r.Method {
 	case http.MethodConnect, http.MethodTrace:
-		// TRACE would show the context headers to the caller.
+		// TRACE would return the context headers to the caller.
 		return &MethodError{Method: r.Method}
 	}
 	if r.URL.Opaque != "" || (r.URL.Path != "" && r.URL.Path[0] != '/') {
@@ -42,17 +42,17 @@
 	return nil
 }
 
-// readings lists how servers may read a path otherwise than decoded and
-// cleaned, which Match does itself. Most paths have nothing to read
-// differently, and the list is empty.
-func readings(u *url.URL) []string {
+// pathInterpretations returns how servers may interpret a path other than decoded and cleaned,
+// which Match does itself. The list is empty for most paths, since they have only one
+// interpretation.
+func pathInterpretations(u *url.URL) []string {
 	path := u.Path
 	if u.RawPath == "" && !strings.ContainsAny(path, `%\;`) && !strings.Contains(path, "//") && !strings.Contains(path, "/.") {
 		return nil
 	}
 	list := []string{
-		asWritten(path),
-		asWritten(segmentsDecoded(u.EscapedPath())),
+		pathUnresolved(path),
+		pathUnresolved(segmentsDecoded(u.EscapedPath())),
 		withoutParameters(path),
 		strings.ReplaceAll(path, `\`, "/"),
 	}
@@ -62,9 +62,9 @@
 	return list
 }
 
-// asWritten is a path for a server that resolves neither dots nor doubled
-// slashes: they become segments like any other.
-func asWritten(path string) string {
+// pathUnresolved returns the path as interpreted by a server that resolves neither dot
+// segments nor doubled slashes: they become ordinary segments.
+func pathUnresolved(path string) string {
 	segments := strings.Split(path, "/")
 	for i, segment := range segments {
 		if i > 0 && (segment == "" && i < len(segments)-1 || segment == "." || segment == "..") {
@@ -74,8 +74,8 @@
 	return strings.Join(segments, "/")
 }
 
-// segmentsDecoded is a path for a server that splits it before it decodes the
-// segments: an encoded slash does not divide.
+// segmentsDecoded returns the path as interpreted by a server that splits it before it
+// decodes the segments: an encoded slash doesn't separate segments.
 func segmentsDecoded(escaped string) string {
 	segments := strings.Split(escaped, "/")
 	for i, segment := range segments {
@@ -88,8 +88,8 @@
 	return strings.Join(segments, "/")
 }
 
-// withoutParameters drops ";name=value" from each segment, as servers with
-// path parameters do before they look for a handler.
+// withoutParameters removes ";name=value" from each segment, as servers with path
+// parameters do before they look up a handler.
 func withoutParameters(path string) string {
 	segments := strings.Split(path, "/")
 	for i, segment := range segments {
