--- a/atmostonce/answer.go
+++ b/atmostonce/answer.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Answer is a whole answer of an upstream, as it is kept for later
-// presentations of the key. Body is shared and must not be changed.
+// Answer is the complete HTTP response of an upstream, stored for later
+// presentations of the key. Body is shared and must not be modified.
 type Answer struct {
 	Status  int
 	Header  http.Header
 	Body    []byte
 	Trailer http.Header
-	// At is when the answer was complete.
+	// At is when the response was complete.
 	At time.Time
 }
 
 const headerOverhead = 32
 
-// size estimates the memory that a holds, in bytes.
+// size estimates the memory use of a in bytes.
 func (a *Answer) size() int64 {
 	if a == nil {
 		return 0
@@ -37,7 +37,8 @@
 	return n
 }
 
-// clone copies what a reader might change. The body is shared.
+// clone copies the headers and trailers, which a caller may modify. The body is
+// shared.
 func (a *Answer) clone() Answer {
 	c := *a
 	c.Header = a.Header.Clone()
--- a/atmostonce/bench_test.go
+++ b/atmostonce/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkRun is one call with a new key: Begin, Dispatched, Done.
+// BenchmarkRun measures one call with a new key: Begin, Dispatched and Done.
 func BenchmarkRun(b *testing.B) {
 	table, _ := testNode(1, func(cfg *Config) { cfg.MaxEntries = b.N + 1 })
 	keys := make([]string, b.N)
@@ -32,7 +32,8 @@
 	runtime.KeepAlive(table)
 }
 
-// BenchmarkReplay is a second presentation, from all processors at once.
+// BenchmarkReplay measures second presentations of a key, from all processors
+// in parallel.
 func BenchmarkReplay(b *testing.B) {
 	table, _ := testNode(1, nil)
 	key := table.Mint().String()
--- a/atmostonce/child.go
+++ b/atmostonce/child.go
@@ -8,15 +8,16 @@
 	"sync"
 )
 
-// ChildKey derives the id of the ordinal-th call to service that the visit
-// under parent makes. It is deterministic, so a repeated parent names the same
-// children. Use it with MintChild, or as it is.
+// ChildKey derives the ID of a call that an upstream makes while it serves the
+// call with the key parent: the call with number ordinal, from 0, among its
+// calls to service. The result is deterministic, so that a repeated parent call
+// yields the same child IDs. Pass it to MintChild, or use it as it is.
 func ChildKey(parent, service string, ordinal uint64) string {
 	return childKey(parent, service, "ordinal", strconv.FormatUint(ordinal, 10))
 }
 
-// childKey hashes its parts with their lengths, so that no two lists of parts
-// give the same input.
+// childKey hashes each part preceded by its length, so that no two lists of
+// parts produce the same hash input.
 func childKey(parts ...string) string {
 	h := sha256.New()
 	var length [8]byte
@@ -36,15 +37,16 @@
 	next   map[string]uint64
 }
 
-// NewVisit starts a visit under the parent's key, or under the request id if
-// the parent has no key.
+// NewVisit starts a visit. parent is the key of the request that is served, or
+// its request ID if it has no key.
 func NewVisit(parent string) *Visit {
 	return &Visit{parent: parent, next: make(map[string]uint64)}
 }
 
-// Child returns the id of the visit's next call to service. If the upstream
-// gave the call a key of its own, the id depends on that key in place of the
-// ordinal: an upstream that repeats a call under one key means one call.
+// Child returns the ID of the visit's next call to service. If the upstream set
+// a key of its own on the call, the ID is derived from that key instead of the
+// ordinal, because an upstream that sends a call again with the same key means
+// the same call.
 func (v *Visit) Child(service, ownKey string) string {
 	if ownKey != "" {
 		return childKey(v.parent, service, "key", ownKey)
--- a/atmostonce/claim.go
+++ b/atmostonce/claim.go
@@ -8,11 +8,11 @@
 	"pollengauge.dev/call"
 )
 
-// maxClaimAttempts bounds the store calls of one presentation: each attempt
-// is one write and at most one read and one more write.
+// maxClaimAttempts bounds the store requests of one presentation. Each attempt
+// makes one write and at most one read and one more write.
 const maxClaimAttempts = 4
 
-// claimed is what the store said about a brought key.
+// claimed is the result of trying to claim a caller-supplied key in the store.
 type claimed struct {
 	step    step
 	mine    bool
@@ -21,8 +21,8 @@
 	expires time.Time
 }
 
-// claim asks the store for the key of e, which is in StateClaiming, and
-// settles e by the answer.
+// claim tries to claim the key of e, which is in StateClaiming, in the store.
+// It then settles e according to the result.
 func (t *Table) claim(ctx context.Context, e *entry) step {
 	got := t.acquire(ctx, e)
 	now := t.clock.now()
@@ -30,8 +30,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e.state != StateClaiming {
-		// Taken back meanwhile, by a drain or by a fate that arrived. Another
-		// presentation may have run the key, here or elsewhere.
+		// The entry was revoked in the meantime, by a drain or by an inherited
+		// fate. Another presentation may have run the key, here or on another
+		// node.
 		return step{wait: lookAgain}
 	}
 	if !got.mine {
@@ -44,11 +45,12 @@
 	return step{verdict: Verdict{Kind: RunNow, Run: s.claim(e, t, now)}}
 }
 
-// acquire makes this node the home of a brought key, or tells why it can't.
-// This node is the home only after a write of this very presentation is known
-// to have taken effect. That also fences off writes of earlier presentations
-// which the store may still apply late: they are conditional on a version, or
-// on absence, that no longer holds.
+// acquire makes this node the owner of a caller-supplied key, or returns the
+// reason why it can't. This node becomes the owner only if a write of this
+// presentation is known to have taken effect. This also fences off writes of
+// earlier presentations that the store may still apply late: they are
+// conditional on a version, or on the absence of the object, and that condition
+// is no longer true.
 func (t *Table) acquire(ctx context.Context, e *entry) claimed {
 	claim := Claim{
 		Service:     t.cfg.Service,
@@ -66,13 +68,14 @@
 	return unclaimed(e.Key)
 }
 
-// unclaimed is the result when the store could not be asked.
+// unclaimed returns the result of a claim that failed because the store could
+// not be reached or didn't confirm the write.
 func unclaimed(key string) claimed {
 	return claimed{step: refuse(key, call.Unknown, call.ReasonKeyUnclaimed)}
 }
 
 // tryAcquire makes one attempt to write claim. again is true if the claim in
-// the store changed, or may have, between reading and writing.
+// the store changed, or may have changed, between the read and the write.
 func (t *Table) tryAcquire(ctx context.Context, e *entry, claim Claim) (got claimed, again bool) {
 	name := ClaimName(t.cfg.Service, e.Key)
 	expires := t.clock.now().Add(t.cfg.Window)
@@ -104,10 +107,10 @@
 	return t.replaceClaim(ctx, name, claim, version)
 }
 
-// replaceClaim writes claim in place of one that is this node's from an
-// earlier presentation, or inherited, and never ran. An earlier delete may
-// still be under way: the update changes the version, so that the delete can't
-// take effect any more.
+// replaceClaim overwrites a claim that this node made for an earlier
+// presentation, or inherited, and whose key never ran. A delete of that claim
+// may still be in flight: the update changes the version, so that the delete
+// can no longer take effect.
 func (t *Table) replaceClaim(ctx context.Context, name string, claim Claim, found Version) (got claimed, again bool) {
 	expires := t.clock.now().Add(t.cfg.Window)
 	claim.ExpiresUnix = expires.Unix()
--- a/atmostonce/claim_test.go
+++ b/atmostonce/claim_test.go
@@ -12,9 +12,9 @@
 
 const broughtKey = "case-4711-filing"
 
-// A client brings its own key and two nodes get it at once, each believing
-// that it should run it. One create in the store wins; the other node sends
-// the call to the winner.
+// A client supplies its own key, and two nodes receive it at the same time.
+// Each of them tries to become the owner. One create in the store succeeds; the
+// other node forwards the call to the node that succeeded.
 func TestTwoNodesClaimOneBroughtKey(t *testing.T) {
 	store := newFakeStore()
 	c, ctx, a, b := twoNodes(t, withStore(store))
@@ -22,7 +22,7 @@
 	mustForward(c, b, broughtKey, a.Incarnation())
 	finish(c, run, "filed")
 	mustReplay(c, a, broughtKey, "filed")
-	// Another caller picked the same text for another request.
+	// Another caller chose the same key for another request.
 	v, err := a.Begin(ctx, Presentation{Key: broughtKey, Fingerprint: 7})
 	c.Assert(err, qt.IsNil, qt.Commentf("the first had no fingerprint"))
 	c.Assert(v.Kind, qt.Equals, Replay)
@@ -35,10 +35,10 @@
 	}
 }
 
-// The store's answer to a claim is lost, whether or not the claim was written,
-// or will be later. The node must find out before it runs the filing: exactly
-// one node may end up with it, and a refused caller may not be told not-run
-// while the store can't prove it.
+// The store's response to a claim is lost, whether the claim was written, will
+// be written later, or is never written. The node must find out which before it
+// runs the filing. Exactly one node may become the owner, and a rejected caller
+// must not be told not-run as long as the store can't prove it.
 func TestAmbiguousClaim(t *testing.T) {
 	cases := map[string]struct {
 		faults []fault
@@ -73,10 +73,11 @@
 	}
 }
 
-// Node a claims a key, admission refuses it, and a gives the claim back so
-// that another node may run it. The delete's answer is lost. If a still ran
-// the key on its next presentation, b, which found the key free, would run it
-// too; or b would do so when the delete takes effect after a has run it.
+// Node a claims a key, admission rejects the call, and a releases the claim so
+// that another node may run the key. The response to the delete is lost. The
+// key would run twice if a ran it at its next presentation although the claim
+// is gone, because b, which finds no claim, would run it too; or if the delete
+// took effect after a had run the key.
 func TestLostReleaseOfAClaim(t *testing.T) {
 	for name, f := range map[string]fault{"deleted": lostAfter, "not deleted": lostBefore, "deleted late": appliedLater} {
 		t.Run(name, func(t *testing.T) {
@@ -85,7 +86,7 @@
 			c.Assert(mustRun(c, a, broughtKey).NotRun(), qt.IsNil)
 			writes := store.writes
 			c.Assert(mustRun(c, a, broughtKey).NotRun(), qt.IsNil)
-			c.Assert(store.writes, qt.Equals, writes, qt.Commentf("a quick repetition costs no write"))
+			c.Assert(store.writes, qt.Equals, writes, qt.Commentf("a retry before Sync needs no write"))
 			store.script(f)
 			c.Assert(a.Sync(ctx, 10).Failed, qt.Equals, 1)
 			if f == lostAfter {
@@ -100,9 +101,10 @@
 	}
 }
 
-// A draining node is given a key that a caller brought. It can't claim it, and
-// only the store knows whether another node ran it: not-run if there is no
-// claim, the other node if there is, and unknown if the store is down.
+// A draining node receives a caller-supplied key. It can't claim the key, and
+// only the store knows whether another node ran it. The result must be not-run
+// if there is no claim, a forward to the other node if there is one, and
+// unknown if the store is down.
 func TestBroughtKeyAtADrainingNode(t *testing.T) {
 	store := newFakeStore()
 	c, _, a, b := twoNodes(t, withStore(store))
@@ -114,9 +116,10 @@
 	mustRefuse(c, b, broughtKey, call.Unknown, call.ReasonKeyUnclaimed)
 }
 
-// A home dies and leaves its claims. A collector must delete them in the end,
-// but not at once because the home's clock was two days behind: its claims
-// look expired from the first moment, and their keys would run again.
+// An owner crashes and leaves its claims in the store. A collector must delete
+// them eventually, but not at once: the owner's clock was two days behind, so
+// that its claims look expired from the start, and keys whose claims are
+// deleted too early would run again.
 func TestCollectorWaitsAWholeWindow(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
@@ -141,9 +144,9 @@
 	c.Assert(store.claims, qt.HasLen, 0)
 }
 
-// The home itself deletes its claims when they expire. A process that was
-// stopped for the whole window holds a claim that is no longer its own; when
-// it goes on it must not send the call.
+// An owner deletes its claims when they expire. A process that was paused for
+// the whole window has a claim that it no longer owns. When it resumes it must
+// not send the call.
 func TestPausedHolderOfAnExpiredClaim(t *testing.T) {
 	c := qt.New(t)
 	store := newFakeStore()
--- a/atmostonce/clock.go
+++ b/atmostonce/clock.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// steadyClock never goes back. It starts at the wall clock and then follows
-// elapsed time. Without it a wall clock that steps back would make an expired
-// key, whose entry has been dropped, valid again, and it would run twice.
+// steadyClock never goes back. It starts at the wall-clock time and then
+// follows elapsed time. If the table followed a wall clock that steps back, an
+// expired key, whose entry has been dropped, would be valid again and would run
+// twice.
 type steadyClock struct {
 	read    func() time.Time
 	start   time.Time
@@ -18,7 +19,7 @@
 	return &steadyClock{read: read, start: read()}
 }
 
-// now returns a time that is not before any that it returned earlier.
+// now returns a time that is not before any time it returned earlier.
 func (c *steadyClock) now() time.Time {
 	elapsed := int64(c.read().Sub(c.start))
 	for {
--- a/atmostonce/collect.go
+++ b/atmostonce/collect.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// Collector deletes claims whose home died before it could. One node per
-// service is enough; more do no harm.
+// Collector deletes expired claims whose owner crashed before it could delete
+// them. One collector per service is enough; several do no harm.
 //
-// It trusts no clock of another node: a claim is deleted only if its expiry
-// has passed and this collector has seen the same version for a whole window.
-// By the expiry alone a home whose clock is a day behind would lose live
-// claims, and their keys could run again elsewhere.
+// It doesn't trust the clocks of other nodes. It deletes a claim only if its
+// expiry has passed and this collector has seen the same version for more than
+// one window. If the expiry alone decided, an owner whose clock is a day behind
+// would lose live claims, and their keys could run again on other nodes.
 type Collector struct {
 	store  ClaimStore
 	lister ClaimLister
 	window time.Duration
-	// tracked is when a version was first seen, by the collector's own clock.
+	// tracked maps the names of expired claims to the version seen and the
+	// time, by the collector's own clock, at which it was first seen.
 	tracked    map[string]sighting
 	maxTracked int
 	after      string
@@ -27,14 +28,15 @@
 	first   time.Time
 }
 
-// NewCollector makes a collector. window is that of the tables; maxTracked
-// bounds the claims watched at one time, about 150 bytes each.
+// NewCollector creates a collector. window is Config.Window of the tables.
+// maxTracked limits the number of claims tracked at one time, about 150 bytes
+// each.
 func NewCollector(store ClaimStore, lister ClaimLister, window time.Duration, maxTracked int) *Collector {
 	return &Collector{store: store, lister: lister, window: window, maxTracked: maxTracked, tracked: make(map[string]sighting)}
 }
 
-// Step lists one page of claims and deletes those that are due. now must be
-// steady, as Table.Now is. It returns how many it deleted.
+// Step lists one page of claims and deletes those that are due. now must never
+// go back; use Table.Now. Step returns the number of claims deleted.
 func (c *Collector) Step(ctx context.Context, now time.Time, page int) (int, error) {
 	claims, err := c.lister.List(ctx, c.after, page)
 	if err != nil {
@@ -59,7 +61,8 @@
 	return deleted, nil
 }
 
-// due notes a claim and reports whether it may go.
+// due records the sighting of a claim and reports whether the claim may be
+// deleted.
 func (c *Collector) due(stored StoredClaim, now time.Time) bool {
 	if stored.Claim.ExpiresUnix >= now.Unix() {
 		return false
@@ -75,7 +78,8 @@
 	return now.Sub(seen.first) > c.window
 }
 
-// forget drops sightings of claims that others have deleted.
+// forget drops sightings older than two windows, so that claims which other
+// nodes have deleted don't use up maxTracked.
 func (c *Collector) forget(now time.Time) {
 	for name, seen := range c.tracked {
 		if now.Sub(seen.first) > 2*c.window {
--- a/atmostonce/config.go
+++ b/atmostonce/config.go
@@ -21,57 +21,60 @@
 
 // Config sets up a Table. Zero fields take the defaults above.
 type Config struct {
-	// Service is the service that this node stands in front of. Keys minted
-	// for another service are refused.
+	// Service is the service of the upstream behind this node. Keys minted for
+	// another service are rejected.
 	Service string
 
-	// Incarnation names this life of the node. It must be random and new at
-	// each start: a node that came back under an old incarnation, with an
-	// empty table, would run that incarnation's keys again.
+	// Incarnation identifies this node process. It must be random and new at
+	// each start: a process that reused an incarnation would start with an
+	// empty table and run that incarnation's keys again.
 	Incarnation Incarnation
 
-	// MaxEntries is how many keys are remembered. More keys cost memory
-	// (about 520 bytes each without the answer). With fewer, the table is full
-	// sooner and new keys are refused as not-run; a fate is never evicted
-	// inside the window. It should exceed keys per second times Window.
+	// MaxEntries is the maximum number of keys in the table. Each key takes
+	// about 520 bytes of memory without its answer. It should exceed keys per
+	// second times Window. A full table rejects new keys as not-run, because a
+	// fate is never evicted inside the window.
 	MaxEntries int
 
-	// MaxAnswerBytes is the largest answer that is kept for a later
-	// presentation. A presenter of a key whose answer was larger is told that
-	// the outcome is unknown, with reason answer-not-held.
+	// MaxAnswerBytes is the size of the largest answer that is stored for later
+	// presentations. If a key's answer was larger, later presentations get the
+	// outcome unknown with reason answer-not-held.
 	MaxAnswerBytes int64
 
-	// MaxTotalBytes bounds the answers kept, all together. When it is
-	// reached the oldest answers are dropped; their fates stay.
+	// MaxTotalBytes limits the total size of the stored answers. At the limit
+	// the oldest answers are dropped; their fates stay.
 	MaxTotalBytes int64
 
-	// Window is how long a key can be presented after it was minted, or
-	// claimed if the caller brought it. A longer window helps callers who
-	// come back late and costs entries.
+	// Window is how long a key can be presented after it was minted or, if the
+	// caller supplied it, after it was claimed. A longer window accepts later
+	// retries and needs more entries.
 	Window time.Duration
 
-	// MaxSkew is how far in the future a key may have been minted, since the
-	// minter can be another node. Keys beyond it are refused as not-run. It
-	// only bounds how long an entry can live; safety doesn't depend on it.
+	// MaxSkew is how far in the future the mint time of a key may be, because
+	// another node, with another clock, may have minted it. Keys beyond that
+	// are rejected as not-run. MaxSkew only limits the lifetime of an entry;
+	// safety doesn't depend on it.
 	MaxSkew time.Duration
 
-	// ChunkBytes is the approximate size of one chunk of a hand-over. Small
-	// chunks cost round trips, large ones block the connection for longer.
+	// ChunkBytes is the approximate size of one chunk of a hand-over. Smaller
+	// chunks need more round trips; larger chunks block the connection longer.
 	ChunkBytes int64
 
-	// StagedTimeout is how long a successor keeps chunks of a hand-over that
-	// wasn't committed. If it is too short a slow hand-over must start again.
+	// StagedTimeout is how long a successor stores the chunks of a hand-over
+	// that hasn't been committed. If it is too short, a slow hand-over must
+	// start again.
 	StagedTimeout time.Duration
 
-	// Clock gives the time. Readings should carry Go's monotonic clock; a
-	// reading that is earlier than one before counts as that one.
+	// Clock returns the current time. Its readings should carry Go's monotonic
+	// clock. A reading before an earlier one is replaced by the earlier one.
 	Clock func() time.Time
 
-	// Store records claims on keys that callers bring, and durable fates.
-	// Without it brought keys are refused.
+	// Store holds claims on caller-supplied keys, and durable fates. Without a
+	// store, caller-supplied keys are rejected.
 	Store ClaimStore
 
-	// Random names claims. It must not repeat across nodes.
+	// Random generates the IDs of claims. Its output must not repeat across
+	// nodes.
 	Random io.Reader
 }
 
--- a/atmostonce/doc.go
+++ b/atmostonce/doc.go
@@ -1,46 +1,50 @@
-// Package atmostonce makes sure that a call which carries an idempotency key
-// is dispatched at most once, without leases and without trusting clocks.
+// Package atmostonce dispatches a call that carries an idempotency key at most
+// once. It needs neither leases nor synchronized clocks.
 //
-// # Homes
+// # Ownership of keys
 //
-// Every node runs under a random Incarnation. A minted key names the
-// incarnation that alone may ever dispatch it, its home. The home keeps the
-// key's fate in a Table; every other node forwards the call there. A node that
-// restarts has a new incarnation, so a key whose home is gone has an unknown
-// fate and never runs again. A pause, a store outage or a lapsed lease can't
-// cause a second run, because nothing but the home's own memory permits a run.
+// Every node process runs under a random Incarnation. A minted key names the
+// only incarnation that may ever dispatch it: its owner. The owner records the
+// key's fate in a Table, and every other node forwards the call to the owner. A
+// restarted node has a new incarnation. If the owner of a key no longer exists,
+// the fate of the key is unknown and the key never runs again. A process pause,
+// a store outage or an expired lease can't cause a second run, because only the
+// owner's memory permits a run.
 //
-// A key that the caller brought names no home. The first node to present it
-// creates one object for it in the platform's store (ClaimStore); the create
-// succeeds for one node only, and that node is the home.
+// A key that the caller supplied names no owner. The first node that receives
+// it creates an object for it in the platform's store (ClaimStore). The create
+// succeeds for one node only, and that node becomes the owner.
+//
+// Some fields, types and methods say Home for the owner.
 //
 // # Use
 //
-// Call Begin before admission, so that a refusal by admission is known to
-// speak for a key that never ran:
+// Call Begin before admission control. A rejection by admission then proves
+// that the call with this key has not run:
 //
 //	verdict, err := table.Begin(ctx, atmostonce.Presentation{Key: key})
 //	switch {
-//	case err != nil: // *RefusedError: answer with its Outcome and Reason
-//	case verdict.Kind == atmostonce.Replay: // write verdict.Answer
+//	case err != nil: // *RefusedError: respond with its Outcome and Reason
+//	case verdict.Kind == atmostonce.Replay: // respond with verdict.Answer
 //	case verdict.Kind == atmostonce.Forward: // send to verdict.Home
 //	case verdict.Kind == atmostonce.RunNow:
 //		defer verdict.Run.Close()
-//		// admission; on refusal verdict.Run.NotRun()
+//		// admission; if it rejects the call: verdict.Run.NotRun()
 //		if err := verdict.Run.Dispatched(); err != nil { ... } // must not send
 //		// send; then verdict.Run.Done(answer) or verdict.Run.Unknown(reason)
 //	}
 //
-// # Promises
+// # Guarantees
 //
-// A key is dispatched at most once for as long as Config.Window lasts, and a
-// minted key for ever. An error with outcome not-run is returned only for a
-// key that no presentation had dispatched at that moment. The fate of a key
-// inside the window is never evicted: a full table refuses new keys. An
-// answer that is too large to keep is reported as unknown, never as complete.
+// A caller-supplied key is dispatched at most once during Config.Window, a
+// minted key at most once for all time. An error with outcome not-run is
+// returned only if no presentation of the key had been dispatched at that
+// moment. Fates are never evicted inside the window: a full table rejects new
+// keys. If a response is too large to store, later presentations get the outcome
+// unknown, never complete.
 //
 // # Concurrency
 //
 // All methods of Table, Run and Visit may be called concurrently. A Collector
-// is used by one goroutine.
+// must be used by one goroutine at a time.
 package atmostonce
--- a/atmostonce/entry.go
+++ b/atmostonce/entry.go
@@ -8,25 +8,31 @@
 	"pollengauge.dev/call"
 )
 
-// State is where a key stands at its home.
+// State is the state of a key at its owner.
 type State uint8
 
 const (
-	// StateAbsent: no presentation was dispatched, or the key has expired.
+	// StateAbsent means that no presentation was dispatched, or that the key
+	// has expired.
 	StateAbsent State = iota
-	// StateClaiming: the store is being asked to record the claim.
+	// StateClaiming means that a request to record the claim in the store is in
+	// flight.
 	StateClaiming
-	// StateClaimed: one presentation may dispatch the key, and hasn't yet.
+	// StateClaimed means that one presentation has permission to dispatch the
+	// key and hasn't done so yet.
 	StateClaimed
-	// StateDispatched: the upstream was sent the call.
+	// StateDispatched means that the call was sent to the upstream.
 	StateDispatched
-	// StateDone: the upstream's whole answer arrived.
+	// StateDone means that the upstream's complete response has arrived.
 	StateDone
-	// StateUnknown: the call was dispatched and its fate is not known.
+	// StateUnknown means that the call was dispatched and its outcome is not
+	// known.
 	StateUnknown
-	// StateReleased: provably not run; the claim in the store is still ours.
+	// StateReleased means that the call provably hasn't run and that this node
+	// still owns the claim in the store.
 	StateReleased
-	// StateReleasing: the claim is being deleted from the store.
+	// StateReleasing means that a request to delete the claim from the store is
+	// in flight.
 	StateReleasing
 )
 
@@ -41,7 +47,7 @@
 	StateReleasing:  "releasing",
 }
 
-// String returns the name used in lists for operators.
+// String returns the name of the state as operators see it.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -49,7 +55,8 @@
 	return "state " + strconv.Itoa(int(s))
 }
 
-// pending reports whether presenters wait for the state to change.
+// pending reports whether presentations of the key wait for the state to
+// change.
 func (s State) pending() bool {
 	switch s {
 	case StateClaiming, StateClaimed, StateDispatched, StateReleasing:
@@ -58,12 +65,13 @@
 	return false
 }
 
-// sent reports whether the upstream was sent the call.
+// sent reports whether the call was sent to the upstream.
 func (s State) sent() bool {
 	return s == StateDispatched || s == StateDone || s == StateUnknown
 }
 
-// entry is a key's record at its home. Its shard's lock guards it.
+// entry is the record of a key at its owner. It is guarded by the lock of its
+// shard.
 type entry struct {
 	Presentation
 	home    Incarnation
@@ -80,14 +88,15 @@
 	answerSize int64
 	held       *list.Element
 
-	// claimID and claimVersion are of the claim in the store, if there is one.
+	// claimID and claimVersion identify the claim in the store, if there is
+	// one.
 	claimID      string
 	claimVersion Version
-	// unsaved is true while a durable fate still has to be written.
+	// unsaved is true until a durable fate has been written to the store.
 	unsaved bool
 }
 
-// Fate is what an operator is shown of a key.
+// Fate is the information about a key that operators see.
 type Fate struct {
 	Key        string
 	State      State
--- a/atmostonce/errors.go
+++ b/atmostonce/errors.go
@@ -6,9 +6,9 @@
 	"pollengauge.dev/call"
 )
 
-// RefusedError says that this presentation of a key dispatched nothing.
+// RefusedError means that this presentation of a key dispatched nothing.
 // Outcome is what the caller may be told about the key: NotRun only if no
-// presentation had dispatched it, Unknown otherwise.
+// presentation was dispatched, otherwise Unknown.
 type RefusedError struct {
 	Key     string
 	Outcome call.Outcome
@@ -20,7 +20,7 @@
 	return "idempotency key " + shorten(e.Key) + " refused: " + e.Outcome.String() + ", " + string(e.Reason)
 }
 
-// KeyError tells why a key can't be used.
+// KeyError means that a key is malformed. Want describes the expected form.
 type KeyError struct {
 	Key  string
 	Want string
@@ -31,7 +31,7 @@
 	return "idempotency key " + shorten(e.Key) + ": want " + e.Want
 }
 
-// ConfigError tells which field of a Config is out of range.
+// ConfigError reports a field of Config whose value is out of range.
 type ConfigError struct {
 	Field string
 	Want  string
@@ -40,17 +40,17 @@
 // Error implements error.
 func (e *ConfigError) Error() string { return "atmostonce config: " + e.Field + ": want " + e.Want }
 
-// EntropyError tells that a source of randomness failed.
+// EntropyError means that reading from a source of randomness failed.
 type EntropyError struct{ Err error }
 
 // Error implements error.
 func (e *EntropyError) Error() string { return "random source failed: " + e.Err.Error() }
 
-// Unwrap returns the source's own error.
+// Unwrap returns the error of the source.
 func (e *EntropyError) Unwrap() error { return e.Err }
 
-// RunError tells that a Run was moved in a way that its state doesn't allow,
-// for example ended twice.
+// RunError means that a state transition of a Run is invalid, for example
+// because the run had already been completed.
 type RunError struct {
 	Key  string
 	From State
@@ -59,12 +59,13 @@
 
 // Error implements error.
 func (e *RunError) Error() string {
-	return "idempotency key " + shorten(e.Key) + ": can't go from " + e.From.String() + " to " + e.To.String()
+	return "idempotency key " + shorten(e.Key) + ": can't change state from " + e.From.String() + " to " + e.To.String()
 }
 
 const maxShownKey = 40
 
-// shorten quotes a key for an error text, so that hostile input can't fill a log.
+// shorten truncates and quotes a key for an error text, so that a malicious
+// client can't flood the log with long keys.
 func shorten(key string) string {
 	if len(key) > maxShownKey {
 		key = key[:maxShownKey] + "..."
--- a/atmostonce/example_test.go
+++ b/atmostonce/example_test.go
@@ -8,7 +8,7 @@
 	"pollengauge.dev/atmostonce"
 )
 
-// A filing is presented twice; the upstream gets it once.
+// A filing is presented twice and sent to the upstream once.
 func Example() {
 	random := rand.NewChaCha8([32]byte{1})
 	table, err := atmostonce.NewTable(atmostonce.Config{
--- a/atmostonce/export.go
+++ b/atmostonce/export.go
@@ -6,9 +6,10 @@
 	"pollengauge.dev/call"
 )
 
-// export makes the chunks of an attempt. They are made once: chunks cut in
-// two ways could be mixed by delayed messages, and a fate would be lost
-// between them. Homes go with the first chunk.
+// export creates the chunks of a hand-over attempt. They are created once per
+// attempt: if the entries were divided into chunks again in another way,
+// delayed messages could mix chunks of both divisions, and a fate would be lost
+// between them. The owner records are in the first chunk.
 func (t *Table) export() []Chunk {
 	now := t.clock.now()
 	v := t.current.Load()
@@ -53,8 +54,9 @@
 	return records
 }
 
-// records copies the fates of homes that are being handed over. A released
-// key isn't among them: the successor finds it absent and asks the store.
+// records returns the fates of the keys that are being handed over. Released
+// keys are not among them: the successor finds them absent and queries the
+// store.
 func (s *shard) records(v *view) []EntryRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/atmostonce/fake_test.go
+++ b/atmostonce/fake_test.go
@@ -9,27 +9,29 @@
 	"time"
 )
 
-// fault is what happens to one write to the fake store.
+// fault is the fault that one write to the fake store, or one message,
+// encounters.
 type fault int
 
 const (
 	works        fault = iota
-	down               // not applied, and said so
-	lostBefore         // not applied, the writer can't tell
-	lostAfter          // applied, the writer can't tell
-	appliedLater       // applied by flush, the writer can't tell
+	down               // not applied; the writer is informed
+	lostBefore         // not applied; the writer doesn't know
+	lostAfter          // applied; the writer doesn't know
+	appliedLater       // applied by flush; the writer doesn't know
 )
 
-// fakeStore is a ClaimStore with conditional writes and chosen faults.
+// fakeStore is a ClaimStore with conditional writes and selectable faults.
 type fakeStore struct {
 	claims  map[string]StoredClaim
 	version int
-	// next gives the fault of the next write, or of a read if it is down.
+	// next returns the fault of the next write. For a read only the fault down
+	// counts.
 	next    func() fault
 	delayed []func()
 	writes  int
-	// meanwhile, unless nil, is called with the number of each call, after it
-	// took effect and before its caller has the answer.
+	// meanwhile, if not nil, is called with the number of each store call after
+	// the call took effect and before the caller receives the response.
 	meanwhile func(call int)
 	calls     int
 }
@@ -38,10 +40,11 @@
 	return &fakeStore{claims: make(map[string]StoredClaim), next: func() fault { return works }}
 }
 
-// script makes the next writes and reads meet the given faults in turn.
+// script applies the given faults, in order, to the next writes and reads.
 func (s *fakeStore) script(list ...fault) { s.next = faults(list...) }
 
-// faults gives the listed faults in turn, and none after them.
+// faults returns a function that yields the listed faults in order, and works
+// after them.
 func faults(list ...fault) func() fault {
 	return func() fault {
 		if len(list) == 0 {
@@ -60,7 +63,7 @@
 	s.delayed = nil
 }
 
-// answered ends a call.
+// answered counts a completed store call and calls meanwhile.
 func (s *fakeStore) answered() {
 	s.calls++
 	if s.meanwhile != nil {
@@ -144,7 +147,8 @@
 	return list, nil
 }
 
-// fakeClock is a wall clock without monotonic readings, so it can step back.
+// fakeClock is a wall clock without monotonic readings, so that it can step
+// back.
 type fakeClock struct{ now time.Time }
 
 func (c *fakeClock) read() time.Time         { return c.now }
@@ -154,7 +158,7 @@
 
 func testRandom(seed byte) io.Reader { return rand.NewChaCha8([32]byte{seed}) }
 
-// testNode makes a table with its own clock; seed sets its incarnation.
+// testNode creates a table with its own clock. seed determines its incarnation.
 func testNode(seed byte, edit func(*Config)) (*Table, *fakeClock) {
 	clock := &fakeClock{now: testStart}
 	random := testRandom(seed)
@@ -171,16 +175,17 @@
 
 func withStore(s ClaimStore) func(*Config) { return func(c *Config) { c.Store = s } }
 
-// link carries a hand-over to a table, with faults in the order of messages.
+// link sends the messages of a hand-over to a table and applies faults to them
+// in order.
 type link struct {
 	to *Table
-	// fault gives what happens to the next message: works, lostBefore,
-	// lostAfter or appliedLater.
+	// fault returns the fault of the next message: works, lostBefore, lostAfter
+	// or appliedLater.
 	fault   func() fault
 	delayed []func()
 }
 
-// linkError stands for a broken connection.
+// linkError represents a broken connection.
 type linkError struct{}
 
 func (*linkError) Error() string { return "connection broken" }
--- a/atmostonce/handover.go
+++ b/atmostonce/handover.go
@@ -2,23 +2,26 @@
 
 import "context"
 
-// handOver is the state of the node that drains.
+// handOver is the state of a hand-over on the draining node.
 type handOver struct {
-	// attempt counts hand-overs, so that the successor can tell a delayed
-	// message of an aborted one from the present one.
+	// attempt numbers the hand-overs, so that the successor can distinguish a
+	// delayed message of an aborted hand-over from one of the current
+	// hand-over.
 	attempt uint64
-	// to is the successor of the attempt under way.
+	// to is the successor of the current attempt.
 	to Incarnation
-	// chunks are those of the attempt, the same at each repetition.
+	// chunks are the chunks of the current attempt. Retries send the same
+	// chunks.
 	chunks []Chunk
 }
 
-// Freeze stops new claims. Runs in flight go on, and stored answers are given
-// as before. It is harmless to repeat.
+// Freeze stops new claims. Runs in flight continue, and stored answers are
+// still replayed. Calling it again has no effect.
 func (t *Table) Freeze() { t.setPhase(phaseFrozen, phaseActive) }
 
-// Thaw ends a drain that was cancelled. It fails with *HandOverError while the
-// successor may be the home already; see Cancel and Renew.
+// Thaw makes the table active again after a cancelled drain. It fails with
+// *HandOverError if the successor owns the keys or may own them; see Cancel and
+// Renew.
 func (t *Table) Thaw() error {
 	t.draining.Lock()
 	defer t.draining.Unlock()
@@ -32,14 +35,14 @@
 	return &HandOverError{Step: "thaw", To: t.handOver.to, Ambiguous: t.current.Load().phase == phaseCommitting}
 }
 
-// HandOver gives all keys to the node that runs under to. It freezes and
-// seals the table; to cut off no call, wait for WaitIdle between Freeze and
-// HandOver. Claims that were not dispatched are taken back, and calls still at
-// the upstream are handed over as unknown.
+// HandOver transfers all keys to the node with incarnation to. It freezes and
+// seals the table. Claims that were not dispatched are revoked, and calls that
+// are still at the upstream are handed over as unknown; to avoid both, call
+// WaitIdle between Freeze and HandOver.
 //
-// After a *HandOverError with Ambiguous set, the only ways on are HandOver to
-// the same node again, Cancel, and Renew: another successor could lead to two
-// homes of one key.
+// After a *HandOverError with Ambiguous set, only three calls can follow:
+// HandOver to the same node, Cancel, or Renew. With another successor one key
+// could have two owners.
 func (t *Table) HandOver(ctx context.Context, to Incarnation, s Successor) error {
 	t.draining.Lock()
 	defer t.draining.Unlock()
@@ -63,8 +66,8 @@
 	return t.commit(ctx, s)
 }
 
-// commit sends the commit. From the moment before it is sent this node no
-// longer acts as a home, whatever happens to the answer.
+// commit sends the commit request. From just before it is sent, this node no
+// longer acts as an owner, whatever the response is.
 func (t *Table) commit(ctx context.Context, s Successor) error {
 	t.control.Lock()
 	t.changeView(func(v *view) {
@@ -86,10 +89,11 @@
 	t.handOver.chunks = nil
 }
 
-// Cancel ends a drain. If a commit was sent, the successor is asked to refuse
-// it for good; only after its word may this node run its keys again. It
-// returns nil if the table is active again. A *HandOverError with Ambiguous
-// unset says that the successor is the home; with Ambiguous set nobody knows.
+// Cancel cancels a drain. If a commit was sent, Cancel asks the successor to
+// reject this commit for good; this node may run its keys again only after the
+// successor has confirmed that. Cancel returns nil if the table is active
+// again. A *HandOverError without Ambiguous means that the successor owns the
+// keys; with Ambiguous, the owner is unknown.
 func (t *Table) Cancel(ctx context.Context, s Successor) error {
 	t.draining.Lock()
 	defer t.draining.Unlock()
@@ -110,9 +114,10 @@
 	return &HandOverError{Step: "cancel", To: t.handOver.to, Ambiguous: true, Err: err}
 }
 
-// Renew lets a node go on that can't take its keys back: it runs under a new
-// incarnation and sends old keys to the successor. Fates that it knows it
-// still tells. It fails with *HandOverError unless a commit was sent.
+// Renew lets a node continue that can't get its keys back. The node runs under
+// the new incarnation inc and forwards old keys to the successor. It still
+// replays or reports the fates that it has. Renew fails with *HandOverError
+// unless a commit was sent.
 func (t *Table) Renew(inc Incarnation) error {
 	t.draining.Lock()
 	defer t.draining.Unlock()
@@ -140,7 +145,7 @@
 	return nil
 }
 
-// seal takes back claims that were not dispatched.
+// seal stops dispatching and revokes claims that were not dispatched.
 func (t *Table) seal() {
 	t.control.Lock()
 	defer t.control.Unlock()
@@ -152,10 +157,10 @@
 	}
 }
 
-// sealShard takes the shard's claims back in the same step that sets the
-// phase, so that no run can pass from claimed to dispatched after it. Released
-// keys go too: should this node continue under another incarnation, their
-// claims are no longer its own.
+// sealShard revokes the shard's claims in the same critical section that sets
+// the phase, so that no run can be dispatched afterwards. Released keys are
+// dropped too: if this node continues under another incarnation, it no longer
+// owns their claims.
 func (t *Table) sealShard(s *shard, v *view) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/atmostonce/handover_test.go
+++ b/atmostonce/handover_test.go
@@ -31,10 +31,11 @@
 
 func smallChunks(cfg *Config) { cfg.ChunkBytes = 300 }
 
-// A node drains while its keys are in all states. The successor must give the
-// stored answer, call a run that was still at the upstream unknown, and run
-// what was only queued; the old node must run nothing any more. The successor
-// then drains in its turn, and all this goes on to the third node.
+// A node drains while its keys are in all states. The successor must replay the
+// stored answer, report a run that was still at the upstream as unknown, and
+// run what was only queued. The old node must run nothing any more. The
+// successor then drains to a third node, which must take over all of these
+// keys.
 func TestDrainHandsAllKeysOn(t *testing.T) {
 	c, ctx, a, b := twoNodes(t, smallChunks)
 	third, _ := testNode(3, nil)
@@ -68,9 +69,10 @@
 	mustForward(c, b, Mint("filing", b.Incarnation(), testStart, testRandom(8)).String(), third.Incarnation())
 }
 
-// The answer to the commit is lost, so the old node doesn't know whether the
-// successor is the home. It may not thaw and may not choose another successor:
-// either would give a key two homes. It may ask the same one again.
+// The response to the commit is lost, so the old node doesn't know whether the
+// successor is the owner. The old node must not thaw or choose another
+// successor, because either would give a key two owners. It may retry with the
+// same successor.
 func TestCommitWithLostAnswer(t *testing.T) {
 	for name, f := range map[string]fault{"committed": lostAfter, "not committed": lostBefore} {
 		t.Run(name, func(t *testing.T) {
@@ -88,7 +90,7 @@
 			checkHandOver(c, a.Thaw(), "thaw", true)
 			checkHandOver(c, a.HandOver(ctx, other.Incarnation(), &link{to: other}), "begin", true)
 			mustForward(c, a, key, b.Incarnation())
-			// The table changes; the chunks sent again must be the old ones.
+			// The table has changed, but the retry must send the old chunks.
 			c.Assert(running.Done(Answer{Body: make([]byte, 1000)}), qt.IsNil)
 			c.Assert(a.HandOver(ctx, b.Incarnation(), l), qt.IsNil)
 			mustRefuse(c, b, slow, call.Unknown, call.ReasonDraining)
@@ -98,10 +100,10 @@
 	}
 }
 
-// An operator cancels a drain whose commit is still on the wire. The old node
-// goes on only if the successor has promised to refuse that commit; when the
-// commit then arrives late, it must have no effect, or two nodes would be the
-// home. If the commit was there first, the old node must give its keys up.
+// An operator cancels a drain whose commit is still in flight. The old node
+// continues only if the successor has promised to reject that commit. A commit
+// that arrives afterwards must have no effect, or two nodes would be the owner.
+// If the commit arrived first, the old node must give up its keys.
 func TestCancelRacesTheCommit(t *testing.T) {
 	c, ctx, a, b := twoNodes(t, nil)
 	key := a.Mint().String()
@@ -123,9 +125,10 @@
 	finish(c, mustRun(c, a, a.Mint().String()), "new")
 }
 
-// The successor dies in the middle of a hand-over and another process answers
-// at its address. It may have committed and run keys before, so the old node
-// can't take them back: it renews itself, and the old keys are unknown.
+// The successor crashes during a hand-over, and another process responds at its
+// address. The successor may have committed and run keys before, so the old
+// node can't take them back. It renews its incarnation, and the old keys are
+// unknown.
 func TestSuccessorDiesBeforeTheAnswer(t *testing.T) {
 	c, ctx, a, b := twoNodes(t, nil)
 	l := &link{to: b, fault: faults(works, lostAfter)}
@@ -141,9 +144,9 @@
 	mustForward(c, l.to, key, k.Home)
 }
 
-// The old node dies after some chunks, before the commit. The successor must
-// not become the home of half a table, where keys that ran look absent, and
-// the room it kept must come back.
+// The old node crashes after it sent some chunks, before the commit. The
+// successor must not become the owner of a partial table, in which keys that
+// ran look absent, and must free the capacity that it reserved.
 func TestOldNodeDiesBeforeTheCommit(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
@@ -163,9 +166,10 @@
 	c.Assert(b.Len(), qt.Equals, 0)
 }
 
-// The successor's clock is a day behind the old node's, which has dropped an
-// expired key that ran. To the successor the key would look young and absent,
-// and it would run again. It must take the old home's time with its keys.
+// The successor's clock is a day behind the old node's clock, and the old node
+// has dropped an expired key that ran. By its own clock the successor would
+// consider the key valid and absent, and would run it again. It must adopt the
+// old owner's time together with its keys.
 func TestSuccessorWithAClockBehind(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
@@ -181,13 +185,13 @@
 	finish(c, mustRun(c, b, young), "young")
 	late.advance(DefaultWindow + DefaultMaxSkew + time.Second)
 	b.Sweep()
-	c.Assert(b.Homes(), qt.HasLen, 1, qt.Commentf("an inherited home goes when its keys have expired"))
+	c.Assert(b.Homes(), qt.HasLen, 1, qt.Commentf("an inherited incarnation is dropped when its keys have expired"))
 	mustForward(c, b, young, a.Incarnation())
 }
 
-// A brought key was claimed and not run at a node that drained. Its claim in
-// the store names a home that is gone; the successor must be able to run it,
-// and a renewed old node must not.
+// A caller-supplied key was claimed and not run on a node that drained. Its
+// claim in the store names the old incarnation. The successor must be able to
+// run the key, and the renewed old node must not run it.
 func TestReleasedClaimGoesToTheSuccessor(t *testing.T) {
 	c, ctx, a, b := twoNodes(t, withStore(newFakeStore()))
 	c.Assert(mustRun(c, a, broughtKey).NotRun(), qt.IsNil)
@@ -198,8 +202,9 @@
 	mustReplay(c, b, broughtKey, "filed")
 }
 
-// Two neighbours drain at the same time and choose each other. Neither may
-// take the other's keys, which it would not pass on; both can go on.
+// Two nodes drain at the same time and choose each other as successor. Neither
+// may take over the other's keys, because it would not hand them on. Both can
+// continue.
 func TestSuccessorThatDrainsItself(t *testing.T) {
 	c, ctx, a, b := twoNodes(t, nil)
 	key := a.Mint().String()
@@ -210,9 +215,9 @@
 	finish(c, mustRun(c, a, key), "filed")
 }
 
-// Calls arrive at both nodes from many goroutines while one hands over to the
-// other. Whatever the order of their steps, each key reaches the upstream once
-// at most, and the calls at the upstream end normally.
+// Many goroutines send calls to both nodes while one node hands over to the
+// other. Regardless of the order of their steps, each key reaches the upstream
+// at most once, and calls at the upstream complete normally.
 func TestHandOverUnderConcurrentCalls(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
@@ -252,7 +257,7 @@
 	}
 }
 
-// runOnce presents a key, follows it to its home and reports whether it ran.
+// runOnce presents a key, follows it to its owner and reports whether it ran.
 func runOnce(nodes map[Incarnation]*Table, at *Table, key string) bool {
 	for range 4 {
 		v, err := present(at, key)
--- a/atmostonce/inherit.go
+++ b/atmostonce/inherit.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// maxIncoming bounds the senders whose hand-overs are remembered.
+// maxIncoming limits the number of senders whose hand-overs are remembered.
 const maxIncoming = 1024
 
-// incoming is what a successor remembers of one sender.
+// incoming is the state of the hand-overs from one sender, on the successor.
 type incoming struct {
 	attempt   uint64
 	total     int
@@ -17,17 +17,17 @@
 	reserved  int64
 	touched   time.Time
 	committed uint64 // the attempt that was committed, 0 if none
-	aborted   uint64 // this and all earlier attempts can't be committed
+	aborted   uint64 // this and all earlier attempts can no longer be committed
 }
 
-// hasCommitted reports whether this very attempt was committed here. in may be
-// nil.
+// hasCommitted reports whether this attempt was committed on this node. in may
+// be nil.
 func (in *incoming) hasCommitted(attempt uint64) bool {
 	return in != nil && in.committed != 0 && in.committed == attempt
 }
 
-// incomingFrom returns what is remembered of a sender, and makes room for a
-// new one. It returns nil if there are too many.
+// incomingFrom returns the state for a sender and creates it if there is none.
+// It returns nil if there are too many senders.
 func (t *Table) incomingFrom(sender Incarnation) *incoming {
 	in := t.incoming[sender]
 	if in == nil && len(t.incoming) < maxIncoming {
@@ -37,7 +37,7 @@
 	return in
 }
 
-// Stage keeps a chunk until the commit. Repeating it is harmless.
+// Stage stores a chunk until the commit. Repeating it has no further effect.
 func (t *Table) Stage(_ context.Context, chunk Chunk) error {
 	t.control.Lock()
 	defer t.control.Unlock()
@@ -56,8 +56,8 @@
 	return c.Total >= 1 && c.Seq >= 0 && c.Seq < c.Total && c.From != c.To
 }
 
-// keepChunk stores a chunk of the sender's present attempt, with room for its
-// entries, or returns why it can't.
+// keepChunk stores a chunk of the sender's current attempt and reserves
+// capacity for its entries, or returns the reason why it can't.
 func (t *Table) keepChunk(chunk Chunk) InheritCode {
 	if !chunk.wellFormed() {
 		return InheritMalformed
@@ -87,7 +87,8 @@
 	return ""
 }
 
-// acceptable returns why a message about a new commit can't be taken.
+// acceptable returns the reason for which a message of an attempt that hasn't
+// been committed must be rejected, or an empty code.
 func (t *Table) acceptable(from, to Incarnation, attempt uint64) InheritCode {
 	in := t.incoming[from]
 	switch {
@@ -103,21 +104,22 @@
 	return ""
 }
 
-// dropStaged is always safe: a commit then finds chunks missing.
+// dropStaged drops the staged chunks. This is always safe, because a commit is
+// then rejected as incomplete.
 func (t *Table) dropStaged(in *incoming) {
 	t.unreserve(in.reserved)
 	in.reserved = 0
 	in.staged = nil
 }
 
-// complete reports whether all chunks of the attempt that a commit names are
-// here. in may be nil.
+// complete reports whether all chunks of the attempt in request are staged. in
+// may be nil.
 func (in *incoming) complete(request CommitRequest) bool {
 	return in != nil && in.attempt == request.Attempt && in.total == request.Total && len(in.staged) == in.total
 }
 
-// Commit makes this node the home of all that was staged. Repeating it gives
-// the same answer.
+// Commit makes this node the owner of all staged keys. Repeating it yields the
+// same result.
 func (t *Table) Commit(_ context.Context, request CommitRequest) error {
 	t.control.Lock()
 	defer t.control.Unlock()
@@ -135,8 +137,8 @@
 	return refusal(code, request.From, request.Attempt)
 }
 
-// inherit enters all fates before any shard learns of the homes, so that no
-// key of theirs can look absent while its fate is still on the way.
+// inherit stores all fates before any shard is informed of the ownership, so
+// that no inherited key can look absent before its fate is stored.
 func (t *Table) inherit(in *incoming) {
 	now := t.clock.now()
 	homes := make(map[Incarnation]homeClock)
@@ -154,16 +156,17 @@
 	t.changeView(func(v *view) { maps.Copy(v.homes, homes) })
 }
 
-// enterFate stores a fate that arrived. It wins over an entry of which this node
-// has sent nothing: one that was released, one for which the store is being
-// asked or a claim given back, and one that is claimed and not dispatched.
+// enterFate stores an inherited fate. The fate replaces an entry whose call
+// this node has not sent: one that was released or is being released, one for
+// which the store is being queried, or one that is claimed and not dispatched.
 //
-// The failure: this node asked the store about a key, or gave its claim back,
-// while the node that had run the key handed it over. The fate was dropped
-// because there was an entry, the claim in the store then named a home which
-// this node had become, and the key ran twice. Replacing the entry is enough:
-// an inquiry, a release and a run act only on an entry that is still in the
-// table, and look at that under the lock held here.
+// If an existing entry won over the fate, a key could run twice: this node
+// queries the store about a key, or releases its claim, while the node that ran
+// the key hands it over. The fate would be dropped, the claim in the store
+// would then name an owner that this node has just inherited, and the key would
+// run here again. Replacing the entry is sufficient: an inquiry, a release and
+// a run act only on an entry that is still in the table, and check that under
+// the lock held here.
 func (t *Table) enterFate(record EntryRecord, shift time.Duration, now time.Time) {
 	s := t.shard(record.Key)
 	s.mu.Lock()
@@ -185,10 +188,11 @@
 	}
 }
 
-// Abort promises that this and all earlier attempts of the sender will never
-// be committed here, also if their messages arrive late. It fails with
-// InheritCommitted if that is no longer possible, and with InheritWrongNode
-// if the incarnation asked for is gone: it may have committed before it went.
+// Abort guarantees that this and all earlier attempts of the sender will never
+// be committed here, even if their messages arrive late. It fails with
+// InheritCommitted if the attempt has already been committed, and with
+// InheritWrongNode if the requested incarnation no longer exists: it may have
+// committed before.
 func (t *Table) Abort(_ context.Context, request AbortRequest) error {
 	t.control.Lock()
 	defer t.control.Unlock()
@@ -213,8 +217,9 @@
 	return ""
 }
 
-// retireHomes forgets homes all of whose keys have expired, and staged chunks
-// whose sender has gone.
+// retireHomes drops inherited and handed-over incarnations all of whose keys
+// have expired. It also drops staged chunks whose sender has sent nothing for
+// StagedTimeout.
 func (t *Table) retireHomes(now time.Time) {
 	t.control.Lock()
 	defer t.control.Unlock()
--- a/atmostonce/inherit_test.go
+++ b/atmostonce/inherit_test.go
@@ -12,8 +12,8 @@
 	"pollengauge.dev/call"
 )
 
-// during lets f happen while the n-th call to the store from now on is under
-// way: it has taken effect, and its caller doesn't have the answer yet.
+// during calls f while the n-th store call from now on is in flight: the call
+// has taken effect, and its caller hasn't received the response yet.
 func (s *fakeStore) during(n int, f func()) {
 	n += s.calls
 	s.meanwhile = func(call int) {
@@ -23,11 +23,11 @@
 	}
 }
 
-// Node a ran a caller's key and drains. Its successor b is asking the store
-// about the same key when the fate arrives with the hand-over. The caller must
-// get the first run's answer. If the fate is dropped because the key is under
-// inquiry, b reads a claim that names a home which is now its own, takes it for
-// one that never ran, and the key runs a second time.
+// Node a ran a caller-supplied key and drains. Its successor b is querying the
+// store about the same key when the fate arrives with the hand-over. The caller
+// must get the response of the first run. If b dropped the fate because the key
+// is being queried, it would read a claim whose owner it has just inherited,
+// conclude that the key never ran, and run it a second time.
 func TestFateArrivesDuringAnInquiry(t *testing.T) {
 	for name, ends := range map[string]func(*qt.C, *Run){
 		"done":        func(c *qt.C, r *Run) { finish(c, r, "filed") },
@@ -56,10 +56,11 @@
 	}
 }
 
-// Node b gives a claim back that it didn't use. The store has deleted it, the
-// answer is on its way, when node a claims the key, runs it and hands it over
-// to b. b must keep that fate. If it is dropped because the key is still being
-// given back, b finds the key absent afterwards and runs it again.
+// Node b releases a claim that it didn't use. The store has deleted the claim
+// and the response is in flight when node a claims the key, runs it and hands
+// it over to b. b must store that fate. If b dropped it because the key is
+// still being released, b would find the key absent afterwards and run it
+// again.
 func TestFateArrivesWhileAClaimIsGivenBack(t *testing.T) {
 	for name, f := range map[string]fault{"deleted": works, "deleted, answer lost": lostAfter} {
 		t.Run(name, func(t *testing.T) {
@@ -80,8 +81,9 @@
 	}
 }
 
-// As above, with a second caller who waits at b for the end of the inquiry: it
-// must be woken and get the answer that arrived.
+// As in the tests above, with a second caller that waits on b for the end of
+// the inquiry. It must be woken and get the response that arrived with the
+// hand-over.
 func TestWaiterGetsTheFateThatArrives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
@@ -101,10 +103,10 @@
 	})
 }
 
-// Node a stood still past the window of a key that it ran, and a collector has
-// deleted its claim. b has claimed the key anew, and has not dispatched it,
-// when a goes on, drains and hands the fate over to b. b must not send the call
-// and must not say not-run: a fate that arrives wins until the call is sent.
+// Node a was paused beyond the window of a key that it ran, and a collector has
+// deleted its claim. b has claimed the key again and hasn't dispatched it when
+// a resumes, drains and hands the fate over to b. b must neither send the call
+// nor report not-run: an inherited fate wins until the call is sent.
 func TestFateArrivesBeforeDispatch(t *testing.T) {
 	store := newFakeStore()
 	c, ctx, a, b := twoNodes(t, withStore(store))
@@ -122,9 +124,10 @@
 	c.Assert(b.InFlight(), qt.Equals, 0)
 }
 
-// The fate that arrived during an inquiry expires, and is dropped, before the
-// inquiry ends. The key then looks absent to b, whose inquiry finds a claim of
-// a home that b inherited. It may not take that for a key that never ran.
+// A fate arrives while b queries the store; it expires and is dropped before
+// the inquiry ends. The key then looks absent to b, and the inquiry finds a
+// claim of an incarnation that b inherited. b must not conclude that the key
+// never ran.
 func TestFateExpiresDuringAnInquiry(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
@@ -144,10 +147,10 @@
 	c.Assert(b.InFlight(), qt.Equals, 0)
 }
 
-// b has a drain of its own and cancels it while it asks the store. The
-// inquiry's entry was taken back, and another presentation has claimed and run
-// the key since. The old inquiry must stop: if it goes on, it writes its claim
-// over that of the run, whose fate can then neither be saved nor expire.
+// b starts a drain and cancels it while it queries the store. The entry of the
+// inquiry was revoked, and another presentation has since claimed and run the
+// key. The old inquiry must stop: if it continued, it would overwrite the claim
+// of that run, whose fate could then neither be saved nor expire.
 func TestInquiryEndsWithItsEntry(t *testing.T) {
 	for at := 1; at <= 2; at++ {
 		t.Run(fmt.Sprint("call ", at), func(t *testing.T) {
@@ -172,9 +175,9 @@
 	}
 }
 
-// The table of b is full of keys that were given back when a hands over. There
-// is no room, so the hand-over is refused before the commit, and a is still the
-// home: nothing may be entered in part.
+// When a hands over, the table of b is full of other keys in flight. The
+// hand-over is rejected before the commit for lack of capacity, and a remains
+// the owner. b must not store part of the hand-over.
 func TestHandOverToAFullTable(t *testing.T) {
 	store := newFakeStore()
 	c, ctx, a, b := twoNodes(t, func(cfg *Config) { cfg.Store, cfg.MaxEntries = store, 2 })
--- a/atmostonce/judge.go
+++ b/atmostonce/judge.go
@@ -8,13 +8,15 @@
 	"pollengauge.dev/call"
 )
 
-// judge decides by a claim that this presentation didn't write. own is true
-// if the claim belongs to a home of this node and hasn't expired: as the table
-// has no entry of the key but inquiry, which is nil for none, it never ran.
+// judge decides by a claim that this presentation didn't write. own is true if
+// the claim names an incarnation that this node owns and hasn't expired. The
+// key has then never run, because the table has no entry for it except inquiry:
+// the entry under which the store was queried, or nil.
 //
-// The entry and the homes are looked at in one step. Fates are entered before
-// their homes are known, so that a home which shows here has brought all its
-// fates; one that replaced inquiry since the store was asked shows as well.
+// The entry and the ownership are checked in one critical section. Inherited
+// fates are stored before the ownership is published, so that all fates of an
+// incarnation that is visible here are in the table. A fate that has replaced
+// inquiry since the store was queried is visible too.
 func (t *Table) judge(p Presentation, found Claim, inquiry *entry) (st step, own bool) {
 	if p.Fingerprint != 0 && found.Fingerprint != 0 && p.Fingerprint != found.Fingerprint {
 		return refuse(p.Key, call.Unknown, call.ReasonKeyReused), false
@@ -41,7 +43,8 @@
 	return step{}, true
 }
 
-// recorded answers from a fate that the home wrote to the store.
+// recorded decides by a fate that the owner wrote to the store. ok is false if
+// the claim holds no fate.
 func recorded(key string, found Claim) (step, bool) {
 	switch {
 	case found.State == StateDone && found.Answer != nil:
@@ -54,7 +57,7 @@
 	return step{}, false
 }
 
-// locate finds out about a brought key that this node can't claim now. Only
+// locate looks up a caller-supplied key that this node can't claim now. Only
 // the store can prove that no other node ran it.
 func (t *Table) locate(ctx context.Context, p Presentation, reason call.Reason) step {
 	found, _, err := t.cfg.Store.Get(ctx, ClaimName(t.cfg.Service, p.Key))
@@ -72,9 +75,9 @@
 	return refuse(p.Key, call.NotRun, reason)
 }
 
-// Recall asks the store for the fate of a key whose home is gone. It returns
-// Replay with the answer, or a *RefusedError with outcome unknown. The key is
-// never run.
+// Recall reads the fate of a key from the store after its owner has crashed or
+// left. It returns Replay with the answer, or a *RefusedError with outcome
+// unknown. It never runs the key.
 func (t *Table) Recall(ctx context.Context, key string) (Verdict, error) {
 	gone := &RefusedError{Key: key, Outcome: call.Unknown, Reason: call.ReasonKeyHomeGone}
 	if t.cfg.Store == nil {
--- a/atmostonce/key.go
+++ b/atmostonce/key.go
@@ -19,41 +19,42 @@
 	maxMintDigits    = 10
 )
 
-// Incarnation names one life of one node: 128 random bits as 32 lower-case
-// hexadecimal digits. It is never used again after the process ends.
+// Incarnation identifies one run of a node process: 128 random bits as 32
+// lower-case hexadecimal digits. It is never reused after the process exits.
 type Incarnation string
 
-// NewIncarnation draws an incarnation from r. It panics with an *EntropyError
-// if r fails: two nodes that share an incarnation could both run a key.
+// NewIncarnation generates an incarnation from r. It panics with an
+// *EntropyError if r fails, because two nodes that share an incarnation could
+// both run a key.
 func NewIncarnation(r io.Reader) Incarnation { return Incarnation(randomHex(r)) }
 
-// Valid reports whether i has the form that NewIncarnation gives.
+// Valid reports whether i has the form that NewIncarnation returns.
 func (i Incarnation) Valid() bool { return isRandomHex(string(i)) }
 
-// Key is an idempotency key. A minted key has all fields; a key that the
-// caller brought has only its text.
+// Key is an idempotency key. A minted key has all fields set; a caller-supplied
+// key has only its text.
 type Key struct {
 	Service string
-	// Home is the incarnation that alone may dispatch the key.
+	// Home is the owner: the only incarnation that may dispatch the key.
 	Home Incarnation
-	// Minted is the minter's clock in unix seconds.
+	// Minted is the mint time by the minter's clock, in Unix seconds.
 	Minted int64
 	Random string
 	text   string
 }
 
-// String returns the key's text as it travels in a header.
+// String returns the text of the key as it is sent in a header.
 func (k Key) String() string { return k.text }
 
-// Mint makes a new key whose home is inc, a node of service. It panics with
-// an *EntropyError if r fails.
+// Mint creates a key that is owned by inc, a node of service. It panics with an
+// *EntropyError if r fails.
 func Mint(service string, inc Incarnation, now time.Time, r io.Reader) Key {
 	return mint(service, inc, now, randomHex(r))
 }
 
-// MintChild makes the key of a call inside a chain: id comes from ChildKey,
-// inc is the node of service that the call is sent to. The same id, node and
-// second give the same key.
+// MintChild creates the key of a call that an upstream makes while it serves
+// another call. id is the result of ChildKey, and inc is the node of service
+// that receives the call. The same id, node and second yield the same key.
 func MintChild(service string, inc Incarnation, now time.Time, id string) Key {
 	return mint(service, inc, now, id)
 }
@@ -64,9 +65,10 @@
 	return Key{Service: service, Home: inc, Minted: seconds, Random: random, text: text}
 }
 
-// ParseKey reads a key. minted tells whether it names a home. Text that
-// starts like a minted key but isn't one exactly is a *KeyError: were it taken
-// as brought by the caller, a damaged key could run a second time.
+// ParseKey parses the text of a key. minted reports whether the key names an
+// owner. Text that has the prefix of a minted key but isn't a valid one is
+// rejected with a *KeyError: if a damaged key were accepted as caller-supplied,
+// its call could run a second time.
 func ParseKey(s string) (key Key, minted bool, err error) {
 	if !call.ValidToken(s, call.MaxKeyLength) {
 		return Key{}, false, &KeyError{Key: s, Want: "1 to " + strconv.Itoa(call.MaxKeyLength) + " visible ASCII characters"}
@@ -93,8 +95,8 @@
 	return key, true, nil
 }
 
-// ValidService reports whether s can be the service of a minted key: 1 to 63
-// lower-case letters, digits and hyphens.
+// ValidService reports whether s is a valid service name in a minted key: 1 to
+// 63 lower-case letters, digits and hyphens.
 func ValidService(s string) bool {
 	if s == "" || len(s) > maxServiceLength {
 		return false
@@ -108,7 +110,8 @@
 	return true
 }
 
-// parseSeconds takes canonical decimals only, so that one key has one text.
+// parseSeconds accepts only canonical decimal numbers, so that a key has only
+// one valid text.
 func parseSeconds(s string) (int64, bool) {
 	if s == "" || len(s) > maxMintDigits || (len(s) > 1 && s[0] == '0') {
 		return 0, false
--- a/atmostonce/key_test.go
+++ b/atmostonce/key_test.go
@@ -8,9 +8,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A key is damaged on the way or forged. Taken as one that the caller brought,
-// it would be claimed and run although the whole key has run at its home, so
-// whatever starts like a minted key must be exactly one or be refused.
+// A minted key is damaged in transit or forged. If it were accepted as a
+// caller-supplied key, it would be claimed and run although the intact key has
+// already run at its owner. Therefore text with the prefix of a minted key must
+// be a valid minted key or be rejected.
 func TestDamagedKeyIsNotABroughtOne(t *testing.T) {
 	c := qt.New(t)
 	inc := NewIncarnation(testRandom(1))
@@ -32,7 +33,8 @@
 }
 
 // An upstream repeats an outgoing call, or its node derives the key again. The
-// child's key must be the same for the same call, and another for any other.
+// child key must be the same for the same call and different for any other
+// call.
 func TestChildKeys(t *testing.T) {
 	c := qt.New(t)
 	seen := map[string]string{}
--- a/atmostonce/list.go
+++ b/atmostonce/list.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
-// Filter chooses fates for List. The zero Filter chooses all.
+// Filter selects fates for List. The zero Filter selects all.
 type Filter struct {
-	// States, if not empty, are the states wanted.
+	// States are the selected states; empty selects all.
 	States []State
-	// OlderThan wants fates that have stood for at least that long.
+	// OlderThan selects fates whose state hasn't changed for at least this
+	// long.
 	OlderThan time.Duration
-	// Profile and RequestID, if not empty, must be equal.
+	// Profile and RequestID, if not empty, must match exactly.
 	Profile   string
 	RequestID string
-	// Limit bounds the list; 0 means no bound.
+	// Limit is the maximum length of the list; 0 means no limit.
 	Limit int
 }
 
-// Attention chooses what an operator should look at: unknown fates and calls
-// that were dispatched longer ago than the given time and haven't ended.
+// Attention returns the filters for the fates that an operator should check:
+// unknown fates, and keys that have been in an unfinished state for longer than
+// the given time.
 func Attention(after time.Duration) []Filter {
 	return []Filter{
 		{States: []State{StateUnknown}},
@@ -35,7 +37,7 @@
 		(f.RequestID == "" || f.RequestID == fate.RequestID)
 }
 
-// List returns the fates that f chooses, those that have stood longest first.
+// List returns the fates that f selects, those whose state is oldest first.
 func (t *Table) List(f Filter) []Fate {
 	now := t.clock.now()
 	var fates []Fate
@@ -65,7 +67,7 @@
 	return fates
 }
 
-// Lookup returns the fate of one key, and whether the table has it.
+// Lookup returns the fate of a key, and whether the table has an entry for it.
 func (t *Table) Lookup(key string) (Fate, bool) {
 	s := t.shard(key)
 	s.mu.Lock()
--- a/atmostonce/message.go
+++ b/atmostonce/message.go
@@ -8,8 +8,8 @@
 	"pollengauge.dev/call"
 )
 
-// Chunk is a part of a table on its way to the successor. Sending a chunk
-// twice is harmless.
+// Chunk is a part of a table that is sent to the successor. Sending a chunk
+// twice has no further effect.
 type Chunk struct {
 	From    Incarnation
 	To      Incarnation
@@ -20,21 +20,24 @@
 	Entries []EntryRecord
 }
 
-// HomeRecord is one home that the sender has, with its clock.
+// HomeRecord is one incarnation whose keys the sender owns, with the clock by
+// which these keys expire.
 type HomeRecord struct {
 	Incarnation Incarnation
-	// NowUnixNano is the home's clock when the chunk was made.
+	// NowUnixNano is the reading of the incarnation's clock when the chunk was
+	// created.
 	NowUnixNano int64
-	// RetireUnixNano is when, on that clock, all its keys have expired.
+	// RetireUnixNano is the time on that clock at which all keys of the
+	// incarnation have expired.
 	RetireUnixNano int64
 }
 
-// EntryRecord is one fate.
+// EntryRecord is the fate of one key.
 type EntryRecord struct {
 	Key             string
 	Home            Incarnation
-	ExpiresUnixNano int64 // on the home's clock
-	Done            bool  // otherwise unknown
+	ExpiresUnixNano int64 // by the clock of Home
+	Done            bool  // if false, the fate is unknown
 	Answer          *Answer
 	Reason          call.Reason
 	RequestID       string
@@ -46,7 +49,7 @@
 	ClaimVersion    Version
 }
 
-// CommitRequest asks the successor to become the home.
+// CommitRequest asks the successor to become the owner of the keys.
 type CommitRequest struct {
 	From    Incarnation
 	To      Incarnation
@@ -61,17 +64,18 @@
 	Attempt uint64
 }
 
-// Successor carries the messages of a hand-over to the node that takes over.
-// There it calls the methods of the same names on the Table. Any error other
-// than those types may mean that the message took effect.
+// Successor sends the messages of a hand-over to the node that takes over,
+// where the Table methods of the same names are called. An *InheritError is the
+// successor's rejection. After any other error the message may have taken
+// effect.
 type Successor interface {
 	Stage(ctx context.Context, chunk Chunk) error
 	Commit(ctx context.Context, request CommitRequest) error
 	Abort(ctx context.Context, request AbortRequest) error
 }
 
-// HandOverError tells which step of a hand-over failed, and whether the
-// successor may be the home.
+// HandOverError reports which step of a hand-over failed, and whether the
+// successor may already own the keys.
 type HandOverError struct {
 	Step      string
 	To        Incarnation
@@ -83,7 +87,7 @@
 func (e *HandOverError) Error() string {
 	text := "hand-over to " + string(e.To) + ": " + e.Step + " failed"
 	if e.Ambiguous {
-		text += ", the successor may be the home"
+		text += ", the successor may already own the keys"
 	}
 	if e.Err != nil {
 		text += ": " + e.Err.Error()
@@ -94,7 +98,7 @@
 // Unwrap returns the cause, if there is one.
 func (e *HandOverError) Unwrap() error { return e.Err }
 
-// InheritCode says why a successor refused a message.
+// InheritCode is the reason for which a successor rejected a message.
 type InheritCode string
 
 // Codes of InheritError.
@@ -103,20 +107,21 @@
 	InheritWrongNode InheritCode = "wrong-node"
 	// InheritNotActive: the successor is draining itself.
 	InheritNotActive InheritCode = "not-active"
-	// InheritNoRoom: the table has no room for the entries.
+	// InheritNoRoom: the table has no capacity for the entries.
 	InheritNoRoom InheritCode = "no-room"
-	// InheritAborted: the attempt was aborted and can't be committed any more.
+	// InheritAborted: the attempt was aborted and can no longer be committed.
 	InheritAborted InheritCode = "aborted"
-	// InheritCommitted: the attempt was committed and can't be aborted.
+	// InheritCommitted: the attempt was committed and can no longer be aborted.
 	InheritCommitted InheritCode = "committed"
 	// InheritIncomplete: chunks are missing.
 	InheritIncomplete InheritCode = "incomplete"
-	// InheritMalformed: the message contradicts itself or earlier ones.
+	// InheritMalformed: the message is inconsistent in itself or with earlier
+	// ones.
 	InheritMalformed InheritCode = "malformed"
 )
 
-// InheritError is a successor's refusal. A Successor must bring it back to the
-// sender as it is.
+// InheritError is a successor's rejection of a message. A Successor must return
+// it to the sender unchanged.
 type InheritError struct {
 	Code    InheritCode
 	From    Incarnation
@@ -128,7 +133,7 @@
 	return "hand-over " + strconv.FormatUint(e.Attempt, 10) + " from " + string(e.From) + " refused: " + string(e.Code)
 }
 
-// refusal returns the error for a code, or nil if there is none.
+// refusal returns the error for a code, or nil if code is empty.
 func refusal(code InheritCode, from Incarnation, attempt uint64) error {
 	if code == "" {
 		return nil
--- a/atmostonce/model_test.go
+++ b/atmostonce/model_test.go
@@ -15,7 +15,8 @@
 	"pollengauge.dev/call"
 )
 
-// TestMain fixes the seed of the state machine, so that a failure comes back.
+// TestMain fixes the seed of the state machine tests, so that failures are
+// reproducible.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "2000", "rapid.steps": "80", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -25,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// openRun is a run that its holder has not ended.
+// openRun is a run that its holder has not completed.
 type openRun struct {
 	run        *Run
 	node       *modelNode
@@ -36,14 +37,15 @@
 	name  string
 	table *Table
 	clock *fakeClock
-	// to is where an unfinished hand-over goes.
+	// to is the successor of an unfinished hand-over.
 	to *modelNode
-	// paused: nothing reaches the node, but what it holds it may still send.
+	// paused nodes receive no messages, but may still dispatch the runs that
+	// they have.
 	paused bool
 }
 
-// world is several nodes, the store, the messages under way, and the oracle:
-// how often each key really reached an upstream.
+// world holds several nodes, the store, the messages in flight, and the oracle:
+// how many times each key actually reached an upstream.
 type world struct {
 	store    *fakeStore
 	nodes    []*modelNode
@@ -53,7 +55,7 @@
 	executed map[string]int
 	answers  map[string]string
 	seed     byte
-	window   bool // whether clocks may pass the window
+	window   bool // whether clocks may advance past the window
 	nested   bool
 	refused  int
 	ran      int
@@ -71,7 +73,7 @@
 	return w
 }
 
-// start adds a node whose clock may be hours off.
+// start adds a node whose clock is up to 40 minutes off.
 func (w *world) start(rt *rapid.T) {
 	w.seed++
 	table, clock := testNode(w.seed, func(cfg *Config) {
@@ -86,9 +88,9 @@
 	w.nodes = append(w.nodes, &modelNode{name: fmt.Sprint("n", w.seed), table: table, clock: clock})
 }
 
-// interleave lets some of the given steps happen while a store call or a
-// message is under way. Those under a message are no steps of a drain: its
-// node's table is held by the one that sends.
+// interleave runs some of the given steps while a store request or a message is
+// in flight. Callers that have a message in flight pass no drain steps, because
+// the sender holds the lock that serializes the drain of its table.
 func (w *world) interleave(rt *rapid.T, steps ...func(*rapid.T)) {
 	if w.nested || rapid.IntRange(0, 2).Draw(rt, "interleave") > 0 {
 		return
@@ -115,8 +117,9 @@
 	return rapid.SampledFrom(keys).Draw(rt, "key")
 }
 
-// present sends a key to some node and follows it to the home that it names.
-// Now and then the sender's view is wrong, and any node may get it.
+// present sends a key to some node and follows it to the owner that the node
+// names. Sometimes the sender's view of the owners is wrong and any node may
+// receive the key.
 func (w *world) present(rt *rapid.T) {
 	key := w.key(rt)
 	at := w.node(rt)
@@ -158,8 +161,8 @@
 	return nil
 }
 
-// check holds an error against the oracle: not-run may be said only of a key
-// that no upstream got.
+// check compares an error with the oracle: not-run may be reported only for a
+// key that no upstream received.
 func (w *world) check(rt *rapid.T, key string, err error) {
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
@@ -167,7 +170,7 @@
 	}
 	w.refused++
 	if refused.Outcome == call.NotRun && w.executed[key] > 0 {
-		rt.Fatalf("%s: told not-run (%s), but it ran", key, refused.Reason)
+		rt.Fatalf("%s: reported as not-run (%s), but it ran", key, refused.Reason)
 	}
 }
 
@@ -182,7 +185,7 @@
 	w.runs = slices.DeleteFunc(w.runs, func(o *openRun) bool { return o == r })
 }
 
-// dispatch sends the call of a claimed run.
+// dispatch dispatches the call of a claimed run.
 func (w *world) dispatch(rt *rapid.T) {
 	r := w.pick(rt)
 	if r == nil {
@@ -208,7 +211,7 @@
 	}
 }
 
-// end ends a run in one of the ways open to it.
+// end completes a run in one of the ways that its state allows.
 func (w *world) end(rt *rapid.T) {
 	r := w.pick(rt)
 	if r == nil {
@@ -226,14 +229,14 @@
 		}
 	case 1:
 		if !r.dispatched || r.run.Unknown(call.ReasonTimeout) == nil {
-			return // the answer may still come
+			return // the response may still arrive
 		}
 	case 2:
 		if r.dispatched && rapid.Bool().Draw(rt, "not proved") {
 			return
 		}
 		if r.dispatched {
-			// The upstream refused the connection: it is proved that the call
+			// The upstream refused the connection. This proves that the call
 			// didn't run, so it counts as not sent.
 			if r.run.NotRun() == nil {
 				w.executed[key]--
@@ -241,7 +244,7 @@
 			break
 		}
 		if r.run.NotRun() == nil && w.executed[key] > 0 {
-			rt.Fatalf("%s: refused before dispatch, but it ran", key)
+			rt.Fatalf("%s: released before dispatch, but it ran", key)
 		}
 	case 3:
 		r.run.Close()
@@ -297,7 +300,7 @@
 	}
 }
 
-// crash ends a node with all that it holds and starts another in its place.
+// crash removes a node with all its state and starts another one in its place.
 func (w *world) crash(rt *rapid.T) {
 	n := w.node(rt)
 	w.runs = slices.DeleteFunc(w.runs, func(r *openRun) bool { return r.node == n })
@@ -310,7 +313,7 @@
 	w.start(rt)
 }
 
-// advance moves one node's clock, sometimes back.
+// advance moves the clock of one node, sometimes backward.
 func (w *world) advance(rt *rapid.T) {
 	n := w.node(rt)
 	limit := 8
@@ -356,11 +359,11 @@
 	}
 }
 
-// Clients present keys at any node, some twice at once, while nodes drain to
-// each other, crash, are paused and resumed, lose messages and store answers,
-// and have clocks that disagree and step back. No key may reach an upstream
-// twice, none may be called not-run after it has, and a stored answer is that
-// of its own key.
+// Clients present keys to any node, some of them twice at the same time.
+// Meanwhile nodes drain to each other, crash, are paused and resumed, and lose
+// messages and responses of the store, and their clocks differ and step back.
+// No key may reach an upstream twice, no key may be reported as not-run after
+// it ran, and a replayed answer must be the one of its key.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	for name, window := range map[string]bool{"inside the window": false, "past the window": true} {
 		t.Run(name, func(t *testing.T) {
--- a/atmostonce/note.go
+++ b/atmostonce/note.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Note is what a home tells its witness of a call that it is about to
-// dispatch: enough for an operator to look the call up, nothing to run it or
-// to answer for it. A witness has no say in whether a key may run.
+// Note is the record of a call that an owner sends to its witness before it
+// dispatches the call. It lets an operator look the call up after the owner has
+// crashed. It isn't enough to run the call or to respond for it, and a witness
+// doesn't decide whether a key may run.
 type Note struct {
-	// Number is the home's own count.
+	// Number is assigned by the owner, in rising order.
 	Number uint64 `json:"number"`
 	// Key is redacted.
 	Key     string    `json:"key"`
@@ -20,26 +21,28 @@
 	Expires time.Time `json:"expires"`
 }
 
-// OpenNotes is a home's word on which of its notes are open. Of the numbers up
-// to Through all others are settled, also those of notes still on their way.
+// OpenNotes is an owner's snapshot of its open notes. All other notes with
+// numbers up to Through are settled, including notes that are still in flight
+// to the witness.
 //
-// The failure: a list of the settled notes was lost or overtaken by a note that
-// its home had given up waiting for, and the witness kept a settled call as an
-// open one. The whole state mends what an earlier message missed.
+// The owner sends the complete state and not a list of settled notes. Such a
+// list could be lost, or be overtaken by a note that the owner had stopped
+// waiting for, and the witness would then store a settled call as an open one.
+// A complete snapshot makes up for earlier messages that were missed.
 type OpenNotes struct {
-	// Seq orders the home's words; a later one replaces an earlier one.
+	// Seq orders the owner's snapshots; a later one replaces an earlier one.
 	Seq     uint64   `json:"seq"`
 	Through uint64   `json:"through"`
 	Numbers []uint64 `json:"numbers,omitempty"`
 }
 
-// settles reports whether the word says that a note is settled.
+// settles reports whether the snapshot shows that a note is settled.
 func (o OpenNotes) settles(number uint64) bool {
 	_, open := slices.BinarySearch(o.Numbers, number)
 	return number <= o.Through && !open
 }
 
-// olderNote orders notes by their age.
+// olderNote orders notes from the oldest to the newest.
 func olderNote(a, b Note) int {
 	return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Number, b.Number))
 }
--- a/atmostonce/noted.go
+++ b/atmostonce/noted.go
@@ -7,34 +7,36 @@
 	"time"
 )
 
-// Noted is the home's side: its open notes and who may have them.
+// Noted is the owner's record of its open notes and of the members that may
+// have received them.
 type Noted struct {
 	mu    sync.Mutex
 	limit int
 	count uint64
 	seq   uint64
 	open  map[uint64]*notedCall
-	// stale are members whose last confirmed word is no longer true, with the
-	// sequence number that the next word must reach.
+	// stale holds the members whose last confirmed snapshot is out of date,
+	// each with the sequence number that its next snapshot must reach.
 	stale map[string]uint64
 }
 
 type notedCall struct {
 	Note
-	// sending tells that the note is on its way to a first witness.
+	// sending is true while the note is being sent to its first witness.
 	sending bool
-	// witness has confirmed the note; may are all members that may have it.
+	// witness is the member that confirmed the note. may lists all members that
+	// may have received it.
 	witness string
 	may     []string
 }
 
-// NewNoted returns the record of a home that has at most limit open notes.
+// NewNoted creates a record with at most limit open notes.
 func NewNoted(limit int) *Noted {
 	return &Noted{limit: limit, open: make(map[uint64]*notedCall), stale: make(map[string]uint64)}
 }
 
-// Add numbers a note that is about to be sent to a member, which may be empty.
-// It fails if too many notes are open.
+// Add assigns a number to a note that is about to be sent to the member to,
+// which may be empty. It reports false if too many notes are open.
 func (n *Noted) Add(note Note, to string) (Note, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,7 +53,8 @@
 	return note, true
 }
 
-// Sent records what came of sending notes to a member.
+// Sent records whether the member to has confirmed the notes that were sent to
+// it.
 func (n *Noted) Sent(notes []Note, to string, confirmed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,7 +70,8 @@
 	}
 }
 
-// Settle ends a note: the call's fate is known, or its key was not run.
+// Settle removes an open note: the call's fate is known, or the call was not
+// run.
 func (n *Noted) Settle(number uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -76,7 +80,8 @@
 	}
 }
 
-// end removes a note. The caller holds the lock.
+// end removes a note and marks its recipients as stale. The caller holds the
+// lock.
 func (n *Noted) end(c *notedCall) {
 	delete(n.open, c.Number)
 	n.seq++
@@ -85,8 +90,8 @@
 	}
 }
 
-// Missing returns at most limit open notes that no living member has confirmed,
-// the oldest first, and gives up those that have expired.
+// Missing returns at most limit open notes that no live member has confirmed,
+// the oldest first. It drops notes that have expired.
 func (n *Noted) Missing(now time.Time, lives func(member string) bool, limit int) []Note {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -104,9 +109,9 @@
 	return notes[:min(len(notes), limit)]
 }
 
-// Offer records that notes which went missing are about to be sent to a member,
-// and returns the word to send with them: without it the member could take them
-// for settled.
+// Offer records that notes returned by Missing are about to be sent to the
+// member to, and returns the snapshot to send with them. Without the snapshot
+// the member could treat these notes as settled.
 func (n *Noted) Offer(notes []Note, to string) OpenNotes {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -118,14 +123,15 @@
 	return n.word(to)
 }
 
-// Stale returns the members that are to get a word.
+// Stale returns the members that need a new snapshot.
 func (n *Noted) Stale() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Sorted(maps.Keys(n.stale))
 }
 
-// Word returns which notes that a member may have are open.
+// Word returns a snapshot of the open notes that the member to may have
+// received.
 func (n *Noted) Word(to string) OpenNotes {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -144,7 +150,8 @@
 	return w
 }
 
-// Heard records that a member has taken a word.
+// Heard records that a member has accepted the snapshot with sequence number
+// seq.
 func (n *Noted) Heard(member string, seq uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/atmostonce/present.go
+++ b/atmostonce/present.go
@@ -8,28 +8,29 @@
 	"pollengauge.dev/call"
 )
 
-// Presentation is one arrival of a key.
+// Presentation is one arrival of a call that carries a key.
 type Presentation struct {
 	// Key is the text of the idempotency key.
 	Key string
 	// RequestID and Profile are shown to operators.
 	RequestID string
 	Profile   string
-	// Fingerprint is a hash of the request, 0 for none. Two callers who bring
-	// the same key would otherwise get each other's answers.
+	// Fingerprint is a hash of the request, or 0 for none. Without it, two
+	// callers that supply the same key for different requests would get each
+	// other's answers.
 	Fingerprint uint64
-	// Durable asks for the fate to be written to the store after the run, so
-	// that it can be told after this node is gone.
+	// Durable requests that the fate be written to the store after the run, so
+	// that it can be reported after this node is gone.
 	Durable bool
 }
 
-// VerdictKind is what the presenter of a key has to do.
+// VerdictKind is the action that the presenter of a key must take.
 type VerdictKind uint8
 
 const (
 	// RunNow: the presenter runs the call through Verdict.Run.
 	RunNow VerdictKind = iota + 1
-	// Replay: the key ran before; Verdict.Answer is its whole answer.
+	// Replay: the key ran before; Verdict.Answer is the complete response.
 	Replay
 	// Forward: Verdict.Home is the only node that may run the key.
 	Forward
@@ -43,23 +44,24 @@
 	Home   Incarnation
 }
 
-// lookAgain is a wait that is over: what the table held has changed meanwhile.
+// lookAgain is a closed channel. A step waits on it when the table has changed
+// in the meantime and must be checked again at once.
 var lookAgain = func() <-chan struct{} {
 	over := make(chan struct{})
 	close(over)
 	return over
 }()
 
-// step is what one look at the table decided.
+// step is the result of checking the table once.
 type step struct {
 	verdict Verdict
 	err     *RefusedError
-	// wait is closed when it is worth looking again.
+	// wait is closed when the table should be checked again.
 	wait <-chan struct{}
-	// claiming is a new entry for which the store has to be asked.
+	// claiming is a new entry for which the store must be queried.
 	claiming *entry
-	// locate is the reason why the key can't be claimed here; the store tells
-	// whether it was claimed elsewhere.
+	// locate is the reason why the key can't be claimed on this node. The store
+	// must be queried whether another node claimed it.
 	locate call.Reason
 }
 
@@ -67,8 +69,9 @@
 	return step{err: &RefusedError{Key: key, Outcome: outcome, Reason: reason}}
 }
 
-// Begin presents a key. While another presentation of the key is in flight it
-// waits until that one ends or ctx does. An error is always a *RefusedError.
+// Begin presents a key. While another presentation of the key is in flight,
+// Begin waits until that one finishes or ctx is done. Every error is a
+// *RefusedError.
 func (t *Table) Begin(ctx context.Context, p Presentation) (Verdict, error) {
 	key, minted, err := ParseKey(p.Key)
 	if err != nil || (minted && key.Service != t.cfg.Service) {
@@ -91,8 +94,8 @@
 		select {
 		case <-s.wait:
 		case <-ctx.Done():
-			// The other presentation may run the key at any moment, so not
-			// even a key that is only claimed can be called not-run here.
+			// The other presentation may run the key at any moment. Even a key
+			// that is only claimed can't be reported as not-run here.
 			return Verdict{}, &RefusedError{Key: p.Key, Outcome: call.Unknown, Reason: endReason(ctx)}
 		}
 	}
@@ -105,7 +108,7 @@
 	return call.ReasonCancelled
 }
 
-// present looks at the table once, and claims the key if it may.
+// present checks the table once, and claims the key if possible.
 func (t *Table) present(p Presentation, key Key, minted bool) step {
 	now := t.clock.now()
 	s := t.shard(p.Key)
@@ -123,7 +126,8 @@
 	return t.presentBrought(s, p, now)
 }
 
-// presentReleased claims a released key, whose claim in the store is still this node's.
+// presentReleased claims a released key. This node still owns the claim in the
+// store.
 func (t *Table) presentReleased(s *shard, e *entry, p Presentation, now time.Time) step {
 	switch {
 	case s.view.phase.gone():
@@ -152,7 +156,8 @@
 	case s.view.phase.gone():
 		return step{verdict: Verdict{Kind: Forward, Home: s.view.successor}}
 	case now.After(expires):
-		// An expired key's entry may have been dropped: it may have run.
+		// The entry of an expired key may have been dropped, so the key may
+		// have run.
 		return refuse(p.Key, call.Unknown, call.ReasonKeyExpired)
 	case s.view.phase != phaseActive:
 		return refuse(p.Key, call.NotRun, call.ReasonDraining)
--- a/atmostonce/run.go
+++ b/atmostonce/run.go
@@ -7,21 +7,22 @@
 	"pollengauge.dev/call"
 )
 
-// Run is the one permission to dispatch a key. Its holder calls Dispatched
-// right before sending, and then Done, Unknown or NotRun.
+// Run is the only permission to dispatch a key. Its holder calls Dispatched
+// right before sending the call, and then Done, Unknown or NotRun.
 type Run struct {
 	table *Table
 	shard *shard
 	entry *entry
 }
 
-// Key is the key's text.
+// Key returns the text of the key.
 func (r *Run) Key() string { return r.entry.Key }
 
-// Dispatched marks the call as sent. It must be called before the first byte
-// goes to the upstream, and nothing may be sent if it fails. A *RefusedError
-// says that the claim was taken back because the node hands its keys over;
-// Begin then tells where the key has gone.
+// Dispatched marks the call as sent. Call it before the first byte goes to the
+// upstream; if it fails, nothing may be sent. A *RefusedError with reason
+// draining means that the claim was revoked because this node hands its keys
+// over or inherited the key's fate. Begin then returns the new owner or the
+// fate.
 func (r *Run) Dispatched() error {
 	now := r.table.clock.now()
 	r.shard.mu.Lock()
@@ -31,8 +32,9 @@
 	case e.run != r:
 		return &RefusedError{Key: e.Key, Outcome: r.revoked(now), Reason: call.ReasonDraining}
 	case !e.minted && now.After(e.expires):
-		// This process was paused for the whole window. The claim in the
-		// store may be deleted and the key claimed by another node.
+		// This process was paused until the key's window ended. The claim in
+		// the store may have been deleted and another node may have claimed the
+		// key.
 		return &RefusedError{Key: e.Key, Outcome: call.Unknown, Reason: call.ReasonKeyExpired}
 	}
 	if err := r.mayBecome(StateDispatched, StateClaimed); err != nil {
@@ -43,9 +45,10 @@
 	return nil
 }
 
-// revoked is what is known of a key whose claim was taken back by a drain.
-// Another presentation may have run it since: at the successor, or here after
-// the drain was cancelled. The caller holds the shard's lock.
+// revoked returns the outcome to report for a key whose claim was revoked by a
+// drain or an inherited fate. Another presentation may have run the key since:
+// on the successor, or here after the drain was cancelled. The caller holds the
+// shard's lock.
 func (r *Run) revoked(now time.Time) call.Outcome {
 	e := r.entry
 	v := r.shard.view
@@ -59,13 +62,13 @@
 	return call.NotRun
 }
 
-// Done stores the whole answer for later presentations. It may follow Unknown
-// if the answer arrives late.
+// Done stores the complete response for later presentations. It may follow
+// Unknown if the response arrives late.
 func (r *Run) Done(answer Answer) error { return r.done(&answer) }
 
-// DoneUnheld records that the call completed with an answer that can't be
-// kept, for example because it is too large to be read whole. Part of an
-// answer must never be given to Done: it would be replayed as the whole.
+// DoneUnheld records that the call completed with a response that can't be
+// stored, for example because it is too large to be buffered. Never pass a
+// partial response to Done: it would be replayed as the complete one.
 func (r *Run) DoneUnheld() error { return r.done(nil) }
 
 func (r *Run) done(answer *Answer) error {
@@ -84,7 +87,7 @@
 	return nil
 }
 
-// Unknown records that the call was dispatched and its fate isn't known.
+// Unknown records that the call was dispatched and its outcome isn't known.
 func (r *Run) Unknown(reason call.Reason) error {
 	now := r.table.clock.now()
 	r.shard.mu.Lock()
@@ -98,8 +101,8 @@
 	return nil
 }
 
-// mayBecome refuses a change of state unless the key is still this run's and in one
-// of the states that lead there. The caller holds the shard's lock.
+// mayBecome returns a *RunError unless this run still has the key and the key's
+// state is one of from. The caller holds the shard's lock.
 func (r *Run) mayBecome(to State, from ...State) error {
 	e := r.entry
 	if e.run != r || !slices.Contains(from, e.state) {
@@ -108,7 +111,7 @@
 	return nil
 }
 
-// end stores a fate. The caller holds the shard's lock.
+// end records a fate. The caller holds the shard's lock.
 func (r *Run) end(state State, now time.Time) {
 	e := r.entry
 	first := e.state == StateDispatched
@@ -125,10 +128,10 @@
 	}
 }
 
-// NotRun gives the key back: it is proved that no upstream ran any part of
-// the call. After Dispatched it needs such a proof, for example that no
-// connection could be made. A waiting presenter may then run the key. If it
-// fails, the key may be another node's by now: answer unknown.
+// NotRun releases the key: it is proven that no upstream ran any part of the
+// call. After Dispatched it needs a proof, for example that no connection could
+// be established. A waiting presentation may then run the key. If NotRun fails,
+// another node may own the key by now; report the outcome as unknown.
 func (r *Run) NotRun() error {
 	now := r.table.clock.now()
 	r.shard.mu.Lock()
@@ -148,9 +151,10 @@
 	return nil
 }
 
-// Close ends a run that its holder left open, for example by a panic: as
-// NotRun if it wasn't dispatched, as Unknown otherwise. Without it the key's
-// presenters would wait for ever. After the run has ended it does nothing.
+// Close completes a run that its holder left open, for example after a panic:
+// as NotRun if it wasn't dispatched, as Unknown otherwise. Without Close, other
+// presentations of the key would wait forever. Close does nothing if the run
+// has been completed.
 func (r *Run) Close() {
 	r.shard.mu.Lock()
 	mine, state := r.entry.run == r, r.entry.state
--- a/atmostonce/shard.go
+++ b/atmostonce/shard.go
@@ -8,10 +8,11 @@
 	"pollengauge.dev/call"
 )
 
-// shard holds a part of the table's entries under its own lock. It has its
-// own copy of the view, because a claim must see the phase and the homes in
-// the same step that makes it: a presentation that read them earlier and was
-// paused could otherwise claim a key which has been handed over meanwhile.
+// shard holds part of the table's entries under its own lock. It has its own
+// pointer to the view, because a claim must check the phase and the ownership
+// in the same critical section in which it is made. Otherwise a presentation
+// that read them and was then paused could claim a key that has been handed
+// over in the meantime.
 type shard struct {
 	mu      sync.Mutex
 	view    *view
@@ -32,14 +33,16 @@
 	s.view = v
 }
 
-// settle moves e to a state that isn't pending and wakes its presenters.
+// settle changes e to a state that isn't pending and wakes the presentations
+// that wait for it.
 func (s *shard) settle(e *entry, state State, now time.Time) {
 	e.state = state
 	e.since = now
 	close(e.changed)
 }
 
-// remove drops e and wakes its presenters, who then find the key absent.
+// remove drops e and wakes the presentations that wait for it. They then find
+// the key absent.
 func (s *shard) remove(e *entry) {
 	s.dropAnswer(e)
 	delete(s.entries, e.Key)
@@ -50,8 +53,8 @@
 	e.run = nil
 }
 
-// claim gives e to a new run. Presenters who wait for a claim in the store
-// go on waiting for the run.
+// claim gives a new run permission to dispatch e. Presentations that waited for
+// the claim in the store continue to wait, for the run.
 func (s *shard) claim(e *entry, t *Table, now time.Time) *Run {
 	if !e.state.pending() {
 		e.changed = make(chan struct{})
@@ -62,8 +65,8 @@
 	return e.run
 }
 
-// hold keeps an answer and drops the oldest ones beyond the shard's share.
-// Only answers are dropped, never fates.
+// hold stores an answer and drops the oldest answers that exceed the shard's
+// share of the memory. It drops only answers, never fates.
 func (s *shard) hold(e *entry, answer *Answer, limit int64) {
 	size := answer.size()
 	if size > limit {
@@ -89,9 +92,9 @@
 	e.answerSize = 0
 }
 
-// expire drops entries that have expired and returns how many there were,
-// with the claims in the store that may go too. In-flight entries stay: their
-// run may still be dispatched.
+// expire drops expired entries. It returns the number of entries dropped, and
+// their claims in the store, which may be deleted too. Entries in flight stay,
+// because their run may still be dispatched.
 func (s *shard) expire(now time.Time) (dropped int, claims []claimRef) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +111,7 @@
 	return dropped, claims
 }
 
-// known answers a presentation of a key that has an entry. ok is false for a
+// known decides on a presentation of a key that has an entry. ok is false for a
 // released key, which may run again.
 func (e *entry) known(p Presentation) (step, bool) {
 	if e.Fingerprint != 0 && p.Fingerprint != 0 && e.Fingerprint != p.Fingerprint {
--- a/atmostonce/store.go
+++ b/atmostonce/store.go
@@ -7,80 +7,88 @@
 	"strings"
 )
 
-// Version is the store's version of one object, opaque to this package. The
-// store must not give one name the same version twice, even if the object was
-// deleted in between: a delayed conditional delete would hit the newer claim.
+// Version is the store's version of one object. It is opaque to this package.
+// The store must never assign the same version to a name twice, even if the
+// object was deleted in between: otherwise a delayed conditional delete could
+// remove a newer claim.
 type Version string
 
-// Claim is the object that records who may run a key that a caller brought,
-// and, for durable profiles, how it ended.
+// Claim is the stored object that records which incarnation may run a
+// caller-supplied key. For durable presentations it also records the fate, of
+// minted keys too.
 type Claim struct {
 	Service string
-	// Home is the incarnation that alone may dispatch the key.
+	// Home is the owner: the only incarnation that may dispatch the key.
 	Home Incarnation
-	// ID is random and names this write, so that a writer who lost the
-	// answer recognizes its own claim.
+	// ID is random and identifies this write, so that a writer that lost the
+	// store's response recognizes its own claim.
 	ID string
-	// ExpiresUnix is in seconds of the home's clock.
+	// ExpiresUnix is the expiry by the owner's clock, in Unix seconds.
 	ExpiresUnix int64
 	// State is StateClaimed, StateDone or StateUnknown.
 	State State
-	// Answer is set for StateDone if it was small enough to keep.
+	// Answer is set for StateDone if the answer was small enough to store.
 	Answer *Answer
 	Reason string
-	// Fingerprint is that of the request which claimed the key; 0 if none.
+	// Fingerprint is the fingerprint of the request that claimed the key, or 0
+	// for none.
 	Fingerprint uint64
 }
 
-// ClaimStore is what this package needs from the platform's object store.
-// Each write is conditional. Methods may be called concurrently.
+// ClaimStore is the part of the platform's object store that this package
+// needs. All writes are conditional. Methods may be called concurrently.
 type ClaimStore interface {
-	// Create writes claim if name doesn't exist. It fails with
-	// *ClaimExistsError, *ClaimUnavailableError (certainly not written) or
-	// *ClaimAmbiguousError (may have been written, now or later).
+	// Create writes claim if no object has this name. It fails with
+	// *ClaimExistsError, *ClaimUnavailableError (the claim was certainly not
+	// written) or *ClaimAmbiguousError (the claim may have been written, or may
+	// be written later).
 	Create(ctx context.Context, name string, claim Claim) (Version, error)
 	// Get reads a claim. It fails with *ClaimNotFoundError or
 	// *ClaimUnavailableError.
 	Get(ctx context.Context, name string) (Claim, Version, error)
-	// Update replaces a claim that still has version. It fails with
-	// *ClaimConflictError, also if the object is gone, or as Create does.
+	// Update replaces a claim if its current version is version. It fails with
+	// *ClaimConflictError if the version differs or the object doesn't exist,
+	// and otherwise with the errors of Create for a write that wasn't or may
+	// not have been made.
 	Update(ctx context.Context, name string, claim Claim, version Version) (Version, error)
-	// Delete removes a claim that still has version, and fails as Update does.
+	// Delete removes a claim if its current version is version. It fails like
+	// Update.
 	Delete(ctx context.Context, name string, version Version) error
 }
 
-// StoredClaim is a claim as ClaimLister lists it.
+// StoredClaim is a claim with its name and version, as ClaimLister returns it.
 type StoredClaim struct {
 	Name    string
 	Version Version
 	Claim   Claim
 }
 
-// ClaimLister lists claims by name, for a Collector.
+// ClaimLister lists claims in the order of their names, for a Collector.
 type ClaimLister interface {
-	// List returns up to limit claims whose names come after the given one.
+	// List returns up to limit claims whose names sort after the given name.
 	List(ctx context.Context, after string, limit int) ([]StoredClaim, error)
 }
 
-// ClaimExistsError: another claim with this name exists.
+// ClaimExistsError means that another claim has this name.
 type ClaimExistsError struct{ Name string }
 
 // Error implements error.
-func (e *ClaimExistsError) Error() string { return "claim " + e.Name + " exists" }
+func (e *ClaimExistsError) Error() string { return "claim " + e.Name + " already exists" }
 
-// ClaimNotFoundError: no claim has this name.
+// ClaimNotFoundError means that no claim has this name.
 type ClaimNotFoundError struct{ Name string }
 
 // Error implements error.
 func (e *ClaimNotFoundError) Error() string { return "claim " + e.Name + " not found" }
 
-// ClaimConflictError: the claim no longer has the version asked for.
+// ClaimConflictError means that the claim no longer has the expected version.
 type ClaimConflictError struct{ Name string }
 
 // Error implements error.
-func (e *ClaimConflictError) Error() string { return "claim " + e.Name + " was changed" }
+func (e *ClaimConflictError) Error() string { return "claim " + e.Name + ": version conflict" }
 
-// ClaimUnavailableError: the store didn't take the call. Nothing was written.
+// ClaimUnavailableError means that the store didn't process the request.
+// Nothing was written.
 type ClaimUnavailableError struct {
 	Name string
 	Err  error
@@ -92,8 +100,8 @@
 // Unwrap returns the cause, if there is one.
 func (e *ClaimUnavailableError) Unwrap() error { return e.Err }
 
-// ClaimAmbiguousError: the answer to a write was lost. The write may have
-// taken effect, or may do so later.
+// ClaimAmbiguousError means that the store's response to a write was lost. The
+// write may have taken effect or may do so later.
 type ClaimAmbiguousError struct {
 	Name string
 	Err  error
@@ -105,10 +113,10 @@
 // Unwrap returns the cause, if there is one.
 func (e *ClaimAmbiguousError) Unwrap() error { return e.Err }
 
-// ClaimName is the store's name for the claim on key. It depends on the
-// service and not on the profile: if an operator assigned another profile
-// between two presentations, a name with the profile in it would give the key
-// a second claim and a second run.
+// ClaimName returns the name of the claim on key in the store. The name
+// includes the service but not the profile: if an operator assigned another
+// profile between two presentations, a name that includes the profile would
+// allow a second claim and thus a second run.
 func ClaimName(service, key string) string {
 	sum := sha256.Sum256([]byte(strings.Join([]string{service, key}, "\x00")))
 	return service + "." + hex.EncodeToString(sum[:])
--- a/atmostonce/sync.go
+++ b/atmostonce/sync.go
@@ -8,14 +8,15 @@
 
 const maxExpiredClaims = 10_000
 
-// claimRef names one version of the claim on a key.
+// claimRef identifies one version of the claim on a key.
 type claimRef struct {
 	key     string
 	version Version
 }
 
-// syncWork is what still has to be written to the store. It is bounded: what
-// doesn't fit stays in the store until a Collector removes it.
+// syncWork holds the pending writes to the store. The number of expired claims
+// is bounded by maxExpiredClaims; claims beyond it stay in the store until a
+// Collector deletes them.
 type syncWork struct {
 	mu       sync.Mutex
 	released map[string]struct{}
@@ -48,7 +49,7 @@
 	w.expired = append(w.expired, claims[:min(room, len(claims))]...)
 }
 
-// take removes up to limit keys of each kind.
+// take removes and returns up to limit items of each kind.
 func (w *syncWork) take(limit int) (released, unsaved []string, expired []claimRef) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -72,23 +73,25 @@
 	return keys
 }
 
-// SyncReport counts what one Sync did.
+// SyncReport counts the writes that one call of Sync made.
 type SyncReport struct {
-	// Released claims were deleted, so that another node may run their keys.
+	// Released is the number of claims deleted so that other nodes may run
+	// their keys.
 	Released int
-	// Saved fates were written for durable presentations.
+	// Saved is the number of fates written for durable presentations.
 	Saved int
-	// Deleted claims had expired.
+	// Deleted is the number of expired claims deleted.
 	Deleted int
-	// Failed writes are tried again, except those of expired claims.
+	// Failed is the number of writes that failed. Fates are written again by a
+	// later Sync; claims are not deleted again.
 	Failed int
 }
 
-// Sync brings the store up to date: it gives claims of keys that were not run
-// back to the other nodes, writes durable fates and deletes expired claims, up
-// to limit of each. Call it about every second. Nothing waits for it: while it
-// isn't called, released keys can only run at this node, and durable fates
-// are lost if the node is.
+// Sync writes pending changes to the store: it deletes the claims of keys that
+// were not run, so that other nodes can run them, writes durable fates and
+// deletes expired claims, up to limit of each. Call it about once per second.
+// No call waits for Sync. As long as it isn't called, released keys can run
+// only on this node, and durable fates are lost if this node crashes.
 func (t *Table) Sync(ctx context.Context, limit int) SyncReport {
 	var r SyncReport
 	if t.cfg.Store == nil {
@@ -111,10 +114,10 @@
 	return r
 }
 
-// releaseClaim deletes the claim of a released key. Whatever the store says,
-// the entry goes: after a delete that may or may not have taken effect, this
-// node no longer knows that it is the home, and must ask the store again
-// before it runs the key.
+// releaseClaim deletes the claim of a released key. The entry is dropped
+// whatever the store's response is: after a delete that may or may not have
+// taken effect, this node no longer knows whether it is the owner, and must
+// query the store again before it runs the key.
 func (t *Table) releaseClaim(ctx context.Context, key string, r *SyncReport) {
 	s := t.shard(key)
 	s.mu.Lock()
@@ -145,13 +148,13 @@
 		r.Released++
 	}
 	if e.state != StateReleasing {
-		return // taken back meanwhile
+		return // revoked in the meantime
 	}
 	t.takeBack(s, e)
 }
 
-// saveFate writes a durable fate. The home is the only writer of a claim that
-// was dispatched, so a conflict can only come from its own earlier attempt.
+// saveFate writes a durable fate. Only the owner writes a claim that was
+// dispatched, so a conflict can only be caused by its own earlier attempt.
 func (t *Table) saveFate(ctx context.Context, key string, r *SyncReport) {
 	s := t.shard(key)
 	s.mu.Lock()
@@ -175,7 +178,8 @@
 		return
 	}
 	r.Saved++
-	// A late answer may have turned unknown into done since the claim was made.
+	// A late response may have changed the state from unknown to done since the
+	// claim was built.
 	e.unsaved = e.state != claim.State
 	if e.unsaved {
 		t.work.addUnsaved(key)
@@ -202,8 +206,8 @@
 	return claim
 }
 
-// writeFate creates or updates the claim. The version it returns is the one
-// to use next time.
+// writeFate creates or updates the claim. It returns the version to use for the
+// next write.
 func (t *Table) writeFate(ctx context.Context, name string, claim Claim, version Version) (Version, error) {
 	var written Version
 	var err error
--- a/atmostonce/table.go
+++ b/atmostonce/table.go
@@ -8,33 +8,34 @@
 	"time"
 )
 
-// Table keeps the fates of the keys whose home is this node.
+// Table holds the fates of the keys that this node owns.
 type Table struct {
 	cfg    Config
 	clock  *steadyClock
 	seed   maphash.Seed
 	shards [shardCount]*shard
 
-	count    atomic.Int64 // entries, with those reserved for staged chunks
+	count    atomic.Int64 // entries, including those reserved for staged chunks
 	inFlight atomic.Int64
 	idle     chan struct{}
 
-	// draining is held for the whole of a hand-over's step, messages
-	// included, and guards handOver.
+	// draining serializes the methods that drain this node, and guards
+	// handOver. It is held while messages to the successor are in flight.
 	draining sync.Mutex
 	handOver handOver
 
-	// control guards changes of the view, and incoming. It is never held
-	// while a message is under way.
+	// control serializes changes of the view and guards incoming. It is never
+	// held while a message is in flight.
 	control  sync.Mutex
 	current  atomic.Pointer[view]
 	incoming map[Incarnation]*incoming
 
-	// work holds what Sync still has to write to the store.
+	// work holds the store writes that the next calls of Sync will make.
 	work syncWork
 }
 
-// NewTable makes an empty table. A *ConfigError tells what is out of range.
+// NewTable creates an empty table. It returns a *ConfigError if a field of cfg
+// is out of range.
 func NewTable(cfg Config) (*Table, error) {
 	cfg = cfg.withDefaults()
 	if err := cfg.validate(); err != nil {
@@ -55,23 +56,25 @@
 	return t, nil
 }
 
-// Now is the table's steady clock, by which keys for it are best minted.
+// Now returns the time of the table's steady clock. Mint keys for this table
+// with this time.
 func (t *Table) Now() time.Time { return t.clock.now() }
 
-// Mint makes a key whose home is this node.
+// Mint creates a key that this node owns.
 func (t *Table) Mint() Key {
 	return Mint(t.cfg.Service, t.Incarnation(), t.Now(), t.cfg.Random)
 }
 
-// Incarnation is the one under which this node now mints keys.
+// Incarnation returns the incarnation under which this node currently mints
+// keys.
 func (t *Table) Incarnation() Incarnation { return t.current.Load().own }
 
 func (t *Table) shard(key string) *shard {
 	return t.shards[maphash.String(t.seed, key)%shardCount]
 }
 
-// reserve takes room for n entries. A full table refuses: dropping a fate
-// inside the window would let its key run again.
+// reserve reserves capacity for n entries. It reports false if the table is
+// full, because evicting a fate inside its window would let the key run again.
 func (t *Table) reserve(n int64) bool {
 	if t.count.Add(n) <= int64(t.cfg.MaxEntries) {
 		return true
@@ -82,9 +85,9 @@
 
 func (t *Table) unreserve(n int64) { t.count.Add(-n) }
 
-// takeBack drops an entry of which nothing was sent. Its presenters look at
-// the table again, and its run can't be dispatched any more. The caller holds
-// the shard's lock.
+// takeBack removes an entry whose call was not sent. Presentations that wait
+// for it check the table again, and its run can no longer be dispatched. The
+// caller holds the shard's lock.
 func (t *Table) takeBack(s *shard, e *entry) {
 	inFlight := e.state.pending()
 	s.remove(e)
@@ -94,8 +97,8 @@
 	}
 }
 
-// endPresentation counts one presentation less in flight, and wakes WaitIdle
-// after the last.
+// endPresentation decrements the number of presentations in flight and wakes
+// WaitIdle when it reaches zero.
 func (t *Table) endPresentation() {
 	if t.inFlight.Add(-1) == 0 {
 		select {
@@ -105,8 +108,8 @@
 	}
 }
 
-// Sweep drops expired entries and returns how many there were. Call it every
-// few seconds; a table that isn't swept only becomes full sooner.
+// Sweep drops expired entries and returns how many it dropped. Call it every
+// few seconds; a table that isn't swept becomes full sooner but stays correct.
 func (t *Table) Sweep() int {
 	now := t.clock.now()
 	total := 0
@@ -120,14 +123,17 @@
 	return total
 }
 
-// Len is the number of entries, with those reserved for staged chunks.
+// Len returns the number of entries, including those reserved for staged
+// chunks.
 func (t *Table) Len() int { return int(t.count.Load()) }
 
-// InFlight is the number of presentations that may still dispatch or have
-// dispatched and not ended.
+// InFlight returns the number of operations in flight: presentations that may
+// still be dispatched or whose dispatched call hasn't completed, and releases
+// of a claim in the store.
 func (t *Table) InFlight() int { return int(t.inFlight.Load()) }
 
-// WaitIdle waits until nothing is in flight. It is meant for a frozen table.
+// WaitIdle waits until nothing is in flight. Call Freeze first; otherwise new
+// presentations may keep the table busy.
 func (t *Table) WaitIdle(ctx context.Context) error {
 	for t.inFlight.Load() > 0 {
 		select {
--- a/atmostonce/table_test.go
+++ b/atmostonce/table_test.go
@@ -17,7 +17,7 @@
 	return t.Begin(context.Background(), Presentation{Key: key})
 }
 
-// mustRun presents a key that has to run.
+// mustRun presents a key and requires the verdict RunNow.
 func mustRun(c *qt.C, t *Table, key string) *Run {
 	c.Helper()
 	v, err := present(t, key)
@@ -32,7 +32,8 @@
 	c.Assert(r.Done(Answer{Status: http.StatusOK, Body: []byte(body)}), qt.IsNil)
 }
 
-// mustRefuse presents a key that has to be refused in the given way.
+// mustRefuse presents a key and requires that it be rejected with the given
+// outcome and reason.
 func mustRefuse(c *qt.C, t *Table, key string, outcome call.Outcome, reason call.Reason) {
 	c.Helper()
 	_, err := present(t, key)
@@ -59,10 +60,11 @@
 	c.Assert(string(v.Answer.Body), qt.Equals, body)
 }
 
-// A client's connection breaks while its filing runs, and it sends the filing
-// again. The second presentation arrives first before the answer, then after
-// it. It must wait and get the first one's answer; a third whose caller gives
-// up meanwhile is told unknown, since the filing may still run.
+// A client's connection breaks while its filing runs, and the client sends the
+// filing again. A second presentation that arrives before the response must
+// wait for the response of the first, and one that arrives after it must get
+// the stored response. A presentation whose caller gives up while it waits must
+// be reported as unknown, because the filing may still run.
 func TestSecondPresentationGetsTheAnswerOfTheFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -85,9 +87,9 @@
 	})
 }
 
-// Admission refuses a filing while a repetition of it waits. The first caller
-// is told not-run; the one that waits gets the key and may run it. A run that
-// its holder drops without a word must not leave the others waiting.
+// Admission rejects a filing while a second presentation of it waits. The first
+// caller is told not-run; the waiting presentation gets the key and may run it.
+// A run that its holder closes without a result must not leave others waiting.
 func TestNotRunLetsAWaiterRunTheKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -106,7 +108,7 @@
 		c.Assert(second.Dispatched(), qt.IsNil)
 		second.Close()
 		mustRefuse(c, table, key, call.Unknown, call.ReasonLost)
-		// The answer comes late, after the caller's deadline.
+		// The response arrives late, after the caller's deadline.
 		c.Assert(second.Done(Answer{Body: []byte("late")}), qt.IsNil)
 		mustReplay(c, table, key, "late")
 		var wrong *RunError
@@ -114,9 +116,9 @@
 	})
 }
 
-// The table is full of fates inside their window. A new filing is refused as
-// not-run; none of the old ones is forgotten to make room, since a repetition
-// of it would run again. Once they have expired there is room.
+// The table is full of fates inside their window. A new filing is rejected as
+// not-run. No old fate is evicted to free capacity, because a retry of its call
+// would run again. Expired fates free capacity.
 func TestFullTableRefusesAndNeverForgets(t *testing.T) {
 	c := qt.New(t)
 	table, clock := testNode(1, func(cfg *Config) { cfg.MaxEntries = 2 })
@@ -133,9 +135,9 @@
 	c.Assert(table.List(Attention(time.Hour)[0]), qt.HasLen, 1)
 }
 
-// A key expires and its fate is dropped; then the wall clock steps back by two
-// days, as after a wrong time server. The key looks young again. It must still
-// be refused as unknown, because it has run.
+// A key expires and its fate is dropped. Then the wall clock steps back by two
+// days, for example because of a wrong time server, and the key looks recent
+// again. It must still be rejected as unknown, because it has run.
 func TestClockThatStepsBackDoesNotReviveAKey(t *testing.T) {
 	c := qt.New(t)
 	table, clock := testNode(1, nil)
@@ -149,8 +151,9 @@
 	mustRefuse(c, table, future.String(), call.NotRun, call.ReasonBadRequest)
 }
 
-// An answer is larger than the table keeps, or is dropped for newer ones. The
-// repetition must not be passed off as complete without the answer, nor run.
+// A response is larger than the table stores, or its stored answer is dropped
+// for newer ones. A retry must not be reported as complete without the
+// response, and must not run.
 func TestAnswerThatIsNotHeldIsUnknown(t *testing.T) {
 	c := qt.New(t)
 	table, _ := testNode(1, func(cfg *Config) { cfg.MaxAnswerBytes, cfg.MaxTotalBytes = 100, 100*shardCount })
@@ -170,10 +173,10 @@
 	c.Assert(table.Len(), qt.Equals, 1+10*shardCount)
 }
 
-// A home crashes after it ran a filing and comes back with an empty table and
-// a new incarnation. A repetition must find no node that would run it: every
-// node sends it to the incarnation that is gone. If the profile is durable the
-// fate is in the store and can be told.
+// An owner crashes after it ran a filing, and restarts with an empty table and
+// a new incarnation. No node may run a retry: every node forwards it to the
+// incarnation that no longer exists. If the presentation was durable, the fate
+// can be read from the store.
 func TestRestartedHomeNeverRunsOldKeys(t *testing.T) {
 	c := qt.New(t)
 	store := newFakeStore()
--- a/atmostonce/versions_test.go
+++ b/atmostonce/versions_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A node of an older build hands its keys over to a newer one, or the other
-// way, during an upgrade. A field that one side does not know must not cost the
-// fates that both do.
+// During an upgrade, a node of an older build hands its keys over to a node of
+// a newer build, or the reverse. Fields that only one of the builds knows must
+// not prevent the transfer of the fields that both know.
 func TestHandOverBetweenBuilds(t *testing.T) {
 	c := qt.New(t)
 	type newerRecord struct {
--- a/atmostonce/witness.go
+++ b/atmostonce/witness.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Witnessed is the witness's side: the open notes of other homes.
+// Witnessed is the witness's record of the open notes of other owners.
 type Witnessed struct {
 	mu    sync.Mutex
 	limit int
@@ -21,13 +21,13 @@
 	notes map[uint64]Note
 }
 
-// HeldNote is a note and its home.
+// HeldNote is a note with the incarnation of its owner.
 type HeldNote struct {
 	Note
 	Home Incarnation
 }
 
-// NewWitnessed returns the record of a witness that keeps at most limit notes.
+// NewWitnessed creates a record that stores at most limit notes.
 func NewWitnessed(limit int) *Witnessed {
 	return &Witnessed{limit: limit, homes: make(map[Incarnation]*witnessedHome)}
 }
@@ -41,8 +41,8 @@
 	return h
 }
 
-// Take keeps a home's notes. It returns how many found no room: a note that is
-// open is never dropped for another.
+// Take stores notes of an owner. It returns the number of notes rejected
+// because the record is full: an open note is never dropped to store another.
 func (w *Witnessed) Take(home Incarnation, notes []Note, now time.Time) (refused int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,8 +61,8 @@
 	return refused
 }
 
-// Hear takes a home's word on which of its notes are open. The numbers must be
-// in rising order.
+// Hear applies an owner's snapshot of its open notes. The numbers must be in
+// ascending order.
 func (w *Witnessed) Hear(home Incarnation, word OpenNotes) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,7 +74,8 @@
 	w.drop(h, func(note Note) bool { return word.settles(note.Number) })
 }
 
-// room reports whether one more note fits, once the expired ones are gone.
+// room reports whether one more note can be stored, after expired notes have
+// been dropped if necessary.
 func (w *Witnessed) room(now time.Time) bool {
 	if w.count >= w.limit {
 		w.expire(now)
@@ -94,8 +95,8 @@
 	w.count -= before - len(h.notes)
 }
 
-// Lost returns the notes of homes that do not live, the oldest first. It drops
-// what has expired, and homes that are gone and left nothing.
+// Lost returns the notes of owners that are not alive, the oldest first. It
+// drops expired notes, and owners that are not alive and have no notes.
 func (w *Witnessed) Lost(now time.Time, lives func(home Incarnation) bool) []HeldNote {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,7 +119,7 @@
 	return lost
 }
 
-// Len returns how many notes are kept.
+// Len returns the number of stored notes.
 func (w *Witnessed) Len() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/atmostonce/witness_test.go
+++ b/atmostonce/witness_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-// A home and two witnesses exchange messages that are lost, repeated, late and
-// out of order. Whatever happened, once the messages that the home still wants
-// to send arrive, the witnesses hold its open notes and no others: a settled
-// call that stays listed sends an operator after nothing, and one that is
-// missing dies quietly.
+// An owner and two witnesses exchange messages that are lost, repeated, delayed
+// and reordered. Once the messages that the owner still wants to send have
+// arrived, the witnesses must store exactly its open notes. A settled call that
+// is still listed makes an operator investigate for nothing; an open call that
+// is missing stays unnoticed if the owner crashes.
 func TestWitnessesAgreeWithTheHome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const home = Incarnation("home")
@@ -25,7 +25,8 @@
 		names := []string{"b", "c"}
 		var late []func()
 		open := map[uint64]bool{}
-		// deliver acts now, later, or not at all, and tells whether the home hears.
+		// deliver calls act now, later, both or not at all, and reports whether
+		// the owner receives the response.
 		deliver := func(act func()) bool {
 			if rapid.Bool().Draw(t, "arrives later") {
 				late = append(late, act)
@@ -81,7 +82,7 @@
 			},
 			"": func(*rapid.T) {},
 		})
-		// From here on messages arrive, after all that were late.
+		// From here on messages arrive. The delayed ones arrive first.
 		for _, act := range late {
 			act()
 		}
@@ -103,13 +104,14 @@
 			}
 		}
 		if !maps.Equal(held, open) {
-			t.Fatalf("witnesses hold %v, open are %v", held, open)
+			t.Fatalf("witnesses store notes %v, but the open notes are %v", held, open)
 		}
 	})
 }
 
-// The witness of many homes has no room left. An open note must not be lost for
-// a new one, which its home can tell another member; expired ones make room.
+// The witness of many owners is full. It must not drop an open note for a new
+// one, because the owner of the new note can send it to another member. Expired
+// notes free capacity.
 func TestFullWitnessKeepsOpenNotes(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -135,7 +137,7 @@
 	c.Check(ok, qt.IsTrue)
 }
 
-// Reports the memory of one note at its witness.
+// BenchmarkWitnessedNote measures the memory that a witness uses per note.
 func BenchmarkWitnessedNote(b *testing.B) {
 	w := NewWitnessed(b.N)
 	now := time.Now()
