--- a/atmostonce/child.go
+++ b/atmostonce/child.go
@@ -13,12 +13,12 @@
 // calls to service. The result is deterministic, so that a repeated parent call
 // yields the same child IDs. Pass it to MintChild, or use it as it is.
 func ChildKey(parent, service string, ordinal uint64) string {
-	return childKey(parent, service, "ordinal", strconv.FormatUint(ordinal, 10))
+	return hashParts(parent, service, "ordinal", strconv.FormatUint(ordinal, 10))
 }
 
-// childKey hashes each part preceded by its length, so that no two lists of
+// hashParts hashes each part preceded by its length, so that no two lists of
 // parts produce the same hash input.
-func childKey(parts ...string) string {
+func hashParts(parts ...string) string {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range parts {
@@ -49,7 +49,7 @@
 // the same call.
 func (v *Visit) Child(service, ownKey string) string {
 	if ownKey != "" {
-		return childKey(v.parent, service, "key", ownKey)
+		return hashParts(v.parent, service, "key", ownKey)
 	}
 	v.mu.Lock()
 	ordinal := v.next[service]
--- a/atmostonce/claim.go
+++ b/atmostonce/claim.go
@@ -12,18 +12,19 @@
 // makes one write and at most one read and one more write.
 const maxClaimAttempts = 4
 
-// claimed is the result of trying to claim a caller-supplied key in the store.
-type claimed struct {
-	step    step
-	mine    bool
-	id      string
-	version Version
-	expires time.Time
+// claimResult is the result of trying to claim a caller-supplied key in the
+// store.
+type claimResult struct {
+	decision decision
+	acquired bool
+	id       string
+	version  Version
+	expires  time.Time
 }
 
 // claim tries to claim the key of e, which is in StateClaiming, in the store.
 // It then settles e according to the result.
-func (t *Table) claim(ctx context.Context, e *entry) step {
+func (t *Table) claim(ctx context.Context, e *entry) decision {
 	got := t.acquire(ctx, e)
 	now := t.clock.now()
 	s := t.shard(e.Key)
@@ -33,16 +34,16 @@
 		// The entry was revoked in the meantime, by a drain or by an inherited
 		// fate. Another presentation may have run the key, here or on another
 		// node.
-		return step{wait: lookAgain}
+		return decision{wait: checkAgainNow}
 	}
-	if !got.mine {
-		t.takeBack(s, e)
-		return got.step
+	if !got.acquired {
+		t.revoke(s, e)
+		return got.decision
 	}
 	e.claimID = got.id
 	e.claimVersion = got.version
 	e.expires = got.expires
-	return step{verdict: Verdict{Kind: RunNow, Run: s.claim(e, t, now)}}
+	return decision{verdict: Verdict{Kind: RunNow, Run: s.startRun(e, t, now)}}
 }
 
 // acquire makes this node the owner of a caller-supplied key, or returns the
@@ -51,10 +52,10 @@
 // earlier presentations that the store may still apply late: they are
 // conditional on a version, or on the absence of the object, and that condition
 // is no longer true.
-func (t *Table) acquire(ctx context.Context, e *entry) claimed {
+func (t *Table) acquire(ctx context.Context, e *entry) claimResult {
 	claim := Claim{
 		Service:     t.cfg.Service,
-		Home:        e.home,
+		Home:        e.owner,
 		ID:          randomHex(t.cfg.Random),
 		State:       StateClaimed,
 		Fingerprint: e.Fingerprint,
@@ -65,44 +66,44 @@
 			return got
 		}
 	}
-	return unclaimed(e.Key)
+	return claimFailed(e.Key)
 }
 
-// unclaimed returns the result of a claim that failed because the store could
+// claimFailed returns the result of a claim that failed because the store could
 // not be reached or didn't confirm the write.
-func unclaimed(key string) claimed {
-	return claimed{step: refuse(key, call.Unknown, call.ReasonKeyUnclaimed)}
+func claimFailed(key string) claimResult {
+	return claimResult{decision: refuse(key, call.Unknown, call.ReasonKeyUnclaimed)}
 }
 
 // tryAcquire makes one attempt to write claim. again is true if the claim in
 // the store changed, or may have changed, between the read and the write.
-func (t *Table) tryAcquire(ctx context.Context, e *entry, claim Claim) (got claimed, again bool) {
+func (t *Table) tryAcquire(ctx context.Context, e *entry, claim Claim) (got claimResult, again bool) {
 	name := ClaimName(t.cfg.Service, e.Key)
 	expires := t.clock.now().Add(t.cfg.Window)
 	claim.ExpiresUnix = expires.Unix()
 	version, err := t.cfg.Store.Create(ctx, name, claim)
 	if err == nil {
-		return claimed{mine: true, id: claim.ID, version: version, expires: expires}, false
+		return claimResult{acquired: true, id: claim.ID, version: version, expires: expires}, false
 	}
 	var exists *ClaimExistsError
 	var ambiguous *ClaimAmbiguousError
 	if !errors.As(err, &exists) && !errors.As(err, &ambiguous) {
-		return unclaimed(e.Key), false
+		return claimFailed(e.Key), false
 	}
 	found, version, err := t.cfg.Store.Get(ctx, name)
 	var absent *ClaimNotFoundError
 	if errors.As(err, &absent) {
-		return claimed{}, true
+		return claimResult{}, true
 	}
 	if err != nil {
-		return unclaimed(e.Key), false
+		return claimFailed(e.Key), false
 	}
 	if found.ID == claim.ID {
-		return claimed{mine: true, id: claim.ID, version: version, expires: expires}, false
+		return claimResult{acquired: true, id: claim.ID, version: version, expires: expires}, false
 	}
-	st, own := t.judge(e.Presentation, found, e)
+	st, own := t.evaluateClaim(e.Presentation, found, e)
 	if !own {
-		return claimed{step: st}, false
+		return claimResult{decision: st}, false
 	}
 	return t.replaceClaim(ctx, name, claim, version)
 }
@@ -111,12 +112,12 @@
 // presentation, or inherited, and whose key never ran. A delete of that claim
 // may still be in flight: the update changes the version, so that the delete
 // can no longer take effect.
-func (t *Table) replaceClaim(ctx context.Context, name string, claim Claim, found Version) (got claimed, again bool) {
+func (t *Table) replaceClaim(ctx context.Context, name string, claim Claim, found Version) (got claimResult, again bool) {
 	expires := t.clock.now().Add(t.cfg.Window)
 	claim.ExpiresUnix = expires.Unix()
 	version, err := t.cfg.Store.Update(ctx, name, claim, found)
 	if err != nil {
-		return claimed{}, true
+		return claimResult{}, true
 	}
-	return claimed{mine: true, id: claim.ID, version: version, expires: expires}, false
+	return claimResult{acquired: true, id: claim.ID, version: version, expires: expires}, false
 }
--- a/atmostonce/collect.go
+++ b/atmostonce/collect.go
@@ -57,7 +57,7 @@
 		delete(c.tracked, stored.Name)
 		deleted++
 	}
-	c.forget(now)
+	c.dropOldSightings(now)
 	return deleted, nil
 }
 
@@ -78,9 +78,9 @@
 	return now.Sub(seen.first) > c.window
 }
 
-// forget drops sightings older than two windows, so that claims which other
-// nodes have deleted don't use up maxTracked.
-func (c *Collector) forget(now time.Time) {
+// dropOldSightings drops sightings older than two windows, so that claims which
+// other nodes have deleted don't use up maxTracked.
+func (c *Collector) dropOldSightings(now time.Time) {
 	for name, seen := range c.tracked {
 		if now.Sub(seen.first) > 2*c.window {
 			delete(c.tracked, name)
--- a/atmostonce/config.go
+++ b/atmostonce/config.go
@@ -95,9 +95,9 @@
 	return c
 }
 
-func orDefault[T int | int64 | time.Duration](value, standard T) T {
+func orDefault[T int | int64 | time.Duration](value, fallback T) T {
 	if value == 0 {
-		return standard
+		return fallback
 	}
 	return value
 }
--- a/atmostonce/entry.go
+++ b/atmostonce/entry.go
@@ -74,7 +74,7 @@
 // shard.
 type entry struct {
 	Presentation
-	home    Incarnation
+	owner   Incarnation
 	minted  bool
 	state   State
 	reason  call.Reason
@@ -84,9 +84,9 @@
 	// changed is closed when state stops being pending.
 	changed chan struct{}
 
-	answer     *Answer
-	answerSize int64
-	held       *list.Element
+	answer        *Answer
+	answerSize    int64
+	answerElement *list.Element
 
 	// claimID and claimVersion identify the claim in the store, if there is
 	// one.
@@ -116,7 +116,7 @@
 		Reason:     e.reason,
 		RequestID:  e.RequestID,
 		Profile:    e.Profile,
-		Home:       e.home,
+		Home:       e.owner,
 		Since:      e.since,
 		Expires:    e.expires,
 		AnswerHeld: e.answer != nil,
--- a/atmostonce/export.go
+++ b/atmostonce/export.go
@@ -13,7 +13,7 @@
 func (t *Table) export() []Chunk {
 	now := t.clock.now()
 	v := t.current.Load()
-	blank := Chunk{From: v.own, To: t.handOver.to, Attempt: t.handOver.attempt}
+	blank := Chunk{From: v.incarnation, To: t.handOver.to, Attempt: t.handOver.attempt}
 	chunks := []Chunk{blank}
 	chunks[0].Homes = t.homeRecords(v, now)
 	var size int64
@@ -40,15 +40,15 @@
 
 func (t *Table) homeRecords(v *view, now time.Time) []HomeRecord {
 	var records []HomeRecord
-	for inc, home := range v.homes {
-		retire := home.retire
+	for inc, home := range v.owned {
+		retire := home.keysExpireAt
 		if retire.IsZero() {
 			retire = now.Add(t.cfg.Window + t.cfg.MaxSkew)
 		}
 		records = append(records, HomeRecord{
 			Incarnation:    inc,
-			NowUnixNano:    now.Add(home.shift).UnixNano(),
-			RetireUnixNano: retire.Add(home.shift).UnixNano(),
+			NowUnixNano:    now.Add(home.clockOffset).UnixNano(),
+			RetireUnixNano: retire.Add(home.clockOffset).UnixNano(),
 		})
 	}
 	return records
@@ -62,7 +62,7 @@
 	defer s.mu.Unlock()
 	var records []EntryRecord
 	for _, e := range s.entries {
-		home, ok := v.homes[e.home]
+		home, ok := v.owned[e.owner]
 		if !ok {
 			continue
 		}
@@ -71,11 +71,11 @@
 	return records
 }
 
-func (e *entry) record(home homeClock) EntryRecord {
+func (e *entry) record(home ownerClock) EntryRecord {
 	r := EntryRecord{
 		Key:             e.Key,
-		Home:            e.home,
-		ExpiresUnixNano: e.expires.Add(home.shift).UnixNano(),
+		Home:            e.owner,
+		ExpiresUnixNano: e.expires.Add(home.clockOffset).UnixNano(),
 		Done:            e.state == StateDone,
 		Answer:          e.answer,
 		Reason:          e.reason,
@@ -107,7 +107,7 @@
 			Fingerprint: r.Fingerprint,
 			Durable:     r.Durable,
 		},
-		home:         r.Home,
+		owner:        r.Home,
 		minted:       minted,
 		state:        state,
 		reason:       r.Reason,
--- a/atmostonce/handover.go
+++ b/atmostonce/handover.go
@@ -46,21 +46,21 @@
 func (t *Table) HandOver(ctx context.Context, to Incarnation, s Successor) error {
 	t.draining.Lock()
 	defer t.draining.Unlock()
-	now := t.current.Load().phase
-	same := t.handOver.to == to
+	current := t.current.Load().phase
+	sameSuccessor := t.handOver.to == to
 	switch {
-	case now == phaseHanded && same:
+	case current == phaseHandedOver && sameSuccessor:
 		return nil
-	case now == phaseHanded, now == phaseCommitting && !same:
-		return &HandOverError{Step: "begin", To: t.handOver.to, Ambiguous: now == phaseCommitting}
-	case now != phaseCommitting:
+	case current == phaseHandedOver, current == phaseCommitting && !sameSuccessor:
+		return &HandOverError{Step: "begin", To: t.handOver.to, Ambiguous: current == phaseCommitting}
+	case current != phaseCommitting:
 		t.seal()
 		t.handOver = handOver{attempt: t.handOver.attempt + 1, to: to}
 		t.handOver.chunks = t.export()
 	}
 	for _, chunk := range t.handOver.chunks {
 		if err := s.Stage(ctx, chunk); err != nil {
-			return &HandOverError{Step: "stage", To: to, Ambiguous: now == phaseCommitting, Err: err}
+			return &HandOverError{Step: "stage", To: to, Ambiguous: current == phaseCommitting, Err: err}
 		}
 	}
 	return t.commit(ctx, s)
@@ -74,7 +74,7 @@
 		v.phase = phaseCommitting
 		v.successor = t.handOver.to
 	})
-	own := t.current.Load().own
+	own := t.current.Load().incarnation
 	t.control.Unlock()
 	request := CommitRequest{From: own, To: t.handOver.to, Attempt: t.handOver.attempt, Total: len(t.handOver.chunks)}
 	if err := s.Commit(ctx, request); err != nil {
@@ -85,7 +85,7 @@
 }
 
 func (t *Table) finish() {
-	t.setPhase(phaseHanded, phaseCommitting)
+	t.setPhase(phaseHandedOver, phaseCommitting)
 	t.handOver.chunks = nil
 }
 
@@ -101,7 +101,7 @@
 	if v.phase != phaseCommitting {
 		return t.thaw()
 	}
-	err := s.Abort(ctx, AbortRequest{From: v.own, To: t.handOver.to, Attempt: t.handOver.attempt})
+	err := s.Abort(ctx, AbortRequest{From: v.incarnation, To: t.handOver.to, Attempt: t.handOver.attempt})
 	switch {
 	case err == nil:
 		t.handOver.chunks = nil
@@ -126,19 +126,19 @@
 	}
 	t.control.Lock()
 	defer t.control.Unlock()
-	if !t.current.Load().phase.gone() {
+	if !t.current.Load().phase.mayBeTransferred() {
 		return &HandOverError{Step: "renew", To: t.handOver.to}
 	}
 	retire := t.clock.now().Add(t.cfg.Window + t.cfg.MaxSkew)
 	t.changeView(func(v *view) {
-		if v.moved == nil {
-			v.moved = make(map[Incarnation]movedHome)
+		if v.newOwners == nil {
+			v.newOwners = make(map[Incarnation]newOwner)
 		}
-		for home := range v.homes {
-			v.moved[home] = movedHome{to: v.successor, retire: retire}
+		for home := range v.owned {
+			v.newOwners[home] = newOwner{to: v.successor, keysExpireAt: retire}
 		}
-		v.own = inc
-		v.homes = map[Incarnation]homeClock{inc: {}}
+		v.incarnation = inc
+		v.owned = map[Incarnation]ownerClock{inc: {}}
 		v.phase = phaseActive
 	})
 	t.handOver = handOver{}
@@ -167,7 +167,7 @@
 	s.view = v
 	for _, e := range s.entries {
 		if !e.state.sent() {
-			t.takeBack(s, e)
+			t.revoke(s, e)
 		}
 	}
 }
--- a/atmostonce/inherit.go
+++ b/atmostonce/inherit.go
@@ -44,11 +44,11 @@
 	if t.incoming[chunk.From].hasCommitted(chunk.Attempt) {
 		return nil
 	}
-	code := t.acceptable(chunk.From, chunk.To, chunk.Attempt)
+	code := t.rejectionCode(chunk.From, chunk.To, chunk.Attempt)
 	if code == "" {
-		code = t.keepChunk(chunk)
+		code = t.storeChunk(chunk)
 	}
-	return refusal(code, chunk.From, chunk.Attempt)
+	return inheritError(code, chunk.From, chunk.Attempt)
 }
 
 // wellFormed reports whether a chunk can be part of a hand-over.
@@ -56,9 +56,9 @@
 	return c.Total >= 1 && c.Seq >= 0 && c.Seq < c.Total && c.From != c.To
 }
 
-// keepChunk stores a chunk of the sender's current attempt and reserves
+// storeChunk stores a chunk of the sender's current attempt and reserves
 // capacity for its entries, or returns the reason why it can't.
-func (t *Table) keepChunk(chunk Chunk) InheritCode {
+func (t *Table) storeChunk(chunk Chunk) InheritCode {
 	if !chunk.wellFormed() {
 		return InheritMalformed
 	}
@@ -87,14 +87,14 @@
 	return ""
 }
 
-// acceptable returns the reason for which a message of an attempt that hasn't
+// rejectionCode returns the reason for which a message of an attempt that hasn't
 // been committed must be rejected, or an empty code.
-func (t *Table) acceptable(from, to Incarnation, attempt uint64) InheritCode {
+func (t *Table) rejectionCode(from, to Incarnation, attempt uint64) InheritCode {
 	in := t.incoming[from]
 	switch {
 	case in != nil && attempt <= in.aborted:
 		return InheritAborted
-	case to != t.current.Load().own:
+	case to != t.current.Load().incarnation:
 		return InheritWrongNode
 	case t.current.Load().phase != phaseActive:
 		return InheritNotActive
@@ -127,36 +127,36 @@
 	if in.hasCommitted(request.Attempt) {
 		return nil
 	}
-	code := t.acceptable(request.From, request.To, request.Attempt)
+	code := t.rejectionCode(request.From, request.To, request.Attempt)
 	if code == "" && !in.complete(request) {
 		code = InheritIncomplete
 	}
 	if code == "" {
 		t.inherit(in)
 	}
-	return refusal(code, request.From, request.Attempt)
+	return inheritError(code, request.From, request.Attempt)
 }
 
 // inherit stores all fates before any shard is informed of the ownership, so
 // that no inherited key can look absent before its fate is stored.
 func (t *Table) inherit(in *incoming) {
 	now := t.clock.now()
-	homes := make(map[Incarnation]homeClock)
+	homes := make(map[Incarnation]ownerClock)
 	for _, record := range in.staged[0].Homes {
 		shift := max(time.Unix(0, record.NowUnixNano).Sub(now), 0)
-		homes[record.Incarnation] = homeClock{shift: shift, retire: time.Unix(0, record.RetireUnixNano).Add(-shift)}
+		homes[record.Incarnation] = ownerClock{clockOffset: shift, keysExpireAt: time.Unix(0, record.RetireUnixNano).Add(-shift)}
 	}
 	for _, chunk := range in.staged {
 		for _, record := range chunk.Entries {
-			t.enterFate(record, homes[record.Home].shift, now)
+			t.storeFate(record, homes[record.Home].clockOffset, now)
 		}
 	}
 	in.committed = in.attempt
 	t.dropStaged(in)
-	t.changeView(func(v *view) { maps.Copy(v.homes, homes) })
+	t.changeView(func(v *view) { maps.Copy(v.owned, homes) })
 }
 
-// enterFate stores an inherited fate. The fate replaces an entry whose call
+// storeFate stores an inherited fate. The fate replaces an entry whose call
 // this node has not sent: one that was released or is being released, one for
 // which the store is being queried, or one that is claimed and not dispatched.
 //
@@ -167,7 +167,7 @@
 // run here again. Replacing the entry is sufficient: an inquiry, a release and
 // a run act only on an entry that is still in the table, and check that under
 // the lock held here.
-func (t *Table) enterFate(record EntryRecord, shift time.Duration, now time.Time) {
+func (t *Table) storeFate(record EntryRecord, shift time.Duration, now time.Time) {
 	s := t.shard(record.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,13 +175,13 @@
 		if old.state.sent() {
 			return
 		}
-		t.takeBack(s, old)
+		t.revoke(s, old)
 	}
 	e := record.entry(shift, now)
 	s.entries[record.Key] = e
 	t.count.Add(1)
 	if record.Answer != nil {
-		s.hold(e, record.Answer, t.cfg.MaxAnswerBytes)
+		s.storeAnswer(e, record.Answer, t.cfg.MaxAnswerBytes)
 	}
 	if e.unsaved && t.cfg.Store != nil {
 		t.work.addUnsaved(e.Key)
@@ -196,14 +196,14 @@
 func (t *Table) Abort(_ context.Context, request AbortRequest) error {
 	t.control.Lock()
 	defer t.control.Unlock()
-	return refusal(t.abort(request), request.From, request.Attempt)
+	return inheritError(t.abort(request), request.From, request.Attempt)
 }
 
 func (t *Table) abort(request AbortRequest) InheritCode {
 	switch {
 	case t.incoming[request.From].hasCommitted(request.Attempt):
 		return InheritCommitted
-	case request.To != t.current.Load().own:
+	case request.To != t.current.Load().incarnation:
 		return InheritWrongNode
 	}
 	in := t.incomingFrom(request.From)
@@ -217,10 +217,10 @@
 	return ""
 }
 
-// retireHomes drops inherited and handed-over incarnations all of whose keys
-// have expired. It also drops staged chunks whose sender has sent nothing for
-// StagedTimeout.
-func (t *Table) retireHomes(now time.Time) {
+// dropExpiredOwners drops inherited and handed-over incarnations all of whose
+// keys have expired. It also drops staged chunks whose sender has sent nothing
+// for StagedTimeout.
+func (t *Table) dropExpiredOwners(now time.Time) {
 	t.control.Lock()
 	defer t.control.Unlock()
 	for _, in := range t.incoming {
@@ -229,12 +229,12 @@
 		}
 	}
 	v := t.current.Load().clone()
-	homes, moved := len(v.homes), len(v.moved)
-	maps.DeleteFunc(v.homes, func(_ Incarnation, h homeClock) bool {
-		return !h.retire.IsZero() && now.After(h.retire)
+	homes, moved := len(v.owned), len(v.newOwners)
+	maps.DeleteFunc(v.owned, func(_ Incarnation, h ownerClock) bool {
+		return !h.keysExpireAt.IsZero() && now.After(h.keysExpireAt)
 	})
-	maps.DeleteFunc(v.moved, func(_ Incarnation, m movedHome) bool { return now.After(m.retire) })
-	if len(v.homes) != homes || len(v.moved) != moved {
-		t.changeView(func(c *view) { c.homes, c.moved = v.homes, v.moved })
+	maps.DeleteFunc(v.newOwners, func(_ Incarnation, m newOwner) bool { return now.After(m.keysExpireAt) })
+	if len(v.owned) != homes || len(v.newOwners) != moved {
+		t.changeView(func(c *view) { c.owned, c.newOwners = v.owned, v.newOwners })
 	}
 }
--- a/atmostonce/judge.go
+++ b/atmostonce/judge.go
@@ -8,58 +8,59 @@
 	"pollengauge.dev/call"
 )
 
-// judge decides by a claim that this presentation didn't write. own is true if
-// the claim names an incarnation that this node owns and hasn't expired. The
-// key has then never run, because the table has no entry for it except inquiry:
-// the entry under which the store was queried, or nil.
+// evaluateClaim decides on a presentation by a claim that this presentation
+// didn't write. neverRan is true if the claim names an incarnation that this
+// node owns and hasn't expired. The key has then never run, because the table
+// has no entry for it except inquiry: the entry under which the store was
+// queried, or nil.
 //
 // The entry and the ownership are checked in one critical section. Inherited
 // fates are stored before the ownership is published, so that all fates of an
 // incarnation that is visible here are in the table. A fate that has replaced
 // inquiry since the store was queried is visible too.
-func (t *Table) judge(p Presentation, found Claim, inquiry *entry) (st step, own bool) {
+func (t *Table) evaluateClaim(p Presentation, found Claim, inquiry *entry) (st decision, neverRan bool) {
 	if p.Fingerprint != 0 && found.Fingerprint != 0 && p.Fingerprint != found.Fingerprint {
 		return refuse(p.Key, call.Unknown, call.ReasonKeyReused), false
 	}
-	if st, ok := recorded(p.Key, found); ok {
+	if st, ok := recordedFate(p.Key, found); ok {
 		return st, false
 	}
 	s := t.shard(p.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.entries[p.Key] != inquiry {
-		return step{wait: lookAgain}, false
+		return decision{wait: checkAgainNow}, false
 	}
 	v := s.view
-	home, mine := v.homes[found.Home]
+	clock, owned := v.owned[found.Home]
 	switch {
-	case !mine:
-		return step{verdict: Verdict{Kind: Forward, Home: v.forward(found.Home)}}, false
-	case v.phase.gone():
-		return step{verdict: Verdict{Kind: Forward, Home: v.successor}}, false
-	case !t.clock.now().Add(home.shift).Before(time.Unix(found.ExpiresUnix, 0)):
+	case !owned:
+		return decision{verdict: Verdict{Kind: Forward, Home: v.forwardTarget(found.Home)}}, false
+	case v.phase.mayBeTransferred():
+		return decision{verdict: Verdict{Kind: Forward, Home: v.successor}}, false
+	case !t.clock.now().Add(clock.clockOffset).Before(time.Unix(found.ExpiresUnix, 0)):
 		return refuse(p.Key, call.Unknown, call.ReasonKeyExpired), false
 	}
-	return step{}, true
+	return decision{}, true
 }
 
-// recorded decides by a fate that the owner wrote to the store. ok is false if
-// the claim holds no fate.
-func recorded(key string, found Claim) (step, bool) {
+// recordedFate decides by a fate that the owner wrote to the store. ok is false
+// if the claim holds no fate.
+func recordedFate(key string, found Claim) (decision, bool) {
 	switch {
 	case found.State == StateDone && found.Answer != nil:
-		return step{verdict: Verdict{Kind: Replay, Answer: found.Answer.clone()}}, true
+		return decision{verdict: Verdict{Kind: Replay, Answer: found.Answer.clone()}}, true
 	case found.State == StateDone:
 		return refuse(key, call.Unknown, call.ReasonAnswerNotHeld), true
 	case found.State == StateUnknown:
 		return refuse(key, call.Unknown, call.Reason(found.Reason)), true
 	}
-	return step{}, false
+	return decision{}, false
 }
 
-// locate looks up a caller-supplied key that this node can't claim now. Only
-// the store can prove that no other node ran it.
-func (t *Table) locate(ctx context.Context, p Presentation, reason call.Reason) step {
+// lookUpClaim looks up a caller-supplied key that this node can't claim now.
+// Only the store can prove that no other node ran it.
+func (t *Table) lookUpClaim(ctx context.Context, p Presentation, reason call.Reason) decision {
 	found, _, err := t.cfg.Store.Get(ctx, ClaimName(t.cfg.Service, p.Key))
 	var absent *ClaimNotFoundError
 	if errors.As(err, &absent) {
@@ -68,7 +69,7 @@
 	if err != nil {
 		return refuse(p.Key, call.Unknown, call.ReasonKeyUnclaimed)
 	}
-	st, own := t.judge(p, found, nil)
+	st, own := t.evaluateClaim(p, found, nil)
 	if !own {
 		return st
 	}
@@ -87,7 +88,7 @@
 	if err != nil {
 		return Verdict{}, gone
 	}
-	st, ok := recorded(key, found)
+	st, ok := recordedFate(key, found)
 	switch {
 	case !ok:
 		return Verdict{}, gone
--- a/atmostonce/message.go
+++ b/atmostonce/message.go
@@ -133,8 +133,8 @@
 	return "hand-over " + strconv.FormatUint(e.Attempt, 10) + " from " + string(e.From) + " refused: " + string(e.Code)
 }
 
-// refusal returns the error for a code, or nil if code is empty.
-func refusal(code InheritCode, from Incarnation, attempt uint64) error {
+// inheritError returns the error for a code, or nil if code is empty.
+func inheritError(code InheritCode, from Incarnation, attempt uint64) error {
 	if code == "" {
 		return nil
 	}
--- a/atmostonce/noted.go
+++ b/atmostonce/noted.go
@@ -10,11 +10,11 @@
 // Noted is the owner's record of its open notes and of the members that may
 // have received them.
 type Noted struct {
-	mu    sync.Mutex
-	limit int
-	count uint64
-	seq   uint64
-	open  map[uint64]*notedCall
+	mu         sync.Mutex
+	limit      int
+	lastNumber uint64
+	seq        uint64
+	open       map[uint64]*notedCall
 	// stale holds the members whose last confirmed snapshot is out of date,
 	// each with the sequence number that its next snapshot must reach.
 	stale map[string]uint64
@@ -26,8 +26,8 @@
 	sending bool
 	// witness is the member that confirmed the note. may lists all members that
 	// may have received it.
-	witness string
-	may     []string
+	witness    string
+	recipients []string
 }
 
 // NewNoted creates a record with at most limit open notes.
@@ -43,11 +43,11 @@
 	if len(n.open) >= n.limit {
 		return note, false
 	}
-	n.count++
-	note.Number = n.count
+	n.lastNumber++
+	note.Number = n.lastNumber
 	c := &notedCall{Note: note, sending: to != ""}
 	if to != "" {
-		c.may = []string{to}
+		c.recipients = []string{to}
 	}
 	n.open[note.Number] = c
 	return note, true
@@ -76,23 +76,23 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c := n.open[number]; c != nil {
-		n.end(c)
+		n.remove(c)
 	}
 }
 
-// end removes a note and marks its recipients as stale. The caller holds the
+// remove removes a note and marks its recipients as stale. The caller holds the
 // lock.
-func (n *Noted) end(c *notedCall) {
+func (n *Noted) remove(c *notedCall) {
 	delete(n.open, c.Number)
 	n.seq++
-	for _, member := range c.may {
+	for _, member := range c.recipients {
 		n.stale[member] = n.seq
 	}
 }
 
 // Missing returns at most limit open notes that no live member has confirmed,
 // the oldest first. It drops notes that have expired.
-func (n *Noted) Missing(now time.Time, lives func(member string) bool, limit int) []Note {
+func (n *Noted) Missing(now time.Time, isAlive func(member string) bool, limit int) []Note {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var notes []Note
@@ -100,8 +100,8 @@
 		switch {
 		case c.sending:
 		case !now.Before(c.Expires):
-			n.end(c)
-		case c.witness == "" || !lives(c.witness):
+			n.remove(c)
+		case c.witness == "" || !isAlive(c.witness):
 			notes = append(notes, c.Note)
 		}
 	}
@@ -116,11 +116,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, note := range notes {
-		if c := n.open[note.Number]; c != nil && !slices.Contains(c.may, to) {
-			c.may = append(c.may, to)
+		if c := n.open[note.Number]; c != nil && !slices.Contains(c.recipients, to) {
+			c.recipients = append(c.recipients, to)
 		}
 	}
-	return n.word(to)
+	return n.snapshot(to)
 }
 
 // Stale returns the members that need a new snapshot.
@@ -135,14 +135,14 @@
 func (n *Noted) Word(to string) OpenNotes {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.word(to)
+	return n.snapshot(to)
 }
 
-func (n *Noted) word(to string) OpenNotes {
+func (n *Noted) snapshot(to string) OpenNotes {
 	n.seq++
-	w := OpenNotes{Seq: n.seq, Through: n.count}
+	w := OpenNotes{Seq: n.seq, Through: n.lastNumber}
 	for number, c := range n.open {
-		if slices.Contains(c.may, to) {
+		if slices.Contains(c.recipients, to) {
 			w.Numbers = append(w.Numbers, number)
 		}
 	}
--- a/atmostonce/present.go
+++ b/atmostonce/present.go
@@ -44,29 +44,30 @@
 	Home   Incarnation
 }
 
-// lookAgain is a closed channel. A step waits on it when the table has changed
-// in the meantime and must be checked again at once.
-var lookAgain = func() <-chan struct{} {
+// checkAgainNow is a closed channel. A decision has it as wait if the table has
+// changed in the meantime and must be checked again at once.
+var checkAgainNow = func() <-chan struct{} {
 	over := make(chan struct{})
 	close(over)
 	return over
 }()
 
-// step is the result of checking the table once.
-type step struct {
+// decision is the result of checking the table once.
+type decision struct {
 	verdict Verdict
 	err     *RefusedError
 	// wait is closed when the table should be checked again.
 	wait <-chan struct{}
 	// claiming is a new entry for which the store must be queried.
 	claiming *entry
-	// locate is the reason why the key can't be claimed on this node. The store
-	// must be queried whether another node claimed it.
-	locate call.Reason
+	// lookupReason is the reason why the key can't be claimed on this node. If
+	// it is set, the store must be queried whether another node claimed the
+	// key.
+	lookupReason call.Reason
 }
 
-func refuse(key string, outcome call.Outcome, reason call.Reason) step {
-	return step{err: &RefusedError{Key: key, Outcome: outcome, Reason: reason}}
+func refuse(key string, outcome call.Outcome, reason call.Reason) decision {
+	return decision{err: &RefusedError{Key: key, Outcome: outcome, Reason: reason}}
 }
 
 // Begin presents a key. While another presentation of the key is in flight,
@@ -82,8 +83,8 @@
 		switch {
 		case s.claiming != nil:
 			s = t.claim(ctx, s.claiming)
-		case s.locate != call.ReasonNone:
-			s = t.locate(ctx, p, s.locate)
+		case s.lookupReason != call.ReasonNone:
+			s = t.lookUpClaim(ctx, p, s.lookupReason)
 		}
 		switch {
 		case s.err != nil:
@@ -109,13 +110,13 @@
 }
 
 // present checks the table once, and claims the key if possible.
-func (t *Table) present(p Presentation, key Key, minted bool) step {
+func (t *Table) present(p Presentation, key Key, minted bool) decision {
 	now := t.clock.now()
 	s := t.shard(p.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.entries[p.Key]; e != nil {
-		if st, ok := e.known(p); ok {
+		if st, ok := e.decide(p); ok {
 			return st
 		}
 		return t.presentReleased(s, e, p, now)
@@ -123,15 +124,15 @@
 	if minted {
 		return t.presentMinted(s, p, key, now)
 	}
-	return t.presentBrought(s, p, now)
+	return t.presentSupplied(s, p, now)
 }
 
 // presentReleased claims a released key. This node still owns the claim in the
 // store.
-func (t *Table) presentReleased(s *shard, e *entry, p Presentation, now time.Time) step {
+func (t *Table) presentReleased(s *shard, e *entry, p Presentation, now time.Time) decision {
 	switch {
-	case s.view.phase.gone():
-		return step{verdict: Verdict{Kind: Forward, Home: s.view.successor}}
+	case s.view.phase.mayBeTransferred():
+		return decision{verdict: Verdict{Kind: Forward, Home: s.view.successor}}
 	case now.After(e.expires):
 		return refuse(p.Key, call.Unknown, call.ReasonKeyExpired)
 	case s.view.phase != phaseActive:
@@ -142,19 +143,19 @@
 	}
 	e.Presentation = p
 	t.inFlight.Add(1)
-	return step{verdict: Verdict{Kind: RunNow, Run: s.claim(e, t, now)}}
+	return decision{verdict: Verdict{Kind: RunNow, Run: s.startRun(e, t, now)}}
 }
 
-func (t *Table) presentMinted(s *shard, p Presentation, key Key, now time.Time) step {
-	home, mine := s.view.homes[key.Home]
-	if !mine {
-		return step{verdict: Verdict{Kind: Forward, Home: s.view.forward(key.Home)}}
+func (t *Table) presentMinted(s *shard, p Presentation, key Key, now time.Time) decision {
+	clock, owned := s.view.owned[key.Home]
+	if !owned {
+		return decision{verdict: Verdict{Kind: Forward, Home: s.view.forwardTarget(key.Home)}}
 	}
-	minted := time.Unix(key.Minted, 0).Add(-home.shift)
+	minted := time.Unix(key.Minted, 0).Add(-clock.clockOffset)
 	expires := minted.Add(t.cfg.Window)
 	switch {
-	case s.view.phase.gone():
-		return step{verdict: Verdict{Kind: Forward, Home: s.view.successor}}
+	case s.view.phase.mayBeTransferred():
+		return decision{verdict: Verdict{Kind: Forward, Home: s.view.successor}}
 	case now.After(expires):
 		// The entry of an expired key may have been dropped, so the key may
 		// have run.
@@ -166,24 +167,24 @@
 	case !t.reserve(1):
 		return refuse(p.Key, call.NotRun, call.ReasonKeyTableFull)
 	}
-	e := &entry{Presentation: p, home: key.Home, minted: true, expires: expires}
+	e := &entry{Presentation: p, owner: key.Home, minted: true, expires: expires}
 	s.entries[p.Key] = e
 	t.inFlight.Add(1)
-	return step{verdict: Verdict{Kind: RunNow, Run: s.claim(e, t, now)}}
+	return decision{verdict: Verdict{Kind: RunNow, Run: s.startRun(e, t, now)}}
 }
 
-func (t *Table) presentBrought(s *shard, p Presentation, now time.Time) step {
+func (t *Table) presentSupplied(s *shard, p Presentation, now time.Time) decision {
 	switch {
 	case t.cfg.Store == nil:
 		return refuse(p.Key, call.Unknown, call.ReasonKeyUnclaimed)
 	case s.view.phase != phaseActive:
-		return step{locate: call.ReasonDraining}
+		return decision{lookupReason: call.ReasonDraining}
 	case !t.reserve(1):
-		return step{locate: call.ReasonKeyTableFull}
+		return decision{lookupReason: call.ReasonKeyTableFull}
 	}
 	e := &entry{
 		Presentation: p,
-		home:         s.view.own,
+		owner:        s.view.incarnation,
 		state:        StateClaiming,
 		since:        now,
 		expires:      now.Add(t.cfg.Window),
@@ -191,5 +192,5 @@
 	}
 	s.entries[p.Key] = e
 	t.inFlight.Add(1)
-	return step{claiming: e}
+	return decision{claiming: e}
 }
--- a/atmostonce/run.go
+++ b/atmostonce/run.go
@@ -30,14 +30,14 @@
 	e := r.entry
 	switch {
 	case e.run != r:
-		return &RefusedError{Key: e.Key, Outcome: r.revoked(now), Reason: call.ReasonDraining}
+		return &RefusedError{Key: e.Key, Outcome: r.revokedOutcome(now), Reason: call.ReasonDraining}
 	case !e.minted && now.After(e.expires):
 		// This process was paused until the key's window ended. The claim in
 		// the store may have been deleted and another node may have claimed the
 		// key.
 		return &RefusedError{Key: e.Key, Outcome: call.Unknown, Reason: call.ReasonKeyExpired}
 	}
-	if err := r.mayBecome(StateDispatched, StateClaimed); err != nil {
+	if err := r.checkTransition(StateDispatched, StateClaimed); err != nil {
 		return err
 	}
 	e.state = StateDispatched
@@ -45,15 +45,15 @@
 	return nil
 }
 
-// revoked returns the outcome to report for a key whose claim was revoked by a
-// drain or an inherited fate. Another presentation may have run the key since:
-// on the successor, or here after the drain was cancelled. The caller holds the
-// shard's lock.
-func (r *Run) revoked(now time.Time) call.Outcome {
+// revokedOutcome returns the outcome to report for a key whose claim was
+// revoked by a drain or an inherited fate. Another presentation may have run
+// the key since: on the successor, or here after the drain was cancelled. The
+// caller holds the shard's lock.
+func (r *Run) revokedOutcome(now time.Time) call.Outcome {
 	e := r.entry
 	v := r.shard.view
-	_, mine := v.homes[e.home]
-	if !e.minted || !mine || v.phase.gone() || now.After(e.expires) {
+	_, owned := v.owned[e.owner]
+	if !e.minted || !owned || v.phase.mayBeTransferred() || now.After(e.expires) {
 		return call.Unknown
 	}
 	if other := r.shard.entries[e.Key]; other != nil && other.state != StateClaimed {
@@ -76,14 +76,14 @@
 	r.shard.mu.Lock()
 	defer r.shard.mu.Unlock()
 	e := r.entry
-	if err := r.mayBecome(StateDone, StateDispatched, StateUnknown); err != nil {
+	if err := r.checkTransition(StateDone, StateDispatched, StateUnknown); err != nil {
 		return err
 	}
 	e.reason = call.ReasonNone
 	if answer != nil {
-		r.shard.hold(e, answer, r.table.cfg.MaxAnswerBytes)
+		r.shard.storeAnswer(e, answer, r.table.cfg.MaxAnswerBytes)
 	}
-	r.end(StateDone, now)
+	r.recordFate(StateDone, now)
 	return nil
 }
 
@@ -93,17 +93,17 @@
 	r.shard.mu.Lock()
 	defer r.shard.mu.Unlock()
 	e := r.entry
-	if err := r.mayBecome(StateUnknown, StateDispatched); err != nil {
+	if err := r.checkTransition(StateUnknown, StateDispatched); err != nil {
 		return err
 	}
 	e.reason = reason
-	r.end(StateUnknown, now)
+	r.recordFate(StateUnknown, now)
 	return nil
 }
 
-// mayBecome returns a *RunError unless this run still has the key and the key's
-// state is one of from. The caller holds the shard's lock.
-func (r *Run) mayBecome(to State, from ...State) error {
+// checkTransition returns a *RunError unless this run still has the key and the
+// key's state is one of from. The caller holds the shard's lock.
+func (r *Run) checkTransition(to State, from ...State) error {
 	e := r.entry
 	if e.run != r || !slices.Contains(from, e.state) {
 		return &RunError{Key: e.Key, From: e.state, To: to}
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// end records a fate. The caller holds the shard's lock.
-func (r *Run) end(state State, now time.Time) {
+// recordFate records a fate. The caller holds the shard's lock.
+func (r *Run) recordFate(state State, now time.Time) {
 	e := r.entry
 	first := e.state == StateDispatched
 	if !first {
@@ -137,11 +137,11 @@
 	r.shard.mu.Lock()
 	defer r.shard.mu.Unlock()
 	e := r.entry
-	if err := r.mayBecome(StateReleased, StateClaimed, StateDispatched); err != nil {
+	if err := r.checkTransition(StateReleased, StateClaimed, StateDispatched); err != nil {
 		return err
 	}
 	if e.minted || r.shard.view.phase >= phaseSealed {
-		r.table.takeBack(r.shard, e)
+		r.table.revoke(r.shard, e)
 		return nil
 	}
 	defer r.table.endPresentation()
@@ -157,12 +157,12 @@
 // has been completed.
 func (r *Run) Close() {
 	r.shard.mu.Lock()
-	mine, state := r.entry.run == r, r.entry.state
+	current, state := r.entry.run == r, r.entry.state
 	r.shard.mu.Unlock()
 	switch {
-	case mine && state == StateClaimed:
+	case current && state == StateClaimed:
 		_ = r.NotRun()
-	case mine && state == StateDispatched:
+	case current && state == StateDispatched:
 		_ = r.Unknown(call.ReasonLost)
 	}
 }
--- a/atmostonce/shard.go
+++ b/atmostonce/shard.go
@@ -18,13 +18,13 @@
 	view    *view
 	entries map[string]*entry
 
-	held      *list.List // entries with an answer, oldest first
-	heldBytes int64
-	maxHeld   int64
+	storedAnswers  *list.List // entries with an answer, oldest first
+	storedBytes    int64
+	maxStoredBytes int64
 }
 
-func newShard(v *view, maxHeld int64) *shard {
-	return &shard{view: v, entries: make(map[string]*entry), held: list.New(), maxHeld: maxHeld}
+func newShard(v *view, maxStoredBytes int64) *shard {
+	return &shard{view: v, entries: make(map[string]*entry), storedAnswers: list.New(), maxStoredBytes: maxStoredBytes}
 }
 
 func (s *shard) setView(v *view) {
@@ -53,9 +53,9 @@
 	e.run = nil
 }
 
-// claim gives a new run permission to dispatch e. Presentations that waited for
-// the claim in the store continue to wait, for the run.
-func (s *shard) claim(e *entry, t *Table, now time.Time) *Run {
+// startRun gives a new run permission to dispatch e. Presentations that waited
+// for the claim in the store continue to wait, for the run.
+func (s *shard) startRun(e *entry, t *Table, now time.Time) *Run {
 	if !e.state.pending() {
 		e.changed = make(chan struct{})
 	}
@@ -65,19 +65,19 @@
 	return e.run
 }
 
-// hold stores an answer and drops the oldest answers that exceed the shard's
-// share of the memory. It drops only answers, never fates.
-func (s *shard) hold(e *entry, answer *Answer, limit int64) {
+// storeAnswer stores an answer and drops the oldest answers that exceed the
+// shard's share of the memory. It drops only answers, never fates.
+func (s *shard) storeAnswer(e *entry, answer *Answer, limit int64) {
 	size := answer.size()
 	if size > limit {
 		return
 	}
 	e.answer = answer
 	e.answerSize = size
-	e.held = s.held.PushBack(e)
-	s.heldBytes += size
-	for s.heldBytes > s.maxHeld {
-		s.dropAnswer(s.held.Front().Value.(*entry))
+	e.answerElement = s.storedAnswers.PushBack(e)
+	s.storedBytes += size
+	for s.storedBytes > s.maxStoredBytes {
+		s.dropAnswer(s.storedAnswers.Front().Value.(*entry))
 	}
 }
 
@@ -85,10 +85,10 @@
 	if e.answer == nil {
 		return
 	}
-	s.held.Remove(e.held)
-	s.heldBytes -= e.answerSize
+	s.storedAnswers.Remove(e.answerElement)
+	s.storedBytes -= e.answerSize
 	e.answer = nil
-	e.held = nil
+	e.answerElement = nil
 	e.answerSize = 0
 }
 
@@ -111,21 +111,21 @@
 	return dropped, claims
 }
 
-// known decides on a presentation of a key that has an entry. ok is false for a
+// decide decides on a presentation of a key that has an entry. ok is false for a
 // released key, which may run again.
-func (e *entry) known(p Presentation) (step, bool) {
+func (e *entry) decide(p Presentation) (decision, bool) {
 	if e.Fingerprint != 0 && p.Fingerprint != 0 && e.Fingerprint != p.Fingerprint {
 		return refuse(p.Key, call.Unknown, call.ReasonKeyReused), true
 	}
 	switch {
 	case e.state.pending():
-		return step{wait: e.changed}, true
+		return decision{wait: e.changed}, true
 	case e.state == StateDone && e.answer == nil:
 		return refuse(p.Key, call.Unknown, call.ReasonAnswerNotHeld), true
 	case e.state == StateDone:
-		return step{verdict: Verdict{Kind: Replay, Answer: e.answer.clone()}}, true
+		return decision{verdict: Verdict{Kind: Replay, Answer: e.answer.clone()}}, true
 	case e.state == StateUnknown:
 		return refuse(p.Key, call.Unknown, e.reason), true
 	}
-	return step{}, false
+	return decision{}, false
 }
--- a/atmostonce/sync.go
+++ b/atmostonce/sync.go
@@ -45,8 +45,8 @@
 func (w *syncWork) addExpired(claims []claimRef) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	room := maxExpiredClaims - len(w.expired)
-	w.expired = append(w.expired, claims[:min(room, len(claims))]...)
+	capacity := maxExpiredClaims - len(w.expired)
+	w.expired = append(w.expired, claims[:min(capacity, len(claims))]...)
 }
 
 // take removes and returns up to limit items of each kind.
@@ -150,7 +150,7 @@
 	if e.state != StateReleasing {
 		return // revoked in the meantime
 	}
-	t.takeBack(s, e)
+	t.revoke(s, e)
 }
 
 // saveFate writes a durable fate. Only the owner writes a claim that was
@@ -189,7 +189,7 @@
 func (t *Table) fateClaim(e *entry) Claim {
 	claim := Claim{
 		Service:     t.cfg.Service,
-		Home:        e.home,
+		Home:        e.owner,
 		ID:          e.claimID,
 		ExpiresUnix: e.expires.Unix(),
 		State:       e.state,
--- a/atmostonce/table.go
+++ b/atmostonce/table.go
@@ -48,7 +48,7 @@
 		idle:     make(chan struct{}, 1),
 		incoming: make(map[Incarnation]*incoming),
 	}
-	first := &view{own: cfg.Incarnation, homes: map[Incarnation]homeClock{cfg.Incarnation: {}}}
+	first := &view{incarnation: cfg.Incarnation, owned: map[Incarnation]ownerClock{cfg.Incarnation: {}}}
 	t.current.Store(first)
 	for i := range t.shards {
 		t.shards[i] = newShard(first, cfg.MaxTotalBytes/shardCount)
@@ -67,7 +67,7 @@
 
 // Incarnation returns the incarnation under which this node currently mints
 // keys.
-func (t *Table) Incarnation() Incarnation { return t.current.Load().own }
+func (t *Table) Incarnation() Incarnation { return t.current.Load().incarnation }
 
 func (t *Table) shard(key string) *shard {
 	return t.shards[maphash.String(t.seed, key)%shardCount]
@@ -85,10 +85,10 @@
 
 func (t *Table) unreserve(n int64) { t.count.Add(-n) }
 
-// takeBack removes an entry whose call was not sent. Presentations that wait
+// revoke removes an entry whose call was not sent. Presentations that wait
 // for it check the table again, and its run can no longer be dispatched. The
 // caller holds the shard's lock.
-func (t *Table) takeBack(s *shard, e *entry) {
+func (t *Table) revoke(s *shard, e *entry) {
 	inFlight := e.state.pending()
 	s.remove(e)
 	t.unreserve(1)
@@ -119,7 +119,7 @@
 		t.work.addExpired(claims)
 		total += dropped
 	}
-	t.retireHomes(now)
+	t.dropExpiredOwners(now)
 	return total
 }
 
--- a/atmostonce/view.go
+++ b/atmostonce/view.go
@@ -21,8 +21,8 @@
 	// successor may already be the owner, so this node must not act as the
 	// owner.
 	phaseCommitting
-	// phaseHanded: the successor is the owner.
-	phaseHanded
+	// phaseHandedOver: the successor is the owner.
+	phaseHandedOver
 )
 
 var phaseNames = [...]string{"active", "frozen", "sealed", "committing", "handed"}
@@ -30,53 +30,54 @@
 // String returns the name of the phase as operators see it.
 func (p phase) String() string { return phaseNames[p] }
 
-// gone reports whether the successor is, or may be, the owner of the keys.
-func (p phase) gone() bool { return p == phaseCommitting || p == phaseHanded }
-
-// homeClock relates the clock of an owner to this node's steady clock.
-type homeClock struct {
-	// shift is added to the steady clock to get the time by the owner's clock.
-	// The clock of a successor may be behind that of the node it inherits from.
-	// Without the shift, a key that the old owner dropped as expired would be
-	// valid on the successor and would run twice.
-	shift time.Duration
-	// retire is the time, by the steady clock, at which all keys of an
+// mayBeTransferred reports whether the successor is, or may be, the owner of
+// the keys.
+func (p phase) mayBeTransferred() bool { return p == phaseCommitting || p == phaseHandedOver }
+
+// ownerClock relates the clock of an owner to this node's steady clock.
+type ownerClock struct {
+	// clockOffset is added to the steady clock to get the time by the owner's
+	// clock. The clock of a successor may be behind that of the node it
+	// inherits from. Without the offset, a key that the old owner dropped as
+	// expired would be valid on the successor and would run twice.
+	clockOffset time.Duration
+	// keysExpireAt is the time, by the steady clock, at which all keys of an
 	// inherited incarnation have expired. It is zero for the node's own
 	// incarnation.
-	retire time.Time
+	keysExpireAt time.Time
 }
 
 // view is the part of a table's state that all shards share. A view is
 // immutable: changes replace it with a modified copy.
 type view struct {
-	phase phase
-	own   Incarnation
-	homes map[Incarnation]homeClock
+	phase       phase
+	incarnation Incarnation
+	owned       map[Incarnation]ownerClock
 	// successor is set from phaseCommitting on.
 	successor Incarnation
-	// moved maps incarnations that this process once owned to the nodes that
-	// took them over.
-	moved map[Incarnation]movedHome
+	// newOwners maps incarnations that this process once owned to the nodes
+	// that took them over.
+	newOwners map[Incarnation]newOwner
 }
 
-// movedHome is an incarnation that was handed over.
-type movedHome struct {
+// newOwner is the node that took over an incarnation.
+type newOwner struct {
 	to Incarnation
-	// retire is the time at which all keys of the incarnation have expired.
-	retire time.Time
+	// keysExpireAt is the time at which all keys of the incarnation have expired.
+	keysExpireAt time.Time
 }
 
 func (v *view) clone() *view {
 	c := *v
-	c.homes = maps.Clone(v.homes)
-	c.moved = maps.Clone(v.moved)
+	c.owned = maps.Clone(v.owned)
+	c.newOwners = maps.Clone(v.newOwners)
 	return &c
 }
 
-// forward returns the node that a key of home is sent to. home must not be an
-// incarnation that this node owns.
-func (v *view) forward(home Incarnation) Incarnation {
-	if m, ok := v.moved[home]; ok {
+// forwardTarget returns the node to which a key of home is forwarded. home must
+// be an incarnation that this node doesn't own.
+func (v *view) forwardTarget(home Incarnation) Incarnation {
+	if m, ok := v.newOwners[home]; ok {
 		return m.to
 	}
 	return home
@@ -86,12 +87,12 @@
 // it inherited. After a hand-over there are none.
 func (t *Table) Homes() []Incarnation {
 	v := t.current.Load()
-	if v.phase == phaseHanded {
+	if v.phase == phaseHandedOver {
 		return nil
 	}
-	homes := []Incarnation{v.own}
-	for home := range v.homes {
-		if home != v.own {
+	homes := []Incarnation{v.incarnation}
+	for home := range v.owned {
+		if home != v.incarnation {
 			homes = append(homes, home)
 		}
 	}
--- a/atmostonce/witness.go
+++ b/atmostonce/witness.go
@@ -10,15 +10,15 @@
 
 // Witnessed is the witness's record of the open notes of other owners.
 type Witnessed struct {
-	mu    sync.Mutex
-	limit int
-	count int
-	homes map[Incarnation]*witnessedHome
+	mu     sync.Mutex
+	limit  int
+	count  int
+	owners map[Incarnation]*witnessedOwner
 }
 
-type witnessedHome struct {
-	word  OpenNotes
-	notes map[uint64]Note
+type witnessedOwner struct {
+	snapshot OpenNotes
+	notes    map[uint64]Note
 }
 
 // HeldNote is a note with the incarnation of its owner.
@@ -29,54 +29,54 @@
 
 // NewWitnessed creates a record that stores at most limit notes.
 func NewWitnessed(limit int) *Witnessed {
-	return &Witnessed{limit: limit, homes: make(map[Incarnation]*witnessedHome)}
+	return &Witnessed{limit: limit, owners: make(map[Incarnation]*witnessedOwner)}
 }
 
-func (w *Witnessed) home(id Incarnation) *witnessedHome {
-	h := w.homes[id]
+func (w *Witnessed) owner(id Incarnation) *witnessedOwner {
+	h := w.owners[id]
 	if h == nil {
-		h = &witnessedHome{notes: make(map[uint64]Note)}
-		w.homes[id] = h
+		h = &witnessedOwner{notes: make(map[uint64]Note)}
+		w.owners[id] = h
 	}
 	return h
 }
 
 // Take stores notes of an owner. It returns the number of notes rejected
 // because the record is full: an open note is never dropped to store another.
-func (w *Witnessed) Take(home Incarnation, notes []Note, now time.Time) (refused int) {
+func (w *Witnessed) Take(owner Incarnation, notes []Note, now time.Time) (rejected int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	h := w.home(home)
+	h := w.owner(owner)
 	for _, note := range notes {
 		_, known := h.notes[note.Number]
 		switch {
-		case known || h.word.settles(note.Number):
-		case !w.room(now):
-			refused++
+		case known || h.snapshot.settles(note.Number):
+		case !w.hasCapacity(now):
+			rejected++
 		default:
 			h.notes[note.Number] = note
 			w.count++
 		}
 	}
-	return refused
+	return rejected
 }
 
 // Hear applies an owner's snapshot of its open notes. The numbers must be in
 // ascending order.
-func (w *Witnessed) Hear(home Incarnation, word OpenNotes) {
+func (w *Witnessed) Hear(owner Incarnation, snapshot OpenNotes) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	h := w.home(home)
-	if word.Seq <= h.word.Seq {
+	h := w.owner(owner)
+	if snapshot.Seq <= h.snapshot.Seq {
 		return
 	}
-	h.word = word
-	w.drop(h, func(note Note) bool { return word.settles(note.Number) })
+	h.snapshot = snapshot
+	w.dropMatching(h, func(note Note) bool { return snapshot.settles(note.Number) })
 }
 
-// room reports whether one more note can be stored, after expired notes have
-// been dropped if necessary.
-func (w *Witnessed) room(now time.Time) bool {
+// hasCapacity reports whether one more note can be stored, after expired notes
+// have been dropped if necessary.
+func (w *Witnessed) hasCapacity(now time.Time) bool {
 	if w.count >= w.limit {
 		w.expire(now)
 	}
@@ -84,30 +84,30 @@
 }
 
 func (w *Witnessed) expire(now time.Time) {
-	for _, h := range w.homes {
-		w.drop(h, func(note Note) bool { return !now.Before(note.Expires) })
+	for _, h := range w.owners {
+		w.dropMatching(h, func(note Note) bool { return !now.Before(note.Expires) })
 	}
 }
 
-func (w *Witnessed) drop(h *witnessedHome, ended func(Note) bool) {
+func (w *Witnessed) dropMatching(h *witnessedOwner, matches func(Note) bool) {
 	before := len(h.notes)
-	maps.DeleteFunc(h.notes, func(_ uint64, note Note) bool { return ended(note) })
+	maps.DeleteFunc(h.notes, func(_ uint64, note Note) bool { return matches(note) })
 	w.count -= before - len(h.notes)
 }
 
 // Lost returns the notes of owners that are not alive, the oldest first. It
 // drops expired notes, and owners that are not alive and have no notes.
-func (w *Witnessed) Lost(now time.Time, lives func(home Incarnation) bool) []HeldNote {
+func (w *Witnessed) Lost(now time.Time, isAlive func(home Incarnation) bool) []HeldNote {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expire(now)
 	var lost []HeldNote
-	for id, h := range w.homes {
-		if lives(id) {
+	for id, h := range w.owners {
+		if isAlive(id) {
 			continue
 		}
 		if len(h.notes) == 0 {
-			delete(w.homes, id)
+			delete(w.owners, id)
 		}
 		for _, note := range h.notes {
 			lost = append(lost, HeldNote{Note: note, Home: id})
