--- a/atmostonce/claim.go
+++ b/atmostonce/claim.go
@@ -101,9 +101,9 @@
 	if found.ID == claim.ID {
 		return claimResult{acquired: true, id: claim.ID, version: version, expires: expires}, false
 	}
-	st, own := t.evaluateClaim(e.Presentation, found, e)
-	if !own {
-		return claimResult{decision: st}, false
+	decided, neverRan := t.evaluateClaim(e.Presentation, found, e)
+	if !neverRan {
+		return claimResult{decision: decided}, false
 	}
 	return t.replaceClaim(ctx, name, claim, version)
 }
--- a/atmostonce/claim_test.go
+++ b/atmostonce/claim_test.go
@@ -10,20 +10,20 @@
 	"pollengauge.dev/call"
 )
 
-const broughtKey = "case-4711-filing"
+const suppliedKey = "case-4711-filing"
 
 // A client supplies its own key, and two nodes receive it at the same time.
 // Each of them tries to become the owner. One create in the store succeeds; the
 // other node forwards the call to the node that succeeded.
-func TestTwoNodesClaimOneBroughtKey(t *testing.T) {
+func TestTwoNodesClaimOneSuppliedKey(t *testing.T) {
 	store := newFakeStore()
 	c, ctx, a, b := twoNodes(t, withStore(store))
-	run := mustRun(c, a, broughtKey)
-	mustForward(c, b, broughtKey, a.Incarnation())
+	run := mustRun(c, a, suppliedKey)
+	mustForward(c, b, suppliedKey, a.Incarnation())
 	finish(c, run, "filed")
-	mustReplay(c, a, broughtKey, "filed")
+	mustReplay(c, a, suppliedKey, "filed")
 	// Another caller chose the same key for another request.
-	v, err := a.Begin(ctx, Presentation{Key: broughtKey, Fingerprint: 7})
+	v, err := a.Begin(ctx, Presentation{Key: suppliedKey, Fingerprint: 7})
 	c.Assert(err, qt.IsNil, qt.Commentf("the first had no fingerprint"))
 	c.Assert(v.Kind, qt.Equals, Replay)
 	v, err = a.Begin(ctx, Presentation{Key: "k", Fingerprint: 1})
@@ -57,18 +57,18 @@
 			store := newFakeStore()
 			c, _, a, b := twoNodes(t, withStore(store))
 			store.script(tc.faults...)
-			v, err := present(a, broughtKey)
+			v, err := present(a, suppliedKey)
 			if !tc.runs {
-				checkRefused(c, err, broughtKey, call.Unknown, call.ReasonKeyUnclaimed)
+				checkRefused(c, err, suppliedKey, call.Unknown, call.ReasonKeyUnclaimed)
 				c.Assert(a.Len(), qt.Equals, 0)
 				store.script()
-				v, err = present(a, broughtKey)
+				v, err = present(a, suppliedKey)
 			}
 			c.Assert(err, qt.IsNil)
 			finish(c, v.Run, "filed")
 			store.flush()
-			mustForward(c, b, broughtKey, a.Incarnation())
-			mustReplay(c, a, broughtKey, "filed")
+			mustForward(c, b, suppliedKey, a.Incarnation())
+			mustReplay(c, a, suppliedKey, "filed")
 		})
 	}
 }
@@ -83,20 +83,20 @@
 		t.Run(name, func(t *testing.T) {
 			store := newFakeStore()
 			c, ctx, a, b := twoNodes(t, withStore(store))
-			c.Assert(mustRun(c, a, broughtKey).NotRun(), qt.IsNil)
+			c.Assert(mustRun(c, a, suppliedKey).NotRun(), qt.IsNil)
 			writes := store.writes
-			c.Assert(mustRun(c, a, broughtKey).NotRun(), qt.IsNil)
+			c.Assert(mustRun(c, a, suppliedKey).NotRun(), qt.IsNil)
 			c.Assert(store.writes, qt.Equals, writes, qt.Commentf("a retry before Sync needs no write"))
 			store.script(f)
 			c.Assert(a.Sync(ctx, 10).Failed, qt.Equals, 1)
 			if f == lostAfter {
-				finish(c, mustRun(c, b, broughtKey), "filed")
-				mustForward(c, a, broughtKey, b.Incarnation())
+				finish(c, mustRun(c, b, suppliedKey), "filed")
+				mustForward(c, a, suppliedKey, b.Incarnation())
 				return
 			}
-			finish(c, mustRun(c, a, broughtKey), "filed")
+			finish(c, mustRun(c, a, suppliedKey), "filed")
 			store.flush()
-			mustForward(c, b, broughtKey, a.Incarnation())
+			mustForward(c, b, suppliedKey, a.Incarnation())
 		})
 	}
 }
@@ -105,15 +105,15 @@
 // only the store knows whether another node ran it. The result must be not-run
 // if there is no claim, a forward to the other node if there is one, and
 // unknown if the store is down.
-func TestBroughtKeyAtADrainingNode(t *testing.T) {
+func TestSuppliedKeyAtADrainingNode(t *testing.T) {
 	store := newFakeStore()
 	c, _, a, b := twoNodes(t, withStore(store))
 	b.Freeze()
-	mustRefuse(c, b, broughtKey, call.NotRun, call.ReasonDraining)
-	finish(c, mustRun(c, a, broughtKey), "filed")
-	mustForward(c, b, broughtKey, a.Incarnation())
+	mustRefuse(c, b, suppliedKey, call.NotRun, call.ReasonDraining)
+	finish(c, mustRun(c, a, suppliedKey), "filed")
+	mustForward(c, b, suppliedKey, a.Incarnation())
 	store.script(down)
-	mustRefuse(c, b, broughtKey, call.Unknown, call.ReasonKeyUnclaimed)
+	mustRefuse(c, b, suppliedKey, call.Unknown, call.ReasonKeyUnclaimed)
 }
 
 // An owner crashes and leaves its claims in the store. A collector must delete
@@ -129,7 +129,7 @@
 		start := cfg.Clock
 		cfg.Clock = func() time.Time { return start().Add(-2 * DefaultWindow) }
 	})
-	finish(c, mustRun(c, behind, broughtKey), "filed")
+	finish(c, mustRun(c, behind, suppliedKey), "filed")
 	collector := NewCollector(store, store, DefaultWindow, 10)
 	for range 23 {
 		n, err := collector.Step(ctx, clock.now, 10)
@@ -151,10 +151,10 @@
 	c := qt.New(t)
 	store := newFakeStore()
 	a, clock := testNode(1, withStore(store))
-	run := mustRun(c, a, broughtKey)
+	run := mustRun(c, a, suppliedKey)
 	finish(c, mustRun(c, a, "other"), "done")
 	clock.advance(DefaultWindow + time.Second)
-	checkRefused(c, run.Dispatched(), broughtKey, call.Unknown, call.ReasonKeyExpired)
+	checkRefused(c, run.Dispatched(), suppliedKey, call.Unknown, call.ReasonKeyExpired)
 	c.Assert(a.Sweep(), qt.Equals, 1)
 	c.Assert(a.Sync(context.Background(), 10).Deleted, qt.Equals, 1)
 }
--- a/atmostonce/export.go
+++ b/atmostonce/export.go
@@ -36,19 +36,21 @@
 	return chunks
 }
 
+// entryOverhead is the estimated size in bytes of an EntryRecord without its
+// key and answer.
 const entryOverhead = 256
 
 func (t *Table) homeRecords(v *view, now time.Time) []HomeRecord {
 	var records []HomeRecord
-	for inc, home := range v.owned {
-		retire := home.keysExpireAt
-		if retire.IsZero() {
-			retire = now.Add(t.cfg.Window + t.cfg.MaxSkew)
+	for inc, owner := range v.owned {
+		keysExpireAt := owner.keysExpireAt
+		if keysExpireAt.IsZero() {
+			keysExpireAt = now.Add(t.cfg.Window + t.cfg.MaxSkew)
 		}
 		records = append(records, HomeRecord{
 			Incarnation:    inc,
-			NowUnixNano:    now.Add(home.clockOffset).UnixNano(),
-			RetireUnixNano: retire.Add(home.clockOffset).UnixNano(),
+			NowUnixNano:    now.Add(owner.clockOffset).UnixNano(),
+			RetireUnixNano: keysExpireAt.Add(owner.clockOffset).UnixNano(),
 		})
 	}
 	return records
@@ -62,20 +64,20 @@
 	defer s.mu.Unlock()
 	var records []EntryRecord
 	for _, e := range s.entries {
-		home, ok := v.owned[e.owner]
+		owner, ok := v.owned[e.owner]
 		if !ok {
 			continue
 		}
-		records = append(records, e.record(home))
+		records = append(records, e.record(owner))
 	}
 	return records
 }
 
-func (e *entry) record(home ownerClock) EntryRecord {
+func (e *entry) record(owner ownerClock) EntryRecord {
 	r := EntryRecord{
 		Key:             e.Key,
 		Home:            e.owner,
-		ExpiresUnixNano: e.expires.Add(home.clockOffset).UnixNano(),
+		ExpiresUnixNano: e.expires.Add(owner.clockOffset).UnixNano(),
 		Done:            e.state == StateDone,
 		Answer:          e.answer,
 		Reason:          e.reason,
@@ -93,7 +95,7 @@
 	return r
 }
 
-func (r EntryRecord) entry(shift time.Duration, now time.Time) *entry {
+func (r EntryRecord) entry(clockOffset time.Duration, now time.Time) *entry {
 	_, minted, _ := ParseKey(r.Key)
 	state := StateUnknown
 	if r.Done {
@@ -112,7 +114,7 @@
 		state:        state,
 		reason:       r.Reason,
 		since:        now,
-		expires:      time.Unix(0, r.ExpiresUnixNano).Add(-shift),
+		expires:      time.Unix(0, r.ExpiresUnixNano).Add(-clockOffset),
 		claimID:      r.ClaimID,
 		claimVersion: r.ClaimVersion,
 		unsaved:      r.Unsaved,
--- a/atmostonce/handover.go
+++ b/atmostonce/handover.go
@@ -74,9 +74,9 @@
 		v.phase = phaseCommitting
 		v.successor = t.handOver.to
 	})
-	own := t.current.Load().incarnation
+	self := t.current.Load().incarnation
 	t.control.Unlock()
-	request := CommitRequest{From: own, To: t.handOver.to, Attempt: t.handOver.attempt, Total: len(t.handOver.chunks)}
+	request := CommitRequest{From: self, To: t.handOver.to, Attempt: t.handOver.attempt, Total: len(t.handOver.chunks)}
 	if err := s.Commit(ctx, request); err != nil {
 		return &HandOverError{Step: "commit", To: t.handOver.to, Ambiguous: true, Err: err}
 	}
@@ -134,8 +134,8 @@
 		if v.newOwners == nil {
 			v.newOwners = make(map[Incarnation]newOwner)
 		}
-		for home := range v.owned {
-			v.newOwners[home] = newOwner{to: v.successor, keysExpireAt: retire}
+		for owner := range v.owned {
+			v.newOwners[owner] = newOwner{to: v.successor, keysExpireAt: retire}
 		}
 		v.incarnation = inc
 		v.owned = map[Incarnation]ownerClock{inc: {}}
--- a/atmostonce/handover_test.go
+++ b/atmostonce/handover_test.go
@@ -174,7 +174,7 @@
 	c := qt.New(t)
 	ctx := context.Background()
 	a, clock := testNode(1, nil)
-	b, late := testNode(2, nil)
+	b, successorClock := testNode(2, nil)
 	key := a.Mint().String()
 	finish(c, mustRun(c, a, key), "filed")
 	clock.advance(DefaultWindow + time.Second)
@@ -183,7 +183,7 @@
 	c.Assert(a.HandOver(ctx, b.Incarnation(), &link{to: b}), qt.IsNil)
 	mustRefuse(c, b, key, call.Unknown, call.ReasonKeyExpired)
 	finish(c, mustRun(c, b, young), "young")
-	late.advance(DefaultWindow + DefaultMaxSkew + time.Second)
+	successorClock.advance(DefaultWindow + DefaultMaxSkew + time.Second)
 	b.Sweep()
 	c.Assert(b.Homes(), qt.HasLen, 1, qt.Commentf("an inherited incarnation is dropped when its keys have expired"))
 	mustForward(c, b, young, a.Incarnation())
@@ -194,12 +194,12 @@
 // run the key, and the renewed old node must not run it.
 func TestReleasedClaimGoesToTheSuccessor(t *testing.T) {
 	c, ctx, a, b := twoNodes(t, withStore(newFakeStore()))
-	c.Assert(mustRun(c, a, broughtKey).NotRun(), qt.IsNil)
+	c.Assert(mustRun(c, a, suppliedKey).NotRun(), qt.IsNil)
 	c.Assert(a.HandOver(ctx, b.Incarnation(), &link{to: b}), qt.IsNil)
 	c.Assert(a.Renew(NewIncarnation(testRandom(7))), qt.IsNil)
-	finish(c, mustRun(c, b, broughtKey), "filed")
-	mustForward(c, a, broughtKey, b.Incarnation())
-	mustReplay(c, b, broughtKey, "filed")
+	finish(c, mustRun(c, b, suppliedKey), "filed")
+	mustForward(c, a, suppliedKey, b.Incarnation())
+	mustReplay(c, b, suppliedKey, "filed")
 }
 
 // Two nodes drain at the same time and choose each other as successor. Neither
--- a/atmostonce/inherit.go
+++ b/atmostonce/inherit.go
@@ -141,19 +141,19 @@
 // that no inherited key can look absent before its fate is stored.
 func (t *Table) inherit(in *incoming) {
 	now := t.clock.now()
-	homes := make(map[Incarnation]ownerClock)
+	owned := make(map[Incarnation]ownerClock)
 	for _, record := range in.staged[0].Homes {
-		shift := max(time.Unix(0, record.NowUnixNano).Sub(now), 0)
-		homes[record.Incarnation] = ownerClock{clockOffset: shift, keysExpireAt: time.Unix(0, record.RetireUnixNano).Add(-shift)}
+		clockOffset := max(time.Unix(0, record.NowUnixNano).Sub(now), 0)
+		owned[record.Incarnation] = ownerClock{clockOffset: clockOffset, keysExpireAt: time.Unix(0, record.RetireUnixNano).Add(-clockOffset)}
 	}
 	for _, chunk := range in.staged {
 		for _, record := range chunk.Entries {
-			t.storeFate(record, homes[record.Home].clockOffset, now)
+			t.storeFate(record, owned[record.Home].clockOffset, now)
 		}
 	}
 	in.committed = in.attempt
 	t.dropStaged(in)
-	t.changeView(func(v *view) { maps.Copy(v.owned, homes) })
+	t.changeView(func(v *view) { maps.Copy(v.owned, owned) })
 }
 
 // storeFate stores an inherited fate. The fate replaces an entry whose call
@@ -167,7 +167,7 @@
 // run here again. Replacing the entry is sufficient: an inquiry, a release and
 // a run act only on an entry that is still in the table, and check that under
 // the lock held here.
-func (t *Table) storeFate(record EntryRecord, shift time.Duration, now time.Time) {
+func (t *Table) storeFate(record EntryRecord, clockOffset time.Duration, now time.Time) {
 	s := t.shard(record.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +177,7 @@
 		}
 		t.revoke(s, old)
 	}
-	e := record.entry(shift, now)
+	e := record.entry(clockOffset, now)
 	s.entries[record.Key] = e
 	t.count.Add(1)
 	if record.Answer != nil {
@@ -229,12 +229,12 @@
 		}
 	}
 	v := t.current.Load().clone()
-	homes, moved := len(v.owned), len(v.newOwners)
+	ownedBefore, newOwnersBefore := len(v.owned), len(v.newOwners)
 	maps.DeleteFunc(v.owned, func(_ Incarnation, h ownerClock) bool {
 		return !h.keysExpireAt.IsZero() && now.After(h.keysExpireAt)
 	})
 	maps.DeleteFunc(v.newOwners, func(_ Incarnation, m newOwner) bool { return now.After(m.keysExpireAt) })
-	if len(v.owned) != homes || len(v.newOwners) != moved {
+	if len(v.owned) != ownedBefore || len(v.newOwners) != newOwnersBefore {
 		t.changeView(func(c *view) { c.owned, c.newOwners = v.owned, v.newOwners })
 	}
 }
--- a/atmostonce/inherit_test.go
+++ b/atmostonce/inherit_test.go
@@ -37,17 +37,17 @@
 			t.Run(name+" "+stage, func(t *testing.T) {
 				store := newFakeStore()
 				c, ctx, a, b := twoNodes(t, withStore(store))
-				ends(c, mustRun(c, a, broughtKey))
+				ends(c, mustRun(c, a, suppliedKey))
 				store.during(at, func() {
 					c.Assert(a.HandOver(ctx, b.Incarnation(), &link{to: b}), qt.IsNil)
 				})
-				v, err := present(b, broughtKey)
+				v, err := present(b, suppliedKey)
 				c.Assert(v.Kind, qt.Not(qt.Equals), RunNow)
 				if name == "done" {
 					c.Assert(err, qt.IsNil)
-					mustReplay(c, b, broughtKey, "filed")
+					mustReplay(c, b, suppliedKey, "filed")
 				} else {
-					mustRefuse(c, b, broughtKey, call.Unknown, call.ReasonDraining)
+					mustRefuse(c, b, suppliedKey, call.Unknown, call.ReasonDraining)
 				}
 				c.Assert(b.InFlight(), qt.Equals, 0)
 				c.Assert(b.Len(), qt.Equals, 1)
@@ -61,20 +61,20 @@
 // it over to b. b must store that fate. If b dropped it because the key is
 // still being released, b would find the key absent afterwards and run it
 // again.
-func TestFateArrivesWhileAClaimIsGivenBack(t *testing.T) {
+func TestFateArrivesWhileAClaimIsReleased(t *testing.T) {
 	for name, f := range map[string]fault{"deleted": works, "deleted, answer lost": lostAfter} {
 		t.Run(name, func(t *testing.T) {
 			store := newFakeStore()
 			c, ctx, a, b := twoNodes(t, withStore(store))
-			c.Assert(mustRun(c, b, broughtKey).NotRun(), qt.IsNil)
+			c.Assert(mustRun(c, b, suppliedKey).NotRun(), qt.IsNil)
 			store.during(1, func() {
 				store.meanwhile = nil
-				finish(c, mustRun(c, a, broughtKey), "filed")
+				finish(c, mustRun(c, a, suppliedKey), "filed")
 				c.Assert(a.HandOver(ctx, b.Incarnation(), &link{to: b}), qt.IsNil)
 			})
 			store.script(f)
 			b.Sync(ctx, 10)
-			mustReplay(c, b, broughtKey, "filed")
+			mustReplay(c, b, suppliedKey, "filed")
 			c.Assert(b.InFlight(), qt.Equals, 0)
 			c.Assert(b.Len(), qt.Equals, 1)
 		})
@@ -88,18 +88,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
 		c, ctx, a, b := twoNodes(t, withStore(store))
-		finish(c, mustRun(c, a, broughtKey), "filed")
+		finish(c, mustRun(c, a, suppliedKey), "filed")
 		bodies := make(chan string, 1)
 		store.during(1, func() {
 			go func() {
-				v, _ := present(b, broughtKey)
+				v, _ := present(b, suppliedKey)
 				bodies <- string(v.Answer.Body)
 			}()
 			synctest.Wait()
 			c.Assert(a.HandOver(ctx, b.Incarnation(), &link{to: b}), qt.IsNil)
 			c.Assert(<-bodies, qt.Equals, "filed")
 		})
-		mustReplay(c, b, broughtKey, "filed")
+		mustReplay(c, b, suppliedKey, "filed")
 	})
 }
 
@@ -110,16 +110,16 @@
 func TestFateArrivesBeforeDispatch(t *testing.T) {
 	store := newFakeStore()
 	c, ctx, a, b := twoNodes(t, withStore(store))
-	finish(c, mustRun(c, a, broughtKey), "filed")
-	delete(store.claims, ClaimName("filing", broughtKey))
-	run := mustRun(c, b, broughtKey)
+	finish(c, mustRun(c, a, suppliedKey), "filed")
+	delete(store.claims, ClaimName("filing", suppliedKey))
+	run := mustRun(c, b, suppliedKey)
 	sent := mustRun(c, b, "sent")
 	c.Assert(sent.Dispatched(), qt.IsNil)
 	c.Assert(a.HandOver(ctx, b.Incarnation(), &link{to: b}), qt.IsNil)
-	checkRefused(c, run.Dispatched(), broughtKey, call.Unknown, call.ReasonDraining)
+	checkRefused(c, run.Dispatched(), suppliedKey, call.Unknown, call.ReasonDraining)
 	c.Assert(run.NotRun(), qt.IsNotNil)
 	run.Close()
-	mustReplay(c, b, broughtKey, "filed")
+	mustReplay(c, b, suppliedKey, "filed")
 	c.Assert(sent.Done(Answer{}), qt.IsNil)
 	c.Assert(b.InFlight(), qt.Equals, 0)
 }
@@ -135,14 +135,14 @@
 	a, clockA := testNode(1, withStore(store))
 	b, clockB := testNode(2, withStore(store))
 	clockA.advance(-time.Hour)
-	finish(c, mustRun(c, a, broughtKey), "filed")
+	finish(c, mustRun(c, a, suppliedKey), "filed")
 	store.during(1, func() {
 		clockA.advance(time.Hour)
 		c.Assert(a.HandOver(ctx, b.Incarnation(), &link{to: b}), qt.IsNil)
 		clockB.advance(DefaultWindow + time.Second)
 		b.Sweep()
 	})
-	mustRefuse(c, b, broughtKey, call.Unknown, call.ReasonKeyExpired)
+	mustRefuse(c, b, suppliedKey, call.Unknown, call.ReasonKeyExpired)
 	c.Assert(b.Len(), qt.Equals, 0)
 	c.Assert(b.InFlight(), qt.Equals, 0)
 }
@@ -156,20 +156,20 @@
 		t.Run(fmt.Sprint("call ", at), func(t *testing.T) {
 			store := newFakeStore()
 			c, ctx, a, b := twoNodes(t, withStore(store))
-			c.Assert(mustRun(c, b, broughtKey).NotRun(), qt.IsNil)
+			c.Assert(mustRun(c, b, suppliedKey).NotRun(), qt.IsNil)
 			store.script(lostBefore)
 			c.Assert(b.Sync(ctx, 10).Failed, qt.Equals, 1)
 			var written StoredClaim
-			name := ClaimName("filing", broughtKey)
+			name := ClaimName("filing", suppliedKey)
 			store.during(at, func() {
 				store.meanwhile = nil
-				cut := &link{to: a, fault: faults(lostBefore)}
-				checkHandOver(c, b.HandOver(ctx, a.Incarnation(), cut), "stage", false)
+				brokenLink := &link{to: a, fault: faults(lostBefore)}
+				checkHandOver(c, b.HandOver(ctx, a.Incarnation(), brokenLink), "stage", false)
 				c.Assert(b.Thaw(), qt.IsNil)
-				finish(c, mustRun(c, b, broughtKey), "filed")
+				finish(c, mustRun(c, b, suppliedKey), "filed")
 				written = store.claims[name]
 			})
-			mustReplay(c, b, broughtKey, "filed")
+			mustReplay(c, b, suppliedKey, "filed")
 			c.Assert(store.claims[name], qt.DeepEquals, written)
 		})
 	}
@@ -181,14 +181,14 @@
 func TestHandOverToAFullTable(t *testing.T) {
 	store := newFakeStore()
 	c, ctx, a, b := twoNodes(t, func(cfg *Config) { cfg.Store, cfg.MaxEntries = store, 2 })
-	finish(c, mustRun(c, a, broughtKey), "filed")
+	finish(c, mustRun(c, a, suppliedKey), "filed")
 	open := []*Run{mustRun(c, b, "first"), mustRun(c, b, "second")}
 	checkHandOver(c, a.HandOver(ctx, b.Incarnation(), &link{to: b}), "stage", false)
-	mustForward(c, b, broughtKey, a.Incarnation())
+	mustForward(c, b, suppliedKey, a.Incarnation())
 	c.Assert(b.Len(), qt.Equals, 2)
 	for _, run := range open {
 		run.Close()
 	}
 	c.Assert(a.Thaw(), qt.IsNil)
-	mustReplay(c, a, broughtKey, "filed")
+	mustReplay(c, a, suppliedKey, "filed")
 }
--- a/atmostonce/judge.go
+++ b/atmostonce/judge.go
@@ -18,12 +18,12 @@
 // fates are stored before the ownership is published, so that all fates of an
 // incarnation that is visible here are in the table. A fate that has replaced
 // inquiry since the store was queried is visible too.
-func (t *Table) evaluateClaim(p Presentation, found Claim, inquiry *entry) (st decision, neverRan bool) {
+func (t *Table) evaluateClaim(p Presentation, found Claim, inquiry *entry) (decided decision, neverRan bool) {
 	if p.Fingerprint != 0 && found.Fingerprint != 0 && p.Fingerprint != found.Fingerprint {
 		return refuse(p.Key, call.Unknown, call.ReasonKeyReused), false
 	}
-	if st, ok := recordedFate(p.Key, found); ok {
-		return st, false
+	if recorded, ok := recordedFate(p.Key, found); ok {
+		return recorded, false
 	}
 	s := t.shard(p.Key)
 	s.mu.Lock()
@@ -69,9 +69,9 @@
 	if err != nil {
 		return refuse(p.Key, call.Unknown, call.ReasonKeyUnclaimed)
 	}
-	st, own := t.evaluateClaim(p, found, nil)
-	if !own {
-		return st
+	decided, neverRan := t.evaluateClaim(p, found, nil)
+	if !neverRan {
+		return decided
 	}
 	return refuse(p.Key, call.NotRun, reason)
 }
@@ -88,12 +88,12 @@
 	if err != nil {
 		return Verdict{}, gone
 	}
-	st, ok := recordedFate(key, found)
+	recorded, ok := recordedFate(key, found)
 	switch {
 	case !ok:
 		return Verdict{}, gone
-	case st.err != nil:
-		return Verdict{}, st.err
+	case recorded.err != nil:
+		return Verdict{}, recorded.err
 	}
-	return st.verdict, nil
+	return recorded.verdict, nil
 }
--- a/atmostonce/key_test.go
+++ b/atmostonce/key_test.go
@@ -12,7 +12,7 @@
 // caller-supplied key, it would be claimed and run although the intact key has
 // already run at its owner. Therefore text with the prefix of a minted key must
 // be a valid minted key or be rejected.
-func TestDamagedKeyIsNotABroughtOne(t *testing.T) {
+func TestDamagedKeyIsNotTakenAsSupplied(t *testing.T) {
 	c := qt.New(t)
 	inc := NewIncarnation(testRandom(1))
 	key := Mint("filing", inc, testStart, testRandom(2))
--- a/atmostonce/model_test.go
+++ b/atmostonce/model_test.go
@@ -44,9 +44,9 @@
 	paused bool
 }
 
-// world holds several nodes, the store, the messages in flight, and the oracle:
-// how many times each key actually reached an upstream.
-type world struct {
+// cluster holds several nodes, the store, the messages in flight, and the
+// oracle: how many times each key actually reached an upstream.
+type cluster struct {
 	store    *fakeStore
 	nodes    []*modelNode
 	runs     []*openRun
@@ -61,8 +61,8 @@
 	ran      int
 }
 
-func newWorld(rt *rapid.T, window bool) *world {
-	w := &world{store: newFakeStore(), executed: map[string]int{}, answers: map[string]string{}, window: window}
+func newCluster(rt *rapid.T, window bool) *cluster {
+	w := &cluster{store: newFakeStore(), executed: map[string]int{}, answers: map[string]string{}, window: window}
 	for range 3 {
 		w.start(rt)
 	}
@@ -74,7 +74,7 @@
 }
 
 // start adds a node whose clock is up to 40 minutes off.
-func (w *world) start(rt *rapid.T) {
+func (w *cluster) start(rt *rapid.T) {
 	w.seed++
 	table, clock := testNode(w.seed, func(cfg *Config) {
 		cfg.Store = w.store
@@ -91,7 +91,7 @@
 // interleave runs some of the given steps while a store request or a message is
 // in flight. Callers that have a message in flight pass no drain steps, because
 // the sender holds the lock that serializes the drain of its table.
-func (w *world) interleave(rt *rapid.T, steps ...func(*rapid.T)) {
+func (w *cluster) interleave(rt *rapid.T, steps ...func(*rapid.T)) {
 	if w.nested || rapid.IntRange(0, 2).Draw(rt, "interleave") > 0 {
 		return
 	}
@@ -102,9 +102,9 @@
 	}
 }
 
-func (w *world) node(rt *rapid.T) *modelNode { return rapid.SampledFrom(w.nodes).Draw(rt, "node") }
+func (w *cluster) node(rt *rapid.T) *modelNode { return rapid.SampledFrom(w.nodes).Draw(rt, "node") }
 
-func (w *world) key(rt *rapid.T) string {
+func (w *cluster) key(rt *rapid.T) string {
 	keys := append([]string{}, w.minted...)
 	if !w.window {
 		keys = append(keys, "brought-1", "brought-2", "brought-3")
@@ -120,7 +120,7 @@
 // present sends a key to some node and follows it to the owner that the node
 // names. Sometimes the sender's view of the owners is wrong and any node may
 // receive the key.
-func (w *world) present(rt *rapid.T) {
+func (w *cluster) present(rt *rapid.T) {
 	key := w.key(rt)
 	at := w.node(rt)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -143,13 +143,13 @@
 			}
 			return
 		}
-		if at = w.home(rt, v.Home); at == nil {
+		if at = w.ownerOf(rt, v.Home); at == nil {
 			return
 		}
 	}
 }
 
-func (w *world) home(rt *rapid.T, home Incarnation) *modelNode {
+func (w *cluster) ownerOf(rt *rapid.T, home Incarnation) *modelNode {
 	if rapid.IntRange(0, 9).Draw(rt, "wrong view") == 0 {
 		return w.node(rt)
 	}
@@ -163,7 +163,7 @@
 
 // check compares an error with the oracle: not-run may be reported only for a
 // key that no upstream received.
-func (w *world) check(rt *rapid.T, key string, err error) {
+func (w *cluster) check(rt *rapid.T, key string, err error) {
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
 		return
@@ -174,19 +174,19 @@
 	}
 }
 
-func (w *world) pick(rt *rapid.T) *openRun {
+func (w *cluster) pick(rt *rapid.T) *openRun {
 	if len(w.runs) == 0 {
 		return nil
 	}
 	return rapid.SampledFrom(w.runs).Draw(rt, "run")
 }
 
-func (w *world) drop(r *openRun) {
+func (w *cluster) drop(r *openRun) {
 	w.runs = slices.DeleteFunc(w.runs, func(o *openRun) bool { return o == r })
 }
 
 // dispatch dispatches the call of a claimed run.
-func (w *world) dispatch(rt *rapid.T) {
+func (w *cluster) dispatch(rt *rapid.T) {
 	r := w.pick(rt)
 	if r == nil {
 		return
@@ -212,7 +212,7 @@
 }
 
 // end completes a run in one of the ways that its state allows.
-func (w *world) end(rt *rapid.T) {
+func (w *cluster) end(rt *rapid.T) {
 	r := w.pick(rt)
 	if r == nil {
 		return
@@ -253,7 +253,7 @@
 }
 
 // handOver drains a node to another one over a link that loses messages.
-func (w *world) handOver(rt *rapid.T) {
+func (w *cluster) handOver(rt *rapid.T) {
 	from := w.node(rt)
 	if from.to == nil || rapid.IntRange(0, 5).Draw(rt, "other successor") == 0 {
 		from.to = w.node(rt)
@@ -266,7 +266,7 @@
 	_ = from.table.HandOver(context.Background(), from.to.table.Incarnation(), w.link(rt, from.to))
 }
 
-func (w *world) link(rt *rapid.T, to *modelNode) *link {
+func (w *cluster) link(rt *rapid.T, to *modelNode) *link {
 	l := &link{to: to.table}
 	l.fault = func() fault {
 		w.interleave(rt, w.present, w.present, w.dispatch, w.end)
@@ -279,7 +279,7 @@
 	return l
 }
 
-func (w *world) cancel(rt *rapid.T) {
+func (w *cluster) cancel(rt *rapid.T) {
 	n := w.node(rt)
 	if n.to == nil || n.paused {
 		_ = n.table.Thaw()
@@ -290,9 +290,9 @@
 	}
 }
 
-func (w *world) sync(rt *rapid.T) { w.node(rt).table.Sync(context.Background(), 2) }
+func (w *cluster) sync(rt *rapid.T) { w.node(rt).table.Sync(context.Background(), 2) }
 
-func (w *world) renew(rt *rapid.T) {
+func (w *cluster) renew(rt *rapid.T) {
 	n := w.node(rt)
 	w.seed++
 	if n.table.Renew(NewIncarnation(testRandom(w.seed))) == nil {
@@ -301,7 +301,7 @@
 }
 
 // crash removes a node with all its state and starts another one in its place.
-func (w *world) crash(rt *rapid.T) {
+func (w *cluster) crash(rt *rapid.T) {
 	n := w.node(rt)
 	w.runs = slices.DeleteFunc(w.runs, func(r *openRun) bool { return r.node == n })
 	w.nodes = slices.DeleteFunc(w.nodes, func(o *modelNode) bool { return o == n })
@@ -314,7 +314,7 @@
 }
 
 // advance moves the clock of one node, sometimes backward.
-func (w *world) advance(rt *rapid.T) {
+func (w *cluster) advance(rt *rapid.T) {
 	n := w.node(rt)
 	limit := 8
 	if w.window {
@@ -324,7 +324,7 @@
 	n.table.Sweep()
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+func (w *cluster) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"present":    w.present,
 		"present 2":  w.present,
@@ -369,7 +369,7 @@
 		t.Run(name, func(t *testing.T) {
 			var ran, refused, replayed int
 			rapid.Check(t, func(rt *rapid.T) {
-				w := newWorld(rt, window)
+				w := newCluster(rt, window)
 				rt.Repeat(w.actions())
 				ran += w.ran
 				refused += w.refused
--- a/atmostonce/noted.go
+++ b/atmostonce/noted.go
@@ -14,25 +14,25 @@
 	limit      int
 	lastNumber uint64
 	seq        uint64
-	open       map[uint64]*notedCall
+	open       map[uint64]*openNote
 	// stale holds the members whose last confirmed snapshot is out of date,
 	// each with the sequence number that its next snapshot must reach.
 	stale map[string]uint64
 }
 
-type notedCall struct {
+type openNote struct {
 	Note
 	// sending is true while the note is being sent to its first witness.
 	sending bool
-	// witness is the member that confirmed the note. may lists all members that
-	// may have received it.
+	// witness is the member that confirmed the note. recipients lists all members
+	// that may have received it.
 	witness    string
 	recipients []string
 }
 
 // NewNoted creates a record with at most limit open notes.
 func NewNoted(limit int) *Noted {
-	return &Noted{limit: limit, open: make(map[uint64]*notedCall), stale: make(map[string]uint64)}
+	return &Noted{limit: limit, open: make(map[uint64]*openNote), stale: make(map[string]uint64)}
 }
 
 // Add assigns a number to a note that is about to be sent to the member to,
@@ -45,7 +45,7 @@
 	}
 	n.lastNumber++
 	note.Number = n.lastNumber
-	c := &notedCall{Note: note, sending: to != ""}
+	c := &openNote{Note: note, sending: to != ""}
 	if to != "" {
 		c.recipients = []string{to}
 	}
@@ -82,7 +82,7 @@
 
 // remove removes a note and marks its recipients as stale. The caller holds the
 // lock.
-func (n *Noted) remove(c *notedCall) {
+func (n *Noted) remove(c *openNote) {
 	delete(n.open, c.Number)
 	n.seq++
 	for _, member := range c.recipients {
--- a/atmostonce/present.go
+++ b/atmostonce/present.go
@@ -116,8 +116,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.entries[p.Key]; e != nil {
-		if st, ok := e.decide(p); ok {
-			return st
+		if decided, ok := e.decide(p); ok {
+			return decided
 		}
 		return t.presentReleased(s, e, p, now)
 	}
--- a/atmostonce/table_test.go
+++ b/atmostonce/table_test.go
@@ -154,7 +154,7 @@
 // A response is larger than the table stores, or its stored answer is dropped
 // for newer ones. A retry must not be reported as complete without the
 // response, and must not run.
-func TestAnswerThatIsNotHeldIsUnknown(t *testing.T) {
+func TestAnswerThatIsNotStoredIsUnknown(t *testing.T) {
 	c := qt.New(t)
 	table, _ := testNode(1, func(cfg *Config) { cfg.MaxAnswerBytes, cfg.MaxTotalBytes = 100, 100*shardCount })
 	large := table.Mint().String()
@@ -177,7 +177,7 @@
 // a new incarnation. No node may run a retry: every node forwards it to the
 // incarnation that no longer exists. If the presentation was durable, the fate
 // can be read from the store.
-func TestRestartedHomeNeverRunsOldKeys(t *testing.T) {
+func TestRestartedOwnerNeverRunsOldKeys(t *testing.T) {
 	c := qt.New(t)
 	store := newFakeStore()
 	home, _ := testNode(1, withStore(store))
--- a/atmostonce/view.go
+++ b/atmostonce/view.go
@@ -74,13 +74,13 @@
 	return &c
 }
 
-// forwardTarget returns the node to which a key of home is forwarded. home must
-// be an incarnation that this node doesn't own.
-func (v *view) forwardTarget(home Incarnation) Incarnation {
-	if m, ok := v.newOwners[home]; ok {
+// forwardTarget returns the node to which a key of owner is forwarded. owner
+// must be an incarnation that this node doesn't own.
+func (v *view) forwardTarget(owner Incarnation) Incarnation {
+	if m, ok := v.newOwners[owner]; ok {
 		return m.to
 	}
-	return home
+	return owner
 }
 
 // Homes returns the incarnations whose keys this node owns: its own and those
@@ -90,13 +90,13 @@
 	if v.phase == phaseHandedOver {
 		return nil
 	}
-	homes := []Incarnation{v.incarnation}
-	for home := range v.owned {
-		if home != v.incarnation {
-			homes = append(homes, home)
+	owners := []Incarnation{v.incarnation}
+	for owner := range v.owned {
+		if owner != v.incarnation {
+			owners = append(owners, owner)
 		}
 	}
-	return homes
+	return owners
 }
 
 // Phase returns the name of the drain phase: active, frozen, sealed, committing
--- a/atmostonce/witness.go
+++ b/atmostonce/witness.go
@@ -97,7 +97,7 @@
 
 // Lost returns the notes of owners that are not alive, the oldest first. It
 // drops expired notes, and owners that are not alive and have no notes.
-func (w *Witnessed) Lost(now time.Time, isAlive func(home Incarnation) bool) []HeldNote {
+func (w *Witnessed) Lost(now time.Time, isAlive func(owner Incarnation) bool) []HeldNote {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expire(now)
--- a/atmostonce/witness_test.go
+++ b/atmostonce/witness_test.go
@@ -16,9 +16,9 @@
 // arrived, the witnesses must store exactly its open notes. A settled call that
 // is still listed makes an operator investigate for nothing; an open call that
 // is missing stays unnoticed if the owner crashes.
-func TestWitnessesAgreeWithTheHome(t *testing.T) {
+func TestWitnessesAgreeWithTheOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const home = Incarnation("home")
+		const owner = Incarnation("home")
 		now := time.Unix(1000, 0)
 		noted := NewNoted(20)
 		members := map[string]*Witnessed{"b": NewWitnessed(30), "c": NewWitnessed(30)}
@@ -37,13 +37,13 @@
 			}
 			return false
 		}
-		speak := func(name string, notes []Note, word OpenNotes) bool {
+		send := func(name string, notes []Note, word OpenNotes) bool {
 			return deliver(func() {
-				members[name].Hear(home, word)
-				members[name].Take(home, notes, now)
+				members[name].Hear(owner, word)
+				members[name].Take(owner, notes, now)
 			})
 		}
-		lives := func(string) bool { return rapid.Bool().Draw(t, "lives") }
+		isAlive := func(string) bool { return rapid.Bool().Draw(t, "lives") }
 		t.Repeat(map[string]func(*rapid.T){
 			"file": func(t *rapid.T) {
 				name := rapid.SampledFrom(names).Draw(t, "to")
@@ -52,8 +52,8 @@
 					return
 				}
 				open[note.Number] = true
-				heard := deliver(func() { members[name].Take(home, []Note{note}, now) })
-				noted.Sent([]Note{note}, name, heard)
+				confirmed := deliver(func() { members[name].Take(owner, []Note{note}, now) })
+				noted.Sent([]Note{note}, name, confirmed)
 			},
 			"settle": func(t *rapid.T) {
 				if len(open) > 0 {
@@ -64,14 +64,14 @@
 			},
 			"retell": func(t *rapid.T) {
 				name := rapid.SampledFrom(names).Draw(t, "to")
-				notes := noted.Missing(now, lives, 5)
-				noted.Sent(notes, name, speak(name, notes, noted.Offer(notes, name)))
+				notes := noted.Missing(now, isAlive, 5)
+				noted.Sent(notes, name, send(name, notes, noted.Offer(notes, name)))
 			},
 			"update": func(t *rapid.T) {
 				for _, name := range noted.Stale() {
-					word := noted.Word(name)
-					if speak(name, nil, word) {
-						late = append(late, func() { noted.Heard(name, word.Seq) })
+					snapshot := noted.Word(name)
+					if send(name, nil, snapshot) {
+						late = append(late, func() { noted.Heard(name, snapshot.Seq) })
 					}
 				}
 			},
@@ -88,23 +88,23 @@
 		}
 		for _, name := range noted.Stale() {
 			word := noted.Word(name)
-			members[name].Hear(home, word)
+			members[name].Hear(owner, word)
 			noted.Heard(name, word.Seq)
 		}
 		notes := noted.Missing(now, func(string) bool { return true }, 100)
-		members["b"].Hear(home, noted.Offer(notes, "b"))
-		members["b"].Take(home, notes, now)
+		members["b"].Hear(owner, noted.Offer(notes, "b"))
+		members["b"].Take(owner, notes, now)
 		for _, act := range late {
 			act()
 		}
-		held := map[uint64]bool{}
+		stored := map[uint64]bool{}
 		for _, name := range names {
 			for _, note := range members[name].Lost(now, func(Incarnation) bool { return false }) {
-				held[note.Number] = true
+				stored[note.Number] = true
 			}
 		}
-		if !maps.Equal(held, open) {
-			t.Fatalf("witnesses store notes %v, but the open notes are %v", held, open)
+		if !maps.Equal(stored, open) {
+			t.Fatalf("witnesses store notes %v, but the open notes are %v", stored, open)
 		}
 	})
 }
