--- a/atmostonce/answer.go
+++ b/atmostonce/answer.go
@@ -16,6 +16,8 @@
 	At time.Time
 }
 
+// headerOverhead is the estimated memory in bytes per header name or value, and
+// per answer, beyond the text itself.
 const headerOverhead = 32
 
 // size estimates the memory use of a in bytes.
--- a/atmostonce/handover.go
+++ b/atmostonce/handover.go
@@ -35,10 +35,10 @@
 	return &HandOverError{Step: "thaw", To: t.handOver.to, Ambiguous: t.current.Load().phase == phaseCommitting}
 }
 
-// HandOver transfers all keys to the node with incarnation to. It freezes and
-// seals the table. Claims that were not dispatched are revoked, and calls that
-// are still at the upstream are handed over as unknown; to avoid both, call
-// WaitIdle between Freeze and HandOver.
+// HandOver transfers all keys to the node whose incarnation is to. It freezes
+// and seals the table. Claims that were not dispatched are revoked, and calls
+// that are still at the upstream are handed over as unknown; to avoid both,
+// call WaitIdle between Freeze and HandOver.
 //
 // After a *HandOverError with Ambiguous set, only three calls can follow:
 // HandOver to the same node, Cancel, or Renew. With another successor one key
@@ -129,13 +129,13 @@
 	if !t.current.Load().phase.mayBeTransferred() {
 		return &HandOverError{Step: "renew", To: t.handOver.to}
 	}
-	retire := t.clock.now().Add(t.cfg.Window + t.cfg.MaxSkew)
+	keysExpireAt := t.clock.now().Add(t.cfg.Window + t.cfg.MaxSkew)
 	t.changeView(func(v *view) {
 		if v.newOwners == nil {
 			v.newOwners = make(map[Incarnation]newOwner)
 		}
 		for owner := range v.owned {
-			v.newOwners[owner] = newOwner{to: v.successor, keysExpireAt: retire}
+			v.newOwners[owner] = newOwner{to: v.successor, keysExpireAt: keysExpireAt}
 		}
 		v.incarnation = inc
 		v.owned = map[Incarnation]ownerClock{inc: {}}
--- a/atmostonce/noted.go
+++ b/atmostonce/noted.go
@@ -20,6 +20,7 @@
 	stale map[string]uint64
 }
 
+// openNote is an open note and its delivery state.
 type openNote struct {
 	Note
 	// sending is true while the note is being sent to its first witness.
@@ -35,8 +36,9 @@
 	return &Noted{limit: limit, open: make(map[uint64]*openNote), stale: make(map[string]uint64)}
 }
 
-// Add assigns a number to a note that is about to be sent to the member to,
-// which may be empty. It reports false if too many notes are open.
+// Add assigns a number to a note that is about to be sent to a member. to is
+// empty if there is no such member. Add reports false if too many notes are
+// open.
 func (n *Noted) Add(note Note, to string) (Note, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -53,8 +55,7 @@
 	return note, true
 }
 
-// Sent records whether the member to has confirmed the notes that were sent to
-// it.
+// Sent records whether a member has confirmed the notes that were sent to it.
 func (n *Noted) Sent(notes []Note, to string, confirmed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -109,9 +110,9 @@
 	return notes[:min(len(notes), limit)]
 }
 
-// Offer records that notes returned by Missing are about to be sent to the
-// member to, and returns the snapshot to send with them. Without the snapshot
-// the member could treat these notes as settled.
+// Offer records that notes returned by Missing are about to be sent to a
+// member, and returns the snapshot to send with them. Without the snapshot the
+// member could treat these notes as settled.
 func (n *Noted) Offer(notes []Note, to string) OpenNotes {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -130,14 +131,14 @@
 	return slices.Sorted(maps.Keys(n.stale))
 }
 
-// Word returns a snapshot of the open notes that the member to may have
-// received.
+// Word returns a snapshot of the open notes that a member may have received.
 func (n *Noted) Word(to string) OpenNotes {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.snapshot(to)
 }
 
+// snapshot returns the result of Word. The caller holds the lock.
 func (n *Noted) snapshot(to string) OpenNotes {
 	n.seq++
 	w := OpenNotes{Seq: n.seq, Through: n.lastNumber}
--- a/atmostonce/witness.go
+++ b/atmostonce/witness.go
@@ -16,6 +16,7 @@
 	owners map[Incarnation]*witnessedOwner
 }
 
+// witnessedOwner holds the notes and the latest snapshot of one owner.
 type witnessedOwner struct {
 	snapshot OpenNotes
 	notes    map[uint64]Note
