--- a/atmostonce/export.go
+++ b/atmostonce/export.go
@@ -6,13 +6,14 @@
 	"pollengauge.dev/call"
 )
 
-// export makes the chunks of an attempt. They are made once: chunks cut in
-// two ways could be mixed by delayed messages, and a fate would be lost
-// between them. Homes go with the first chunk.
+// export creates the chunks of a hand-over attempt. They are created once per
+// attempt: if the entries were divided into chunks again in another way,
+// delayed messages could mix chunks of both divisions, and a fate would be lost
+// between them. The owner records are in the first chunk.
 func (t *Table) export() []Chunk {
 	now := t.clock.now()
 	v := t.current.Load()
-	blank := Chunk{From: v.own, To: t.handOver.to, Attempt: t.handOver.attempt}
+	blank := Chunk{From: v.incarnation, To: t.handOver.to, Attempt: t.handOver.attempt}
 	chunks := []Chunk{blank}
 	chunks[0].Homes = t.homeRecords(v, now)
 	var size int64
@@ -35,45 +36,48 @@
 	return chunks
 }
 
+// entryOverhead is the estimated size in bytes of an EntryRecord without its
+// key and answer.
 const entryOverhead = 256
 
 func (t *Table) homeRecords(v *view, now time.Time) []HomeRecord {
 	var records []HomeRecord
-	for inc, home := range v.homes {
-		retire := home.retire
-		if retire.IsZero() {
-			retire = now.Add(t.cfg.Window + t.cfg.MaxSkew)
+	for inc, owner := range v.owned {
+		keysExpireAt := owner.keysExpireAt
+		if keysExpireAt.IsZero() {
+			keysExpireAt = now.Add(t.cfg.Window + t.cfg.MaxSkew)
 		}
 		records = append(records, HomeRecord{
 			Incarnation:    inc,
-			NowUnixNano:    now.Add(home.shift).UnixNano(),
-			RetireUnixNano: retire.Add(home.shift).UnixNano(),
+			NowUnixNano:    now.Add(owner.clockOffset).UnixNano(),
+			RetireUnixNano: keysExpireAt.Add(owner.clockOffset).UnixNano(),
 		})
 	}
 	return records
 }
 
-// records copies the fates of homes that are being handed over. A released
-// key isn't among them: the successor finds it absent and asks the store.
+// records returns the fates of the keys that are being handed over. Released
+// keys are not among them: the successor finds them absent and queries the
+// store.
 func (s *shard) records(v *view) []EntryRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var records []EntryRecord
 	for _, e := range s.entries {
-		home, ok := v.homes[e.home]
+		owner, ok := v.owned[e.owner]
 		if !ok {
 			continue
 		}
-		records = append(records, e.record(home))
+		records = append(records, e.record(owner))
 	}
 	return records
 }
 
-func (e *entry) record(home homeClock) EntryRecord {
+func (e *entry) record(owner ownerClock) EntryRecord {
 	r := EntryRecord{
 		Key:             e.Key,
-		Home:            e.home,
-		ExpiresUnixNano: e.expires.Add(home.shift).UnixNano(),
+		Home:            e.owner,
+		ExpiresUnixNano: e.expires.Add(owner.clockOffset).UnixNano(),
 		Done:            e.state == StateDone,
 		Answer:          e.answer,
 		Reason:          e.reason,
@@ -91,7 +95,7 @@
 	return r
 }
 
-func (r EntryRecord) entry(shift time.Duration, now time.Time) *entry {
+func (r EntryRecord) entry(clockOffset time.Duration, now time.Time) *entry {
 	_, minted, _ := ParseKey(r.Key)
 	state := StateUnknown
 	if r.Done {
@@ -105,12 +109,12 @@
 			Fingerprint: r.Fingerprint,
 			Durable:     r.Durable,
 		},
-		home:         r.Home,
+		owner:        r.Home,
 		minted:       minted,
 		state:        state,
 		reason:       r.Reason,
 		since:        now,
-		expires:      time.Unix(0, r.ExpiresUnixNano).Add(-shift),
+		expires:      time.Unix(0, r.ExpiresUnixNano).Add(-clockOffset),
 		claimID:      r.ClaimID,
 		claimVersion: r.ClaimVersion,
 		unsaved:      r.Unsaved,
--- a/atmostonce/model_test.go
+++ b/atmostonce/model_test.go
@@ -15,7 +15,8 @@
 	"pollengauge.dev/call"
 )
 
-// TestMain fixes the seed of the state machine, so that a failure comes back.
+// TestMain fixes the seed of the state machine tests, so that failures are
+// reproducible.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.checks": "2000", "rapid.steps": "80", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -25,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// openRun is a run that its holder has not ended.
+// openRun is a run that its holder has not completed.
 type openRun struct {
 	run        *Run
 	node       *modelNode
@@ -36,15 +37,16 @@
 	name  string
 	table *Table
 	clock *fakeClock
-	// to is where an unfinished hand-over goes.
+	// to is the successor of an unfinished hand-over.
 	to *modelNode
-	// paused: nothing reaches the node, but what it holds it may still send.
+	// paused nodes receive no messages, but may still dispatch the runs that
+	// they have.
 	paused bool
 }
 
-// world is several nodes, the store, the messages under way, and the oracle:
-// how often each key really reached an upstream.
-type world struct {
+// cluster holds several nodes, the store, the messages in flight, and the
+// oracle: how many times each key actually reached an upstream.
+type cluster struct {
 	store    *fakeStore
 	nodes    []*modelNode
 	runs     []*openRun
@@ -53,14 +55,14 @@
 	executed map[string]int
 	answers  map[string]string
 	seed     byte
-	window   bool // whether clocks may pass the window
+	window   bool // whether clocks may advance past the window
 	nested   bool
 	refused  int
 	ran      int
 }
 
-func newWorld(rt *rapid.T, window bool) *world {
-	w := &world{store: newFakeStore(), executed: map[string]int{}, answers: map[string]string{}, window: window}
+func newCluster(rt *rapid.T, window bool) *cluster {
+	w := &cluster{store: newFakeStore(), executed: map[string]int{}, answers: map[string]string{}, window: window}
 	for range 3 {
 		w.start(rt)
 	}
@@ -71,8 +73,8 @@
 	return w
 }
 
-// start adds a node whose clock may be hours off.
-func (w *world) start(rt *rapid.T) {
+// start adds a node whose clock is up to 40 minutes off.
+func (w *cluster) start(rt *rapid.T) {
 	w.seed++
 	table, clock := testNode(w.seed, func(cfg *Config) {
 		cfg.Store = w.store
@@ -86,10 +88,10 @@
 	w.nodes = append(w.nodes, &modelNode{name: fmt.Sprint("n", w.seed), table: table, clock: clock})
 }
 
-// interleave lets some of the given steps happen while a store call or a
-// message is under way. Those under a message are no steps of a drain: its
-// node's table is held by the one that sends.
-func (w *world) interleave(rt *rapid.T, steps ...func(*rapid.T)) {
+// interleave runs some of the given steps while a store request or a message is
+// in flight. Callers that have a message in flight pass no drain steps, because
+// the sender holds the lock that serializes the drain of its table.
+func (w *cluster) interleave(rt *rapid.T, steps ...func(*rapid.T)) {
 	if w.nested || rapid.IntRange(0, 2).Draw(rt, "interleave") > 0 {
 		return
 	}
@@ -100,9 +102,9 @@
 	}
 }
 
-func (w *world) node(rt *rapid.T) *modelNode { return rapid.SampledFrom(w.nodes).Draw(rt, "node") }
+func (w *cluster) node(rt *rapid.T) *modelNode { return rapid.SampledFrom(w.nodes).Draw(rt, "node") }
 
-func (w *world) key(rt *rapid.T) string {
+func (w *cluster) key(rt *rapid.T) string {
 	keys := append([]string{}, w.minted...)
 	if !w.window {
 		keys = append(keys, "brought-1", "brought-2", "brought-3")
@@ -115,9 +117,10 @@
 	return rapid.SampledFrom(keys).Draw(rt, "key")
 }
 
-// present sends a key to some node and follows it to the home that it names.
-// Now and then the sender's view is wrong, and any node may get it.
-func (w *world) present(rt *rapid.T) {
+// present sends a key to some node and follows it to the owner that the node
+// names. Sometimes the sender's view of the owners is wrong and any node may
+// receive the key.
+func (w *cluster) present(rt *rapid.T) {
 	key := w.key(rt)
 	at := w.node(rt)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -140,13 +143,13 @@
 			}
 			return
 		}
-		if at = w.home(rt, v.Home); at == nil {
+		if at = w.ownerOf(rt, v.Home); at == nil {
 			return
 		}
 	}
 }
 
-func (w *world) home(rt *rapid.T, home Incarnation) *modelNode {
+func (w *cluster) ownerOf(rt *rapid.T, home Incarnation) *modelNode {
 	if rapid.IntRange(0, 9).Draw(rt, "wrong view") == 0 {
 		return w.node(rt)
 	}
@@ -158,32 +161,32 @@
 	return nil
 }
 
-// check holds an error against the oracle: not-run may be said only of a key
-// that no upstream got.
-func (w *world) check(rt *rapid.T, key string, err error) {
+// check compares an error with the oracle: not-run may be reported only for a
+// key that no upstream received.
+func (w *cluster) check(rt *rapid.T, key string, err error) {
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
 		return
 	}
 	w.refused++
 	if refused.Outcome == call.NotRun && w.executed[key] > 0 {
-		rt.Fatalf("%s: told not-run (%s), but it ran", key, refused.Reason)
+		rt.Fatalf("%s: reported as not-run (%s), but it ran", key, refused.Reason)
 	}
 }
 
-func (w *world) pick(rt *rapid.T) *openRun {
+func (w *cluster) pick(rt *rapid.T) *openRun {
 	if len(w.runs) == 0 {
 		return nil
 	}
 	return rapid.SampledFrom(w.runs).Draw(rt, "run")
 }
 
-func (w *world) drop(r *openRun) {
+func (w *cluster) drop(r *openRun) {
 	w.runs = slices.DeleteFunc(w.runs, func(o *openRun) bool { return o == r })
 }
 
-// dispatch sends the call of a claimed run.
-func (w *world) dispatch(rt *rapid.T) {
+// dispatch dispatches the call of a claimed run.
+func (w *cluster) dispatch(rt *rapid.T) {
 	r := w.pick(rt)
 	if r == nil {
 		return
@@ -208,8 +211,8 @@
 	}
 }
 
-// end ends a run in one of the ways open to it.
-func (w *world) end(rt *rapid.T) {
+// end completes a run in one of the ways that its state allows.
+func (w *cluster) end(rt *rapid.T) {
 	r := w.pick(rt)
 	if r == nil {
 		return
@@ -226,14 +229,14 @@
 		}
 	case 1:
 		if !r.dispatched || r.run.Unknown(call.ReasonTimeout) == nil {
-			return // the answer may still come
+			return // the response may still arrive
 		}
 	case 2:
 		if r.dispatched && rapid.Bool().Draw(rt, "not proved") {
 			return
 		}
 		if r.dispatched {
-			// The upstream refused the connection: it is proved that the call
+			// The upstream refused the connection. This proves that the call
 			// didn't run, so it counts as not sent.
 			if r.run.NotRun() == nil {
 				w.executed[key]--
@@ -241,7 +244,7 @@
 			break
 		}
 		if r.run.NotRun() == nil && w.executed[key] > 0 {
-			rt.Fatalf("%s: refused before dispatch, but it ran", key)
+			rt.Fatalf("%s: released before dispatch, but it ran", key)
 		}
 	case 3:
 		r.run.Close()
@@ -250,7 +253,7 @@
 }
 
 // handOver drains a node to another one over a link that loses messages.
-func (w *world) handOver(rt *rapid.T) {
+func (w *cluster) handOver(rt *rapid.T) {
 	from := w.node(rt)
 	if from.to == nil || rapid.IntRange(0, 5).Draw(rt, "other successor") == 0 {
 		from.to = w.node(rt)
@@ -263,7 +266,7 @@
 	_ = from.table.HandOver(context.Background(), from.to.table.Incarnation(), w.link(rt, from.to))
 }
 
-func (w *world) link(rt *rapid.T, to *modelNode) *link {
+func (w *cluster) link(rt *rapid.T, to *modelNode) *link {
 	l := &link{to: to.table}
 	l.fault = func() fault {
 		w.interleave(rt, w.present, w.present, w.dispatch, w.end)
@@ -276,7 +279,7 @@
 	return l
 }
 
-func (w *world) cancel(rt *rapid.T) {
+func (w *cluster) cancel(rt *rapid.T) {
 	n := w.node(rt)
 	if n.to == nil || n.paused {
 		_ = n.table.Thaw()
@@ -287,9 +290,9 @@
 	}
 }
 
-func (w *world) sync(rt *rapid.T) { w.node(rt).table.Sync(context.Background(), 2) }
+func (w *cluster) sync(rt *rapid.T) { w.node(rt).table.Sync(context.Background(), 2) }
 
-func (w *world) renew(rt *rapid.T) {
+func (w *cluster) renew(rt *rapid.T) {
 	n := w.node(rt)
 	w.seed++
 	if n.table.Renew(NewIncarnation(testRandom(w.seed))) == nil {
@@ -297,8 +300,8 @@
 	}
 }
 
-// crash ends a node with all that it holds and starts another in its place.
-func (w *world) crash(rt *rapid.T) {
+// crash removes a node with all its state and starts another one in its place.
+func (w *cluster) crash(rt *rapid.T) {
 	n := w.node(rt)
 	w.runs = slices.DeleteFunc(w.runs, func(r *openRun) bool { return r.node == n })
 	w.nodes = slices.DeleteFunc(w.nodes, func(o *modelNode) bool { return o == n })
@@ -310,8 +313,8 @@
 	w.start(rt)
 }
 
-// advance moves one node's clock, sometimes back.
-func (w *world) advance(rt *rapid.T) {
+// advance moves the clock of one node, sometimes backward.
+func (w *cluster) advance(rt *rapid.T) {
 	n := w.node(rt)
 	limit := 8
 	if w.window {
@@ -321,7 +324,7 @@
 	n.table.Sweep()
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+func (w *cluster) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"present":    w.present,
 		"present 2":  w.present,
@@ -356,17 +359,17 @@
 	}
 }
 
-// Clients present keys at any node, some twice at once, while nodes drain to
-// each other, crash, are paused and resumed, lose messages and store answers,
-// and have clocks that disagree and step back. No key may reach an upstream
-// twice, none may be called not-run after it has, and a stored answer is that
-// of its own key.
+// Clients present keys to any node, some of them twice at the same time.
+// Meanwhile nodes drain to each other, crash, are paused and resumed, and lose
+// messages and responses of the store, and their clocks differ and step back.
+// No key may reach an upstream twice, no key may be reported as not-run after
+// it ran, and a replayed answer must be the one of its key.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	for name, window := range map[string]bool{"inside the window": false, "past the window": true} {
 		t.Run(name, func(t *testing.T) {
 			var ran, refused, replayed int
 			rapid.Check(t, func(rt *rapid.T) {
-				w := newWorld(rt, window)
+				w := newCluster(rt, window)
 				rt.Repeat(w.actions())
 				ran += w.ran
 				refused += w.refused
--- a/atmostonce/noted.go
+++ b/atmostonce/noted.go
@@ -7,51 +7,55 @@
 	"time"
 )
 
-// Noted is the home's side: its open notes and who may have them.
+// Noted is the owner's record of its open notes and of the members that may
+// have received them.
 type Noted struct {
-	mu    sync.Mutex
-	limit int
-	count uint64
-	seq   uint64
-	open  map[uint64]*notedCall
-	// stale are members whose last confirmed word is no longer true, with the
-	// sequence number that the next word must reach.
+	mu         sync.Mutex
+	limit      int
+	lastNumber uint64
+	seq        uint64
+	open       map[uint64]*openNote
+	// stale holds the members whose last confirmed snapshot is out of date,
+	// each with the sequence number that its next snapshot must reach.
 	stale map[string]uint64
 }
 
-type notedCall struct {
+// openNote is an open note and its delivery state.
+type openNote struct {
 	Note
-	// sending tells that the note is on its way to a first witness.
+	// sending is true while the note is being sent to its first witness.
 	sending bool
-	// witness has confirmed the note; may are all members that may have it.
-	witness string
-	may     []string
+	// witness is the member that confirmed the note. recipients lists all members
+	// that may have received it.
+	witness    string
+	recipients []string
 }
 
-// NewNoted returns the record of a home that has at most limit open notes.
+// NewNoted creates a record with at most limit open notes.
 func NewNoted(limit int) *Noted {
-	return &Noted{limit: limit, open: make(map[uint64]*notedCall), stale: make(map[string]uint64)}
+	return &Noted{limit: limit, open: make(map[uint64]*openNote), stale: make(map[string]uint64)}
 }
 
-// Add numbers a note that is about to be sent to a member, which may be empty.
-// It fails if too many notes are open.
+// Add assigns a number to a note that is about to be sent to a member. to is
+// empty if there is no such member. Add reports false if too many notes are
+// open.
 func (n *Noted) Add(note Note, to string) (Note, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.open) >= n.limit {
 		return note, false
 	}
-	n.count++
-	note.Number = n.count
-	c := &notedCall{Note: note, sending: to != ""}
+	n.lastNumber++
+	note.Number = n.lastNumber
+	c := &openNote{Note: note, sending: to != ""}
 	if to != "" {
-		c.may = []string{to}
+		c.recipients = []string{to}
 	}
 	n.open[note.Number] = c
 	return note, true
 }
 
-// Sent records what came of sending notes to a member.
+// Sent records whether a member has confirmed the notes that were sent to it.
 func (n *Noted) Sent(notes []Note, to string, confirmed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,27 +71,29 @@
 	}
 }
 
-// Settle ends a note: the call's fate is known, or its key was not run.
+// Settle removes an open note: the call's fate is known, or the call was not
+// run.
 func (n *Noted) Settle(number uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c := n.open[number]; c != nil {
-		n.end(c)
+		n.remove(c)
 	}
 }
 
-// end removes a note. The caller holds the lock.
-func (n *Noted) end(c *notedCall) {
+// remove removes a note and marks its recipients as stale. The caller holds the
+// lock.
+func (n *Noted) remove(c *openNote) {
 	delete(n.open, c.Number)
 	n.seq++
-	for _, member := range c.may {
+	for _, member := range c.recipients {
 		n.stale[member] = n.seq
 	}
 }
 
-// Missing returns at most limit open notes that no living member has confirmed,
-// the oldest first, and gives up those that have expired.
-func (n *Noted) Missing(now time.Time, lives func(member string) bool, limit int) []Note {
+// Missing returns at most limit open notes that no live member has confirmed,
+// the oldest first. It drops notes that have expired.
+func (n *Noted) Missing(now time.Time, isAlive func(member string) bool, limit int) []Note {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var notes []Note
@@ -95,8 +101,8 @@
 		switch {
 		case c.sending:
 		case !now.Before(c.Expires):
-			n.end(c)
-		case c.witness == "" || !lives(c.witness):
+			n.remove(c)
+		case c.witness == "" || !isAlive(c.witness):
 			notes = append(notes, c.Note)
 		}
 	}
@@ -104,39 +110,40 @@
 	return notes[:min(len(notes), limit)]
 }
 
-// Offer records that notes which went missing are about to be sent to a member,
-// and returns the word to send with them: without it the member could take them
-// for settled.
+// Offer records that notes returned by Missing are about to be sent to a
+// member, and returns the snapshot to send with them. Without the snapshot the
+// member could treat these notes as settled.
 func (n *Noted) Offer(notes []Note, to string) OpenNotes {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, note := range notes {
-		if c := n.open[note.Number]; c != nil && !slices.Contains(c.may, to) {
-			c.may = append(c.may, to)
+		if c := n.open[note.Number]; c != nil && !slices.Contains(c.recipients, to) {
+			c.recipients = append(c.recipients, to)
 		}
 	}
-	return n.word(to)
+	return n.snapshot(to)
 }
 
-// Stale returns the members that are to get a word.
+// Stale returns the members that need a new snapshot.
 func (n *Noted) Stale() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Sorted(maps.Keys(n.stale))
 }
 
-// Word returns which notes that a member may have are open.
+// Word returns a snapshot of the open notes that a member may have received.
 func (n *Noted) Word(to string) OpenNotes {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.word(to)
+	return n.snapshot(to)
 }
 
-func (n *Noted) word(to string) OpenNotes {
+// snapshot returns the result of Word. The caller holds the lock.
+func (n *Noted) snapshot(to string) OpenNotes {
 	n.seq++
-	w := OpenNotes{Seq: n.seq, Through: n.count}
+	w := OpenNotes{Seq: n.seq, Through: n.lastNumber}
 	for number, c := range n.open {
-		if slices.Contains(c.may, to) {
+		if slices.Contains(c.recipients, to) {
 			w.Numbers = append(w.Numbers, number)
 		}
 	}
@@ -144,7 +151,8 @@
 	return w
 }
 
-// Heard records that a member has taken a word.
+// Heard records that a member has accepted the snapshot with sequence number
+// seq.
 func (n *Noted) Heard(member string, seq uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/atmostonce/present.go
+++ b/atmostonce/present.go
@@ -8,28 +8,29 @@
 	"pollengauge.dev/call"
 )
 
-// Presentation is one arrival of a key.
+// Presentation is one arrival of a call that carries a key.
 type Presentation struct {
 	// Key is the text of the idempotency key.
 	Key string
 	// RequestID and Profile are shown to operators.
 	RequestID string
 	Profile   string
-	// Fingerprint is a hash of the request, 0 for none. Two callers who bring
-	// the same key would otherwise get each other's answers.
+	// Fingerprint is a hash of the request, or 0 for none. Without it, two
+	// callers that supply the same key for different requests would get each
+	// other's answers.
 	Fingerprint uint64
-	// Durable asks for the fate to be written to the store after the run, so
-	// that it can be told after this node is gone.
+	// Durable requests that the fate be written to the store after the run, so
+	// that it can be reported after this node is gone.
 	Durable bool
 }
 
-// VerdictKind is what the presenter of a key has to do.
+// VerdictKind is the action that the presenter of a key must take.
 type VerdictKind uint8
 
 const (
 	// RunNow: the presenter runs the call through Verdict.Run.
 	RunNow VerdictKind = iota + 1
-	// Replay: the key ran before; Verdict.Answer is its whole answer.
+	// Replay: the key ran before; Verdict.Answer is the complete response.
 	Replay
 	// Forward: Verdict.Home is the only node that may run the key.
 	Forward
@@ -43,32 +44,35 @@
 	Home   Incarnation
 }
 
-// lookAgain is a wait that is over: what the table held has changed meanwhile.
-var lookAgain = func() <-chan struct{} {
+// checkAgainNow is a closed channel. A decision has it as wait if the table has
+// changed in the meantime and must be checked again at once.
+var checkAgainNow = func() <-chan struct{} {
 	over := make(chan struct{})
 	close(over)
 	return over
 }()
 
-// step is what one look at the table decided.
-type step struct {
+// decision is the result of checking the table once.
+type decision struct {
 	verdict Verdict
 	err     *RefusedError
-	// wait is closed when it is worth looking again.
+	// wait is closed when the table should be checked again.
 	wait <-chan struct{}
-	// claiming is a new entry for which the store has to be asked.
+	// claiming is a new entry for which the store must be queried.
 	claiming *entry
-	// locate is the reason why the key can't be claimed here; the store tells
-	// whether it was claimed elsewhere.
-	locate call.Reason
+	// lookupReason is the reason why the key can't be claimed on this node. If
+	// it is set, the store must be queried whether another node claimed the
+	// key.
+	lookupReason call.Reason
 }
 
-func refuse(key string, outcome call.Outcome, reason call.Reason) step {
-	return step{err: &RefusedError{Key: key, Outcome: outcome, Reason: reason}}
+func refuse(key string, outcome call.Outcome, reason call.Reason) decision {
+	return decision{err: &RefusedError{Key: key, Outcome: outcome, Reason: reason}}
 }
 
-// Begin presents a key. While another presentation of the key is in flight it
-// waits until that one ends or ctx does. An error is always a *RefusedError.
+// Begin presents a key. While another presentation of the key is in flight,
+// Begin waits until that one finishes or ctx is done. Every error is a
+// *RefusedError.
 func (t *Table) Begin(ctx context.Context, p Presentation) (Verdict, error) {
 	key, minted, err := ParseKey(p.Key)
 	if err != nil || (minted && key.Service != t.cfg.Service) {
@@ -79,8 +83,8 @@
 		switch {
 		case s.claiming != nil:
 			s = t.claim(ctx, s.claiming)
-		case s.locate != call.ReasonNone:
-			s = t.locate(ctx, p, s.locate)
+		case s.lookupReason != call.ReasonNone:
+			s = t.lookUpClaim(ctx, p, s.lookupReason)
 		}
 		switch {
 		case s.err != nil:
@@ -91,8 +95,8 @@
 		select {
 		case <-s.wait:
 		case <-ctx.Done():
-			// The other presentation may run the key at any moment, so not
-			// even a key that is only claimed can be called not-run here.
+			// The other presentation may run the key at any moment. Even a key
+			// that is only claimed can't be reported as not-run here.
 			return Verdict{}, &RefusedError{Key: p.Key, Outcome: call.Unknown, Reason: endReason(ctx)}
 		}
 	}
@@ -105,29 +109,30 @@
 	return call.ReasonCancelled
 }
 
-// present looks at the table once, and claims the key if it may.
-func (t *Table) present(p Presentation, key Key, minted bool) step {
+// present checks the table once, and claims the key if possible.
+func (t *Table) present(p Presentation, key Key, minted bool) decision {
 	now := t.clock.now()
 	s := t.shard(p.Key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.entries[p.Key]; e != nil {
-		if st, ok := e.known(p); ok {
-			return st
+		if decided, ok := e.decide(p); ok {
+			return decided
 		}
 		return t.presentReleased(s, e, p, now)
 	}
 	if minted {
 		return t.presentMinted(s, p, key, now)
 	}
-	return t.presentBrought(s, p, now)
+	return t.presentSupplied(s, p, now)
 }
 
-// presentReleased claims a released key, whose claim in the store is still this node's.
-func (t *Table) presentReleased(s *shard, e *entry, p Presentation, now time.Time) step {
+// presentReleased claims a released key. This node still owns the claim in the
+// store.
+func (t *Table) presentReleased(s *shard, e *entry, p Presentation, now time.Time) decision {
 	switch {
-	case s.view.phase.gone():
-		return step{verdict: Verdict{Kind: Forward, Home: s.view.successor}}
+	case s.view.phase.mayBeTransferred():
+		return decision{verdict: Verdict{Kind: Forward, Home: s.view.successor}}
 	case now.After(e.expires):
 		return refuse(p.Key, call.Unknown, call.ReasonKeyExpired)
 	case s.view.phase != phaseActive:
@@ -138,21 +143,22 @@
 	}
 	e.Presentation = p
 	t.inFlight.Add(1)
-	return step{verdict: Verdict{Kind: RunNow, Run: s.claim(e, t, now)}}
+	return decision{verdict: Verdict{Kind: RunNow, Run: s.startRun(e, t, now)}}
 }
 
-func (t *Table) presentMinted(s *shard, p Presentation, key Key, now time.Time) step {
-	home, mine := s.view.homes[key.Home]
-	if !mine {
-		return step{verdict: Verdict{Kind: Forward, Home: s.view.forward(key.Home)}}
+func (t *Table) presentMinted(s *shard, p Presentation, key Key, now time.Time) decision {
+	clock, owned := s.view.owned[key.Home]
+	if !owned {
+		return decision{verdict: Verdict{Kind: Forward, Home: s.view.forwardTarget(key.Home)}}
 	}
-	minted := time.Unix(key.Minted, 0).Add(-home.shift)
+	minted := time.Unix(key.Minted, 0).Add(-clock.clockOffset)
 	expires := minted.Add(t.cfg.Window)
 	switch {
-	case s.view.phase.gone():
-		return step{verdict: Verdict{Kind: Forward, Home: s.view.successor}}
+	case s.view.phase.mayBeTransferred():
+		return decision{verdict: Verdict{Kind: Forward, Home: s.view.successor}}
 	case now.After(expires):
-		// An expired key's entry may have been dropped: it may have run.
+		// The entry of an expired key may have been dropped, so the key may
+		// have run.
 		return refuse(p.Key, call.Unknown, call.ReasonKeyExpired)
 	case s.view.phase != phaseActive:
 		return refuse(p.Key, call.NotRun, call.ReasonDraining)
@@ -161,24 +167,24 @@
 	case !t.reserve(1):
 		return refuse(p.Key, call.NotRun, call.ReasonKeyTableFull)
 	}
-	e := &entry{Presentation: p, home: key.Home, minted: true, expires: expires}
+	e := &entry{Presentation: p, owner: key.Home, minted: true, expires: expires}
 	s.entries[p.Key] = e
 	t.inFlight.Add(1)
-	return step{verdict: Verdict{Kind: RunNow, Run: s.claim(e, t, now)}}
+	return decision{verdict: Verdict{Kind: RunNow, Run: s.startRun(e, t, now)}}
 }
 
-func (t *Table) presentBrought(s *shard, p Presentation, now time.Time) step {
+func (t *Table) presentSupplied(s *shard, p Presentation, now time.Time) decision {
 	switch {
 	case t.cfg.Store == nil:
 		return refuse(p.Key, call.Unknown, call.ReasonKeyUnclaimed)
 	case s.view.phase != phaseActive:
-		return step{locate: call.ReasonDraining}
+		return decision{lookupReason: call.ReasonDraining}
 	case !t.reserve(1):
-		return step{locate: call.ReasonKeyTableFull}
+		return decision{lookupReason: call.ReasonKeyTableFull}
 	}
 	e := &entry{
 		Presentation: p,
-		home:         s.view.own,
+		owner:        s.view.incarnation,
 		state:        StateClaiming,
 		since:        now,
 		expires:      now.Add(t.cfg.Window),
@@ -186,5 +192,5 @@
 	}
 	s.entries[p.Key] = e
 	t.inFlight.Add(1)
-	return step{claiming: e}
+	return decision{claiming: e}
 }
--- a/atmostonce/run.go
+++ b/atmostonce/run.go
@@ -7,21 +7,22 @@
 	"pollengauge.dev/call"
 )
 
-// Run is the one permission to dispatch a key. Its holder calls Dispatched
-// right before sending, and then Done, Unknown or NotRun.
+// Run is the only permission to dispatch a key. Its holder calls Dispatched
+// right before sending the call, and then Done, Unknown or NotRun.
 type Run struct {
 	table *Table
 	shard *shard
 	entry *entry
 }
 
-// Key is the key's text.
+// Key returns the text of the key.
 func (r *Run) Key() string { return r.entry.Key }
 
-// Dispatched marks the call as sent. It must be called before the first byte
-// goes to the upstream, and nothing may be sent if it fails. A *RefusedError
-// says that the claim was taken back because the node hands its keys over;
-// Begin then tells where the key has gone.
+// Dispatched marks the call as sent. Call it before the first byte goes to the
+// upstream; if it fails, nothing may be sent. A *RefusedError with reason
+// draining means that the claim was revoked because this node hands its keys
+// over or inherited the key's fate. Begin then returns the new owner or the
+// fate.
 func (r *Run) Dispatched() error {
 	now := r.table.clock.now()
 	r.shard.mu.Lock()
@@ -29,13 +30,14 @@
 	e := r.entry
 	switch {
 	case e.run != r:
-		return &RefusedError{Key: e.Key, Outcome: r.revoked(now), Reason: call.ReasonDraining}
+		return &RefusedError{Key: e.Key, Outcome: r.revokedOutcome(now), Reason: call.ReasonDraining}
 	case !e.minted && now.After(e.expires):
-		// This process was paused for the whole window. The claim in the
-		// store may be deleted and the key claimed by another node.
+		// This process was paused until the key's window ended. The claim in
+		// the store may have been deleted and another node may have claimed the
+		// key.
 		return &RefusedError{Key: e.Key, Outcome: call.Unknown, Reason: call.ReasonKeyExpired}
 	}
-	if err := r.mayBecome(StateDispatched, StateClaimed); err != nil {
+	if err := r.checkTransition(StateDispatched, StateClaimed); err != nil {
 		return err
 	}
 	e.state = StateDispatched
@@ -43,14 +45,15 @@
 	return nil
 }
 
-// revoked is what is known of a key whose claim was taken back by a drain.
-// Another presentation may have run it since: at the successor, or here after
-// the drain was cancelled. The caller holds the shard's lock.
-func (r *Run) revoked(now time.Time) call.Outcome {
+// revokedOutcome returns the outcome to report for a key whose claim was
+// revoked by a drain or an inherited fate. Another presentation may have run
+// the key since: on the successor, or here after the drain was cancelled. The
+// caller holds the shard's lock.
+func (r *Run) revokedOutcome(now time.Time) call.Outcome {
 	e := r.entry
 	v := r.shard.view
-	_, mine := v.homes[e.home]
-	if !e.minted || !mine || v.phase.gone() || now.After(e.expires) {
+	_, owned := v.owned[e.owner]
+	if !e.minted || !owned || v.phase.mayBeTransferred() || now.After(e.expires) {
 		return call.Unknown
 	}
 	if other := r.shard.entries[e.Key]; other != nil && other.state != StateClaimed {
@@ -59,13 +62,13 @@
 	return call.NotRun
 }
 
-// Done stores the whole answer for later presentations. It may follow Unknown
-// if the answer arrives late.
+// Done stores the complete response for later presentations. It may follow
+// Unknown if the response arrives late.
 func (r *Run) Done(answer Answer) error { return r.done(&answer) }
 
-// DoneUnheld records that the call completed with an answer that can't be
-// kept, for example because it is too large to be read whole. Part of an
-// answer must never be given to Done: it would be replayed as the whole.
+// DoneUnheld records that the call completed with a response that can't be
+// stored, for example because it is too large to be buffered. Never pass a
+// partial response to Done: it would be replayed as the complete one.
 func (r *Run) DoneUnheld() error { return r.done(nil) }
 
 func (r *Run) done(answer *Answer) error {
@@ -73,34 +76,34 @@
 	r.shard.mu.Lock()
 	defer r.shard.mu.Unlock()
 	e := r.entry
-	if err := r.mayBecome(StateDone, StateDispatched, StateUnknown); err != nil {
+	if err := r.checkTransition(StateDone, StateDispatched, StateUnknown); err != nil {
 		return err
 	}
 	e.reason = call.ReasonNone
 	if answer != nil {
-		r.shard.hold(e, answer, r.table.cfg.MaxAnswerBytes)
+		r.shard.storeAnswer(e, answer, r.table.cfg.MaxAnswerBytes)
 	}
-	r.end(StateDone, now)
+	r.recordFate(StateDone, now)
 	return nil
 }
 
-// Unknown records that the call was dispatched and its fate isn't known.
+// Unknown records that the call was dispatched and its outcome isn't known.
 func (r *Run) Unknown(reason call.Reason) error {
 	now := r.table.clock.now()
 	r.shard.mu.Lock()
 	defer r.shard.mu.Unlock()
 	e := r.entry
-	if err := r.mayBecome(StateUnknown, StateDispatched); err != nil {
+	if err := r.checkTransition(StateUnknown, StateDispatched); err != nil {
 		return err
 	}
 	e.reason = reason
-	r.end(StateUnknown, now)
+	r.recordFate(StateUnknown, now)
 	return nil
 }
 
-// mayBecome refuses a change of state unless the key is still this run's and in one
-// of the states that lead there. The caller holds the shard's lock.
-func (r *Run) mayBecome(to State, from ...State) error {
+// checkTransition returns a *RunError unless this run still has the key and the
+// key's state is one of from. The caller holds the shard's lock.
+func (r *Run) checkTransition(to State, from ...State) error {
 	e := r.entry
 	if e.run != r || !slices.Contains(from, e.state) {
 		return &RunError{Key: e.Key, From: e.state, To: to}
@@ -108,8 +111,8 @@
 	return nil
 }
 
-// end stores a fate. The caller holds the shard's lock.
-func (r *Run) end(state State, now time.Time) {
+// recordFate records a fate. The caller holds the shard's lock.
+func (r *Run) recordFate(state State, now time.Time) {
 	e := r.entry
 	first := e.state == StateDispatched
 	if !first {
@@ -125,20 +128,20 @@
 	}
 }
 
-// NotRun gives the key back: it is proved that no upstream ran any part of
-// the call. After Dispatched it needs such a proof, for example that no
-// connection could be made. A waiting presenter may then run the key. If it
-// fails, the key may be another node's by now: answer unknown.
+// NotRun releases the key: it is proven that no upstream ran any part of the
+// call. After Dispatched it needs a proof, for example that no connection could
+// be established. A waiting presentation may then run the key. If NotRun fails,
+// another node may own the key by now; report the outcome as unknown.
 func (r *Run) NotRun() error {
 	now := r.table.clock.now()
 	r.shard.mu.Lock()
 	defer r.shard.mu.Unlock()
 	e := r.entry
-	if err := r.mayBecome(StateReleased, StateClaimed, StateDispatched); err != nil {
+	if err := r.checkTransition(StateReleased, StateClaimed, StateDispatched); err != nil {
 		return err
 	}
 	if e.minted || r.shard.view.phase >= phaseSealed {
-		r.table.takeBack(r.shard, e)
+		r.table.revoke(r.shard, e)
 		return nil
 	}
 	defer r.table.endPresentation()
@@ -148,17 +151,18 @@
 	return nil
 }
 
-// Close ends a run that its holder left open, for example by a panic: as
-// NotRun if it wasn't dispatched, as Unknown otherwise. Without it the key's
-// presenters would wait for ever. After the run has ended it does nothing.
+// Close completes a run that its holder left open, for example after a panic:
+// as NotRun if it wasn't dispatched, as Unknown otherwise. Without Close, other
+// presentations of the key would wait forever. Close does nothing if the run
+// has been completed.
 func (r *Run) Close() {
 	r.shard.mu.Lock()
-	mine, state := r.entry.run == r, r.entry.state
+	current, state := r.entry.run == r, r.entry.state
 	r.shard.mu.Unlock()
 	switch {
-	case mine && state == StateClaimed:
+	case current && state == StateClaimed:
 		_ = r.NotRun()
-	case mine && state == StateDispatched:
+	case current && state == StateDispatched:
 		_ = r.Unknown(call.ReasonLost)
 	}
 }
