--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,24 +1,26 @@
-// Package quota holds the requests of a customer below its limit over a whole fleet,
-// without a coordinator.
+// Package quota enforces customers' rate limits over a whole fleet of nodes without a
+// central coordinator.
 //
-// One member counts for each customer: its home, chosen from the membership by Homes.
-// The home has a token bucket for the customer in its Ledger and lends tokens to the
-// nodes where the customer's requests enter. A node keeps them in its Purse, where a
-// token that is not used is worth nothing after a short life. So all that is sent on in
-// a window was lent in it, or within a token's life before.
+// Each customer has one owner: a member of the fleet that Homes selects by rendezvous
+// hashing. The owner has a token bucket for the customer in its Ledger and leases
+// tokens to the nodes where the customer's requests enter. Each node caches its leased
+// tokens in its Purse, where an unused token expires after a short time to live. The
+// number of requests forwarded in a window is therefore at most the number of tokens
+// leased in that window or within one time to live before it.
 //
-// The load that it answers: a customer's requests come through many nodes at once, and
-// through other nodes a moment later; it sends many times what it may.
+// The package is built for customers whose requests enter through many nodes at once,
+// move to other nodes a moment later, and arrive at many times the customer's limit.
 //
-// What keeps the sum below the limit when the fleet is not whole:
+// The total stays below the limit while parts of the fleet fail:
 //
-//   - A home lends only the part of the limit that its side of the fleet is of the
-//     fleet as it was last seen whole (Fleet). In a cut, the sides together have one
-//     limit.
-//   - A new bucket is empty but for Tolerance.Start tokens. After a restart, of one
-//     home or of all, nothing is lent a second time.
-//   - While a home doesn't answer and is not known to be gone, its deputy lends from
-//     the tolerance alone.
+//   - An owner leases only a share of the limit: the number of members it sees, divided
+//     by the size of the fleet when it was last seen complete (Fleet). In a network
+//     partition, all sides together lease one limit.
+//   - A new bucket holds only Tolerance.Start tokens. A restart of one owner, or of all
+//     of them, leases no token a second time.
+//   - While an owner does not respond and is not known to be gone, its deputy leases
+//     tokens from the tolerance alone.
 //
-// Everything here is pure: time, chance and the membership are arguments.
+// The package does no I/O: the time, random numbers and the membership are passed in as
+// arguments.
 package quota
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -2,39 +2,42 @@
 
 import "time"
 
-// missingLife is how long a place in the fleet counts whose member is gone without a
-// farewell: it may be on the other side of a cut, and lend there.
+// missingLife is how long a place counts after its member disappeared without
+// announcing that it leaves. Until then the member may be running on another side of a
+// network partition, where it leases tokens.
 const missingLife = 10 * time.Minute
 
-// Fleet knows how much of the fleet a member sees. Places, not members, are counted: a
-// process that starts again at its address is no other part of the fleet. Its owner
-// locks.
+// Fleet computes which share of the fleet a member sees. It counts places (addresses)
+// rather than members, because a process that restarts at its address does not change
+// the size of the fleet. A Fleet is not safe for concurrent use; its user locks it.
 //
-// A process that has just started has seen nobody, and may be on the smaller side of a
-// cut. Until it has seen as many places as others tell of, theirs is the size.
+// A process that has just started has seen no other member and may be on the smaller
+// side of a network partition. Until it has seen as many places as other members
+// report, it uses the size that they report.
 type Fleet struct {
 	places map[string]place
-	// heard is the largest size that others told of, and until when that counts.
+	// heard is the largest fleet size that other members reported. It is used until
+	// heardUntil.
 	heard      int
 	heardUntil time.Time
-	// whole is set once as many places were seen as were heard of.
+	// whole is set once this member has seen as many places as were reported to it.
 	whole bool
-	// parts have the parts that were seen of late, each larger than the one before; the
-	// first counts, the last is seen now.
+	// parts has the shares seen within the last settleTime, in increasing order. The
+	// first one is in force; the last one is the current share.
 	parts []seenPart
 }
 
 type place struct {
-	// id is the member that was last seen there, at is when.
+	// id is the member last seen at this place, at is when it was seen.
 	id string
 	at time.Time
 }
 
-// Member is one member that is believed to live.
+// Member is a member that is believed to be alive, with the place where it runs.
 type Member struct{ ID, Place string }
 
-// Update takes in who lives now. left tells of a member that lives no longer whether it
-// said farewell.
+// Update records the members that are alive now. For a member that is not, left reports
+// whether it announced that it was leaving.
 func (f *Fleet) Update(living []Member, left func(id string) bool, now time.Time) {
 	if f.places == nil {
 		f.places = make(map[string]place)
@@ -58,33 +61,34 @@
 	f.set(float64(min(max(len(living), 1), size))/float64(size), now)
 }
 
-// settleTime is how long a larger part must have been seen before it counts: about as
-// long as news of members take.
+// settleTime is how long a larger share must have been seen before it is in force. It
+// is about the time that a membership update takes to reach all members.
 const settleTime = 400 * time.Millisecond
 
-// seenPart is a part of the fleet that was seen until a time.
+// seenPart is a share of the fleet and the time until which it was seen.
 type seenPart struct {
 	share float64
 	until time.Time
 }
 
-// set takes in the part that is seen now.
+// set records the share that is seen now.
 //
-// The failure: a cut heals, and one side's home lends for the whole fleet while the other
-// side's has not heard of it. Both together exceed the limit. So the least part of the
-// last moments counts.
+// When a network partition heals, the owner on one side could lease for the whole fleet
+// before the owner on the other side has learned of it, and the two together would
+// exceed the limit. Therefore the smallest share of the last settleTime is in force.
 func (f *Fleet) set(share float64, now time.Time) {
 	if len(f.parts) > 0 {
 		f.parts[len(f.parts)-1].until = now
 	}
-	// An earlier part that is not smaller has no say any more.
+	// An earlier share that is not smaller than the current one no longer matters.
 	for len(f.parts) > 0 && f.parts[len(f.parts)-1].share >= share {
 		f.parts = f.parts[:len(f.parts)-1]
 	}
 	f.parts = append(f.parts, seenPart{share: share})
 }
 
-// Share is the part of the fleet that is seen, above 0 to 1.
+// Share returns the share of the fleet that this member sees, greater than 0 and at
+// most 1.
 func (f *Fleet) Share(now time.Time) float64 {
 	for len(f.parts) > 1 && now.Sub(f.parts[0].until) >= settleTime {
 		f.parts = f.parts[1:]
@@ -95,7 +99,7 @@
 	return f.parts[0].share
 }
 
-// Heard takes in how many places another member counts, or has stored.
+// Heard records a fleet size that another member reported or that was stored earlier.
 func (f *Fleet) Heard(size int, now time.Time) {
 	if f.whole || (size < f.heard && now.Before(f.heardUntil)) {
 		return
@@ -103,8 +107,8 @@
 	f.heard, f.heardUntil = size, now.Add(missingLife)
 }
 
-// Places is how many places this member counts, by what it has seen itself.
+// Places returns the number of places that this member has seen itself.
 func (f *Fleet) Places() int { return len(f.places) }
 
-// Whole tells whether as many places were seen as others told of.
+// Whole reports whether this member has seen as many places as other members reported.
 func (f *Fleet) Whole() bool { return f.whole || f.heard == 0 }
--- a/quota/homes.go
+++ b/quota/homes.go
@@ -2,16 +2,16 @@
 
 import "hash/fnv"
 
-// Homes tells which members count for a customer: of all members that are believed to
-// live, the one with the highest draw for it, as in rendezvous hashing. Members that
-// know the same members agree, and a member that comes or goes moves its own customers
-// only. It is immutable.
+// Homes selects the owner of each customer by rendezvous hashing: the live member with
+// the highest hash for the customer. Members with the same view of the membership agree
+// on the owner, and a member that joins or leaves moves only its own customers. Homes
+// is immutable.
 type Homes struct {
 	ids    []string
 	hashes []uint64
 }
 
-// NewHomes returns the Homes of the living members.
+// NewHomes returns the Homes of the given live members.
 func NewHomes(ids []string) *Homes {
 	h := &Homes{ids: ids, hashes: make([]uint64, len(ids))}
 	for i, id := range ids {
@@ -20,7 +20,8 @@
 	return h
 }
 
-// Of returns the home of a customer and its deputy, "" where there is none.
+// Of returns the owner of a customer and its deputy, the member with the second highest
+// hash. Each is "" if there is no such member.
 func (h *Homes) Of(customer string) (home, deputy string) {
 	of := hashOf(customer)
 	var first, second uint64
@@ -43,7 +44,7 @@
 	return hash.Sum64()
 }
 
-// mix is the finalizer of splitmix64 over two words.
+// mix hashes two words with the finalizer of splitmix64.
 func mix(a, b uint64) uint64 {
 	x := a + b*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -9,48 +9,52 @@
 
 const (
 	ledgerShards = 16
-	// usualSpan is the time over which demand is averaged.
+	// usualSpan is the time constant of the decaying averages of demand.
 	usualSpan = time.Second
-	// bucketLife is how long a bucket is kept that nobody asks of. A customer that
-	// comes back finds a new one.
+	// bucketLife is how long a bucket without requests is retained. A customer that
+	// returns later gets a new bucket.
 	bucketLife = time.Minute
-	// maxRetryAfter bounds Grant.RetryAfter.
+	// minRetryAfter and maxRetryAfter bound Grant.RetryAfter.
 	maxRetryAfter = 2 * time.Second
 	minRetryAfter = 20 * time.Millisecond
 )
 
-// Ask is what a node asks the home of a customer for.
+// Ask is a node's request for tokens to the owner of a customer.
 type Ask struct {
 	Customer string
-	// Limit is in force from configuration Version on. The home keeps the limit of
-	// the latest version that it was told of.
+	// Limit applies from configuration Version on. The owner uses the limit of the
+	// latest version that it has received.
 	Limit   Limit
 	Version uint64
-	// Want is how many tokens are wanted, at least 1. Need is how many of them are for
-	// requests that wait; the others are for those to be expected.
+	// Want is the number of tokens requested, at least 1. Need is how many of them are
+	// for requests that are waiting; the others are for requests expected soon.
 	Want, Need int
-	// Share is the part of the limit that may be lent, above 0 to 1.
+	// Share is the share of the limit that may be leased, greater than 0 and at most 1.
 	Share float64
-	// Since is since when this member has counted for the customer, and nobody else.
-	// A customer that asks for the first time finds what has gathered since.
+	// Since is when this member became the customer's only owner. The bucket of a
+	// customer that sends its first request later holds the tokens accumulated since
+	// then.
 	Since time.Time
-	// Draw is a random number from 0 to 1, exclusive, that spreads those who come back.
+	// Draw is a random number in [0, 1) that spreads the times at which refused callers
+	// retry.
 	Draw float64
 }
 
-// Grant is the answer.
+// Grant is the owner's response to an Ask.
 type Grant struct {
-	// Tokens is how many were lent. With none, Spare tells that none was needed.
+	// Tokens is the number of tokens leased. If it is 0, Spare reports whether no
+	// waiting request needed one.
 	Tokens int
 	Spare  bool
-	// RetryAfter is when the next one can be expected, where none was.
+	// RetryAfter is when the next token can be expected, if none was leased to a
+	// waiting request.
 	RetryAfter time.Duration
-	// Use is the customer's demand as a part of its limit, at most 1.
+	// Use is the customer's demand as a fraction of its limit, at most 1.
 	Use float64
 }
 
-// Ledger has the buckets of the customers for which this member counts. All methods may
-// be called concurrently.
+// Ledger has the token buckets of the customers that this member owns. It is safe for
+// concurrent use.
 type Ledger struct {
 	window time.Duration
 	start  func(Limit) float64
@@ -62,27 +66,29 @@
 	mu      sync.Mutex
 	buckets map[string]*bucket
 	swept   time.Time
-	_       [32]byte // keeps neighbouring locks off one cache line
+	_       [32]byte // avoids false sharing between the locks of neighbouring shards
 }
 
-// bucket is the account of one customer. Two bounds hold for it: what is lent in any
-// window, which is the limit, and a token bucket that is filled at the pace of such
-// windows and as deep as the burst. The second keeps a customer that sends too much from
-// using up a window in its first second.
+// bucket is the account of one customer. It enforces two bounds: the tokens leased in
+// any window, which is the limit itself, and a token bucket that is as deep as the
+// burst and fills at the limit of a window divided by the window's length. The second
+// bound keeps a customer that sends too much from using up a window in its first
+// second.
 type bucket struct {
 	limit   Limit
 	version uint64
-	// since is when this member began to count.
+	// since is when this member became the owner of the customer.
 	since time.Time
 	level float64
 	at    time.Time
 	lent  windowCount
-	// asked and refused are tokens in a decaying average over usualSpan.
+	// asked and refused count tokens requested and refused, as decaying averages over
+	// usualSpan.
 	asked, refused float64
 }
 
-// NewLedger returns an empty Ledger for windows of a length, whose new buckets hold
-// start tokens.
+// NewLedger returns an empty Ledger for windows of the given length. start returns the
+// number of tokens in a new bucket.
 func NewLedger(window time.Duration, start func(Limit) float64) *Ledger {
 	l := &Ledger{window: max(window, minWindow), start: start, seed: maphash.MakeSeed()}
 	for i := range l.shards {
@@ -91,7 +97,7 @@
 	return l
 }
 
-// Ask lends tokens, as many as are there and wanted.
+// Ask leases as many of the requested tokens as are available.
 func (l *Ledger) Ask(a Ask, now time.Time) Grant {
 	s := &l.shards[maphash.String(l.seed, a.Customer)%ledgerShards]
 	s.mu.Lock()
@@ -113,11 +119,11 @@
 	return b.lend(a, l.window, now)
 }
 
-// pass brings the bucket up to date.
+// pass updates the bucket to the current time.
 //
-// The failure: a customer has sent its burst, and then counts elsewhere. Its new home
-// knows nothing of the burst, and lends a window's part of it once more. In its first
-// window a home therefore lends at the rate alone.
+// A customer may send its burst and then move to another owner, which knows nothing of
+// the burst and would grant the burst's share of a window once more. Therefore an owner
+// fills the bucket at the rate alone in its first window.
 func (b *bucket) pass(now time.Time, share float64, window time.Duration) {
 	elapsed := max(now.Sub(b.at), 0)
 	early := min(max(b.since.Add(window).Sub(b.at), 0), elapsed)
@@ -129,8 +135,9 @@
 	b.refused *= left
 }
 
-// spareShare is the part of a window's limit up to which tokens are lent that no request
-// waits for. Beyond it such tokens, used in the next window, could exceed that one.
+// spareShare is the fraction of a window's limit up to which tokens are leased in
+// advance, for requests that are not waiting yet. Beyond it, tokens leased in advance
+// and used in the next window could make that window exceed its limit.
 const spareShare = 0.8
 
 func (b *bucket) lend(a Ask, window time.Duration, now time.Time) Grant {
@@ -161,18 +168,19 @@
 	return g
 }
 
-// rounding makes up for sums of parts that have no exact binary form.
+// rounding compensates for the rounding errors of sums of fractions that have no exact
+// binary representation.
 const rounding = 1e-9
 
-// retryAfter spreads those who were refused over the time in which the bucket will have
-// tokens for all of them.
+// retryAfter spreads the retries of refused callers over the time in which the bucket
+// will have tokens for all of them.
 func (b *bucket) retryAfter(a Ask, window time.Duration) time.Duration {
 	rate := b.limit.in(window) / window.Seconds() * a.Share
 	wait := (max(1-b.level, 0) + a.Draw*b.refused) / rate
 	return time.Duration(min(max(wait, minRetryAfter.Seconds()), maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// sweep forgets buckets that nobody asks of. The lock is held.
+// sweep deletes buckets without recent requests. The caller holds the lock.
 func (s *ledgerShard) sweep(now time.Time) {
 	if now.Sub(s.swept) < bucketLife {
 		return
@@ -185,10 +193,11 @@
 	}
 }
 
-// Keep forgets the buckets of customers for which this member counts no more.
+// Keep deletes the buckets of customers that this member no longer owns.
 //
-// The failure: a cut moves a customer to another home and back. The first one's bucket
-// has filled up meanwhile, and the customer has its burst a second time.
+// In a network partition a customer may move to another owner and back. Without the
+// deletion, the first owner's bucket would have refilled meanwhile, and the customer
+// would have its burst a second time.
 func (l *Ledger) Keep(home func(customer string) bool) {
 	for i := range l.shards {
 		s := &l.shards[i]
@@ -202,15 +211,16 @@
 	}
 }
 
-// Account is what a Ledger holds of one customer.
+// Account is the state of one customer in a Ledger.
 type Account struct {
 	Customer string
 	Limit    Limit
-	// Tokens are there now; Asked and Refused were of late, a second.
+	// Tokens is the number available now. Asked and Refused are recent averages, in
+	// tokens per second.
 	Tokens, Asked, Refused float64
 }
 
-// Accounts returns what is held, in no order.
+// Accounts returns the state of all customers in the ledger, in no particular order.
 func (l *Ledger) Accounts() []Account {
 	var out []Account
 	for i := range l.shards {
--- a/quota/limit.go
+++ b/quota/limit.go
@@ -2,54 +2,56 @@
 
 import "time"
 
-// Limit is what a customer may have sent on: in any window its Rate times the window's
-// length, and its Burst.
+// Limit bounds the requests of a customer that are forwarded: in any window, Rate times
+// the window's length plus Burst.
 type Limit struct {
-	// Rate is in requests a second, above 0.
+	// Rate is in requests per second, greater than 0.
 	Rate float64
-	// Burst is how many requests may come at once on top.
+	// Burst is the number of requests that may arrive at once, in addition to the rate.
 	Burst float64
 }
 
-// depth is the most tokens of a bucket. Less than one would never let a request through.
+// depth returns the bucket's capacity in tokens. A capacity below one would never let a
+// request through.
 func (l Limit) depth() float64 { return max(l.Burst, 1) }
 
-// in is what may be sent on in a window.
+// in returns the number of requests that may be forwarded in a window.
 func (l Limit) in(window time.Duration) float64 { return l.Rate*window.Seconds() + l.Burst }
 
-// Tolerance is how far the sum over all nodes may exceed a limit in any window, so that
-// nodes need not ask for each request.
+// Tolerance is how far the total over all nodes may exceed a limit in any window. It
+// exists so that nodes need not contact the owner for each request.
 type Tolerance struct {
-	// Window is the length of any span in which requests are counted.
+	// Window is the length of the sliding window in which requests are counted.
 	Window time.Duration
-	// Over is a part of what the limit allows in a window, and Slack a number of
-	// requests, that may come on top.
+	// Over is the permitted excess as a fraction of what the limit allows in a window.
+	// Slack is a number of requests permitted in addition.
 	Over  float64
 	Slack float64
 }
 
-// DefaultTolerance suits limits of some requests a second and more.
+// DefaultTolerance suits limits of a few requests per second and more.
 var DefaultTolerance = Tolerance{Window: 5 * time.Second, Over: 0.1, Slack: 20}
 
-// Parts of a Tolerance. Together they stay below the whole; the rest is for homes that
-// move.
+// Fractions of a Tolerance. They add up to less than 1; the rest covers customers whose
+// owner changes.
 const (
 	lifeShare   = 0.4
 	deputyShare = 0.3
 	startShare  = 0.2
-	// maxLife bounds the life of a token where the tolerance would allow more: demand
-	// moves between nodes.
+	// minLife and maxLife bound the time to live of a token. maxLife applies where the
+	// tolerance would allow a longer one, because demand moves between nodes.
 	maxLife = time.Second
 	minLife = 10 * time.Millisecond
 )
 
-// Life is how long a token that was lent can be used. What was lent in one window and
-// used in the next stays below this part of the tolerance.
+// Life returns the time to live of a leased token. It is chosen so that the tokens
+// leased in one window and used in the next stay below lifeShare of the excess that
+// Over permits.
 func (t Tolerance) Life() time.Duration {
 	return min(max(time.Duration(lifeShare*t.Over*float64(t.Window)), minLife), maxLife)
 }
 
-// Deputy is the limit by which a deputy lends.
+// Deputy returns the limit within which a deputy leases tokens.
 func (t Tolerance) Deputy(l Limit) Limit {
 	seconds := t.Window.Seconds()
 	if seconds <= 0 {
@@ -58,8 +60,8 @@
 	return Limit{Rate: deputyShare * (t.Over*l.in(t.Window) + t.Slack) / seconds, Burst: 0}
 }
 
-// Start is how many tokens a new bucket holds.
+// Start returns the number of tokens in a new bucket.
 func (t Tolerance) Start(l Limit) float64 { return min(startShare*t.Slack, l.depth()) }
 
-// Most is the most requests of a customer in a window.
+// Most returns the maximum number of a customer's requests in a window.
 func (t Tolerance) Most(l Limit) float64 { return l.in(t.Window)*(1+t.Over) + t.Slack }
--- a/quota/purse.go
+++ b/quota/purse.go
@@ -10,18 +10,20 @@
 
 const (
 	purseShards = 16
-	// wantShare is the part of the demand of a token's life that is asked for at once:
-	// what is not used is lost to the other nodes.
+	// wantShare is the fraction of the demand expected within a token's time to live
+	// that is requested at once. Unused tokens are lost to the other nodes.
 	wantShare = 0.75
-	// maxWant bounds one Ask.
+	// maxWant bounds the tokens of one Ask.
 	maxWant = 1000
-	// purseLife is how long a customer is remembered that sends nothing.
+	// purseLife is how long the account of a customer that sends no requests is
+	// retained.
 	purseLife = 10 * time.Second
-	// dryMost bounds how long a node refuses by itself after a home had no token.
+	// dryMost bounds how long a node refuses requests without contacting the owner
+	// again, after the owner had no tokens.
 	dryMost = 100 * time.Millisecond
 )
 
-// Purse has the tokens that a node was lent. All methods may be called concurrently.
+// Purse caches the tokens that were leased to a node. It is safe for concurrent use.
 type Purse struct {
 	life   time.Duration
 	seed   maphash.Seed
@@ -32,18 +34,18 @@
 	mu       sync.Mutex
 	accounts map[string]*purseAccount
 	swept    time.Time
-	_        [32]byte // keeps neighbouring locks off one cache line
+	_        [32]byte // avoids false sharing between the locks of neighbouring shards
 }
 
-// purseAccount is what a node holds for one customer.
+// purseAccount is the state of one customer at a node.
 type purseAccount struct {
-	// lent are tokens by the time at which they end, the earliest first.
+	// lent has the leased tokens by expiry, the earliest first.
 	lent []lent
-	// demand is how many requests came within a second, a decaying average.
+	// demand is the number of requests per second, as a decaying average.
 	demand float64
 	at     time.Time
-	// dry is until when the home is not asked again, and after is what callers are
-	// told meanwhile.
+	// dry is the time until which the owner is not contacted again. Until then, after
+	// is the Retry-After that callers receive.
 	dry   time.Time
 	after time.Duration
 	use   float64
@@ -54,7 +56,7 @@
 	ends   time.Time
 }
 
-// NewPurse returns an empty Purse for tokens of a life.
+// NewPurse returns an empty Purse for tokens with the given time to live.
 func NewPurse(life time.Duration) *Purse {
 	p := &Purse{life: life, seed: maphash.MakeSeed()}
 	for i := range p.shards {
@@ -65,24 +67,25 @@
 
 // Taken is the result of Take and Retake.
 type Taken struct {
-	// OK tells that the request may be sent on: a token was there for it, which ends
-	// at Ends.
+	// OK reports whether the request has a token and may be forwarded. The token
+	// expires at Ends.
 	OK   bool
 	Ends time.Time
-	// Want is how many tokens to ask the home for, 0 for none. Beside OK the request
-	// need not wait for them.
+	// Want is the number of tokens to request from the owner, 0 for none. If OK is set
+	// as well, the request need not wait for them.
 	Want int
-	// RetryAfter is for a request that is refused: neither OK nor Want is set.
+	// RetryAfter is set if the request is refused: OK is false and Want is 0.
 	RetryAfter time.Duration
-	// Use is the customer's demand as a part of its limit, as last heard; 0 if not
-	// known.
+	// Use is the customer's demand as a fraction of its limit, as the owner last
+	// reported it; 0 if unknown.
 	Use float64
 }
 
-// Take takes a token for a request that has come.
+// Take takes a token for a request that has just arrived.
 func (p *Purse) Take(customer string, now time.Time) Taken { return p.take(customer, 1, now) }
 
-// Retake is Take for the same request, once the home has answered.
+// Retake takes a token for the same request after the owner has responded. It does not
+// count the request a second time.
 func (p *Purse) Retake(customer string, now time.Time) Taken { return p.take(customer, 0, now) }
 
 func (p *Purse) take(customer string, came float64, now time.Time) Taken {
@@ -99,8 +102,8 @@
 		taken.Ends = a.lent[0].ends
 		a.lent[0].tokens--
 		left--
-		// The next tokens are asked for before the last one is gone, where a request
-		// is to be expected within their life.
+		// Requests the next tokens before the last one is used, if another request is
+		// expected within their time to live.
 		if a.demand*p.life.Seconds() >= 1 && left < (want+1)/2 && !now.Before(a.dry) {
 			taken.Want = want
 		}
@@ -114,7 +117,8 @@
 	return taken
 }
 
-// Return gives back the token of a request that did not run, as long as it lives.
+// Return gives back the token of a request that did not run, unless the token has
+// expired.
 func (p *Purse) Return(customer string, ends, now time.Time) {
 	if !now.Before(ends) {
 		return
@@ -134,7 +138,7 @@
 	a.lent = slices.Insert(a.lent, place, lent{tokens: 1, ends: ends})
 }
 
-// Put takes in what the home of a customer answered to an Ask that was sent at a time.
+// Put stores the owner's response to an Ask that was sent at the given time.
 func (p *Purse) Put(customer string, g Grant, sent, now time.Time) {
 	s := p.shard(customer)
 	s.mu.Lock()
@@ -182,7 +186,7 @@
 	a.at = now
 }
 
-// tokens drops what has ended or is used up, and returns how many tokens are left.
+// tokens removes expired and used tokens, and returns the number left.
 func (a *purseAccount) tokens(now time.Time) int {
 	for len(a.lent) > 0 && (a.lent[0].tokens == 0 || !now.Before(a.lent[0].ends)) {
 		a.lent = a.lent[1:]
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -14,8 +14,8 @@
 
 func at(d time.Duration) time.Time { return epoch.Add(d) }
 
-// A customer asks for many times its limit. What is lent is the limit, and no more at
-// the start than at any other time.
+// A customer requests many times its limit. The tokens leased must stay within the
+// limit in every window, including the first one.
 func TestLedgerLendsTheLimit(t *testing.T) {
 	c := qt.New(t)
 	l := NewLedger(DefaultTolerance.Window, DefaultTolerance.Start)
@@ -39,8 +39,9 @@
 	c.Check(g.Use, qt.Equals, 1.0)
 }
 
-// A cut moves a customer to another home and back, and its first home's bucket fills up
-// meanwhile. What the others lent must not be lent once more.
+// Guards against leasing tokens twice when a network partition moves a customer to
+// another owner and back: the first owner's bucket would have refilled meanwhile, while
+// the other owner leased tokens too.
 func TestBucketsOfCustomersThatMovedAreForgotten(t *testing.T) {
 	c := qt.New(t)
 	l := NewLedger(DefaultTolerance.Window, DefaultTolerance.Start)
@@ -52,8 +53,8 @@
 	c.Check(l.Ask(ask, at(20*time.Second)).Tokens, qt.Equals, 50)
 }
 
-// A customer comes for the first time, long after its home began to count. Nobody was
-// lent anything meanwhile, so it finds its burst.
+// A customer sends its first request long after its owner became the owner. No tokens
+// were leased in the meantime, so the full burst must be available.
 func TestFirstRequestsFindTheBurst(t *testing.T) {
 	c := qt.New(t)
 	ask := Ask{Customer: "a", Limit: Limit{Rate: 10, Burst: 30}, Want: 100, Need: 100, Share: 1, Since: at(0)}
@@ -62,7 +63,8 @@
 	c.Check(NewLedger(DefaultTolerance.Window, DefaultTolerance.Start).Ask(ask, at(0)).Tokens, qt.Equals, 4)
 }
 
-// An older version's limit comes back in a late question. The latest one holds.
+// A delayed request may still name the limit of an older configuration version. The
+// limit of the latest version must stay in force.
 func TestLedgerKeepsTheLatestLimit(t *testing.T) {
 	c := qt.New(t)
 	l := NewLedger(DefaultTolerance.Window, func(Limit) float64 { return 0 })
@@ -76,8 +78,8 @@
 	c.Check(ask(2, 10, 4*time.Second), qt.Equals, 100)
 }
 
-// Those who are refused together are told to come back over the time in which there
-// will be tokens for all of them, not at once.
+// Callers that are refused at the same moment must receive retry times spread over the
+// period in which there will be tokens for all of them, rather than retry all at once.
 func TestRefusedAreSpread(t *testing.T) {
 	c := qt.New(t)
 	l := NewLedger(DefaultTolerance.Window, func(Limit) float64 { return 0 })
@@ -90,8 +92,8 @@
 	c.Check(last > 900*time.Millisecond && last <= maxRetryAfter, qt.IsTrue, qt.Commentf("%v", last))
 }
 
-// A token that is not used, or given back late, is worth nothing: it was counted in an
-// earlier window.
+// Guards against using a token that expired unused or was returned after its expiry: it
+// was counted in an earlier window.
 func TestTokensEnd(t *testing.T) {
 	c := qt.New(t)
 	p := NewPurse(400 * time.Millisecond)
@@ -101,13 +103,14 @@
 	c.Check(taken.OK, qt.IsTrue)
 	c.Check(taken.Use, qt.Equals, 0.5)
 	p.Return("a", taken.Ends, at(200*time.Millisecond))
-	c.Check(p.Take("a", at(300*time.Millisecond)).OK, qt.IsTrue, qt.Commentf("one that was given back"))
-	c.Check(p.Take("a", at(400*time.Millisecond)).OK, qt.IsFalse, qt.Commentf("the other has ended"))
+	c.Check(p.Take("a", at(300*time.Millisecond)).OK, qt.IsTrue, qt.Commentf("the returned token"))
+	c.Check(p.Take("a", at(400*time.Millisecond)).OK, qt.IsFalse, qt.Commentf("the other token has expired"))
 	p.Return("a", taken.Ends, at(500*time.Millisecond))
 	c.Check(p.Take("a", at(510*time.Millisecond)).OK, qt.IsFalse)
 }
 
-// A home without tokens is left alone for a moment; callers are told what it said.
+// After an owner reported that it has no tokens, the node must not contact it for a
+// moment. Callers receive the Retry-After that the owner reported.
 func TestDryHomesAreLeftAlone(t *testing.T) {
 	c := qt.New(t)
 	p := NewPurse(400 * time.Millisecond)
@@ -116,8 +119,8 @@
 	c.Check(p.Take("a", at(150*time.Millisecond)).Want, qt.Equals, 1)
 }
 
-// Members that know the same members agree on homes, and a member that goes moves its
-// own customers only, each to its deputy.
+// Members with the same view of the membership agree on the owners. When a member
+// leaves, only its own customers move, each to its deputy.
 func TestHomesMoveOnlyWithTheirMember(t *testing.T) {
 	c := qt.New(t)
 	var ids []string
@@ -138,7 +141,7 @@
 		c.Check(now, qt.Equals, home)
 	}
 	for id, count := range counts {
-		c.Check(count > 50 && count < 160, qt.IsTrue, qt.Commentf("%s counts for %d", id, count))
+		c.Check(count > 50 && count < 160, qt.IsTrue, qt.Commentf("%s owns %d customers", id, count))
 	}
 	home, deputy := NewHomes(nil).Of("a")
 	c.Check(home+deputy, qt.Equals, "")
@@ -146,8 +149,8 @@
 	c.Check([]string{home, deputy}, qt.DeepEquals, []string{"one", ""})
 }
 
-// In a cut each side lends its part. A farewell makes the fleet smaller, a restart at
-// the same place does not.
+// In a network partition each side leases its share. A member that announces its leave
+// makes the fleet smaller; a restart at the same place does not.
 func TestShareIsThePartThatIsSeen(t *testing.T) {
 	c := qt.New(t)
 	var f Fleet
@@ -165,24 +168,24 @@
 	c.Check(f.Share(at(time.Second)), qt.Equals, 0.4)
 	all[0] = member(0, "b")
 	f.Update(all, none, at(2*time.Second))
-	c.Check(f.Share(at(2*time.Second)), qt.Equals, 0.4, qt.Commentf("others may still lend"))
+	c.Check(f.Share(at(2*time.Second)), qt.Equals, 0.4, qt.Commentf("other members may still lease"))
 	c.Check(f.Share(at(2*time.Second+settleTime)), qt.Equals, 1.0)
 	var growing Fleet
 	growing.Heard(10, at(0))
 	for i := range 10 {
 		growing.Update(all[:i+1], none, at(time.Duration(i)*settleTime/2))
 	}
-	c.Check(growing.Share(at(9*settleTime/2)), qt.Equals, 0.8, qt.Commentf("news that go on hold nothing up"))
+	c.Check(growing.Share(at(9*settleTime/2)), qt.Equals, 0.8, qt.Commentf("continuing updates must not delay the share"))
 	f.Update(all[:9], func(id string) bool { return id == "a9" }, at(4*time.Second))
 	c.Check(f.Share(at(4*time.Second)), qt.Equals, 1.0)
 	f.Update(all[:8], none, at(5*time.Second))
 	c.Check(f.Share(at(5*time.Second)) < 0.9, qt.IsTrue)
 	f.Update(all[:8], none, at(5*time.Second+missingLife))
-	c.Check(f.Share(at(6*time.Second+missingLife)), qt.Equals, 1.0, qt.Commentf("a place that was never taken again"))
+	c.Check(f.Share(at(6*time.Second+missingLife)), qt.Equals, 1.0, qt.Commentf("a place without a member for longer than missingLife"))
 	var fresh Fleet
 	fresh.Heard(8, at(0))
 	fresh.Update(all[:4], none, at(0))
-	c.Check(fresh.Share(at(0)), qt.Equals, 0.5, qt.Commentf("others have seen more"))
+	c.Check(fresh.Share(at(0)), qt.Equals, 0.5, qt.Commentf("other members have seen more places"))
 	fresh.Heard(16, at(0))
 	fresh.Heard(8, at(time.Second))
 	fresh.Update(all[:4], none, at(time.Second))
@@ -195,7 +198,7 @@
 	seen.Update(all[:4], none, at(0))
 	seen.Heard(9, at(time.Second))
 	seen.Update(all[:4], none, at(time.Second))
-	c.Check(seen.Share(at(time.Second)), qt.Equals, 1.0, qt.Commentf("it has seen the whole itself"))
+	c.Check(seen.Share(at(time.Second)), qt.Equals, 1.0, qt.Commentf("it has seen the complete fleet itself"))
 }
 
 func TestTolerance(t *testing.T) {
@@ -209,7 +212,7 @@
 	c.Check(Tolerance{}.Deputy(limit), qt.Equals, Limit{})
 }
 
-// world plays a fleet in which every member has a view of its own.
+// world simulates a fleet in which each member has its own view of the membership.
 type world struct {
 	rnd   *rand.Rand
 	t     Tolerance
@@ -217,8 +220,8 @@
 	nodes []*worldNode
 	now   time.Time
 	sent  []time.Time
-	// stored is the size of the fleet that processes read as they start, lost the
-	// part of the questions that their home does not answer.
+	// stored is the fleet size that processes read when they start. lost is the
+	// fraction of token requests that the owner does not answer.
 	stored int
 	lost   float64
 }
@@ -261,7 +264,7 @@
 	}
 }
 
-// look has every node see those of its side.
+// look updates each node's view with the nodes on its side of the partition.
 func (w *world) look() {
 	for _, n := range w.nodes {
 		n.view = n.view[:0]
@@ -276,7 +279,7 @@
 			n.fleet.Heard(w.nodes[i].fleet.Places(), w.now)
 		}
 		n.fleet.Update(living, func(string) bool { return false }, w.now)
-		// Those that were seen at the last look are suspected, and still count.
+		// Members seen at the last look but not now are suspected, and still count.
 		ids := idsOf(living)
 		for _, id := range n.alive {
 			if !slices.Contains(ids, id) && w.holds(id) {
@@ -301,12 +304,12 @@
 	return ids
 }
 
-// holds tells whether a process still runs, cut off or not.
+// holds reports whether a process is still running, on any side of the partition.
 func (w *world) holds(id string) bool {
 	return slices.ContainsFunc(w.nodes, func(n *worldNode) bool { return n.id == id })
 }
 
-// request plays one at a node.
+// request simulates a request that arrives at a node.
 func (w *world) request(i int) {
 	n := w.nodes[i]
 	taken := n.purse.Take("c", w.now)
@@ -348,7 +351,7 @@
 	return Grant{}, false
 }
 
-// most is the most requests in any window.
+// most returns the maximum number of requests in any window.
 func (w *world) most() int {
 	first, most := 0, 0
 	for i, last := range w.sent {
@@ -360,7 +363,8 @@
 	return most
 }
 
-// Guards against a window over the tolerance while the fleet is cut, restarts or is seen late.
+// Guards against a window over the tolerance while the fleet is partitioned, processes
+// restart, or nodes learn of membership changes late.
 func TestNoWindowExceedsTheToleranceUnderFaults(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(40) {
@@ -403,8 +407,8 @@
 	}
 }
 
-// A customer sends within its limit, evenly or through one node; one sends far above it.
-// The first is hardly ever refused, the second gets its limit.
+// A customer that sends within its limit, evenly or through one node, is hardly ever
+// refused. A customer that sends far above its limit gets its limit.
 func TestWhatIsWithinTheLimitIsLetThrough(t *testing.T) {
 	c := qt.New(t)
 	for name, test := range map[string]struct {
