--- a/quarantine/blame.go
+++ b/quarantine/blame.go
@@ -2,46 +2,48 @@
 
 import "time"
 
-// Running is a request that an upstream was running as it ended.
+// Running is a request that an upstream was running when it crashed.
 type Running struct {
 	Fingerprint Fingerprint
-	// Known is how many upstreams had ended under the request before, as whoever
-	// sent it here knew.
+	// Known is the number of upstreams that had crashed under the request before, as
+	// far as the member that sent it here knew.
 	Known int
-	// Completed tells that the same request has completed at this incarnation of the
-	// upstream before.
+	// Completed reports whether the same request had already completed at this
+	// incarnation of the upstream.
 	Completed bool
 	// Label describes the request for operators.
 	Label string
 }
 
-// Blamed is what an end says of one request.
+// Blamed is the new Record of a request that was blamed for a crash.
 type Blamed struct {
 	Record
 	Label string
 }
 
-// Blame is what the end of an upstream says of the requests that it was running.
+// Blame is the result of attributing an upstream's crash to the requests that it was
+// running.
 type Blame struct {
-	// Held are those that are held back from now on, or longer than before.
+	// Held are the requests that are quarantined from now on, or for longer than
+	// before.
 	Held []Blamed
-	// Suspects are those under which an upstream has ended for the first time.
+	// Suspects are the requests under which an upstream has crashed for the first time.
 	Suspects []Fingerprint
 }
 
-// Blame counts the end of an upstream against the requests that it was running.
+// Blame counts the crash of an upstream against the requests that it was running.
 //
-// The load that it answers: one request ends each upstream that runs it, and beside it
-// run tens of others, which are sent on to the same next upstream. Only those that were
-// there at the most ends before are counted one more. Those with fewer have an
-// explanation beside them, and become suspects at most: an innocent request that comes
-// to run beside the cause is not held for it.
+// One request may crash each upstream that runs it. Tens of other requests run beside
+// it and are sent on to the same next upstream. Only the requests with the most earlier
+// crashes are counted one more. For a request with fewer, another running request
+// explains the crash better, so it becomes a suspect at most. An innocent request that
+// happens to run beside the cause is therefore not quarantined for it.
 //
-// A count rises by one from what was known as the run began, so that upstreams which
-// end at the same moment, as when a zone fails, count once for the requests that were
-// running at all of them. Where a zone fails upstream by upstream, its requests are sent
-// on to the next one just before that ends; one that has completed there before is not
-// counted again within endsTogether.
+// A count rises by one from the count that was known when the run began. Upstreams that
+// crash at the same moment, as when a zone fails, therefore count once for the requests
+// that were running at all of them. When the upstreams of a zone fail one by one, a
+// request is sent on to the next upstream just before that one fails too; a request
+// that had completed there before is not counted again within endsTogether.
 func (l *Ledger) Blame(runs []Running, now time.Time) Blame {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,8 +64,8 @@
 	return blame
 }
 
-// priorEnds is how many upstreams are known to have ended under a request. A completion
-// here is later than what its sender knew.
+// priorEnds returns how many upstreams are known to have crashed under a request. A
+// completion here is more recent than the count that the sender knew.
 func (l *Ledger) priorEnds(run Running, now time.Time) int {
 	e := l.entries[run.Fingerprint]
 	switch {
--- a/quarantine/bulletin.go
+++ b/quarantine/bulletin.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// MaxTold bounds what one member tells the others at a time: each change goes to all
-// of them.
+// MaxTold bounds the Records that one member announces at a time, because each change
+// is sent to all members.
 const MaxTold = 16
 
-// Bulletin is what one member tells the others: the latest Records that it gave itself.
-// The zero value is empty.
+// Bulletin is the set of Records that one member announces to the others: the latest
+// ones that it created itself. The zero value is empty.
 type Bulletin struct {
 	mu    sync.Mutex
 	posts []post
@@ -23,9 +23,9 @@
 	at time.Time
 }
 
-// Post adds a record, in place of an earlier one of the same request. If there are too
-// many, the one with the fewest ends goes, the oldest of them: it was held, and the
-// others keep what they have heard.
+// Post adds a record, replacing an earlier one of the same request. If there are too
+// many, it removes the record with the fewest crashes, and among those the oldest: the
+// other members have received it by then and retain it.
 func (b *Bulletin) Post(r Record, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,8 +44,8 @@
 	b.posts = slices.DeleteFunc(b.posts, func(p post) bool { return p.Fingerprint == f })
 }
 
-// Withdraw removes the record of a request on which another member has given a later
-// word, and reports whether there was one.
+// Withdraw removes the record of a request for which another member has announced a
+// newer one. It reports whether there was a record to remove.
 func (b *Bulletin) Withdraw(f Fingerprint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,7 +54,8 @@
 	return len(b.posts) < before
 }
 
-// Sweep removes what need not be told any more, and reports whether there was any.
+// Sweep removes the records that no longer need to be announced, and reports whether
+// there were any.
 func (b *Bulletin) Sweep(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -63,7 +64,7 @@
 	return len(b.posts) < before
 }
 
-// Records returns what is told, in the order in which it was posted.
+// Records returns the announced records in the order in which they were posted.
 func (b *Bulletin) Records() []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/quarantine/completions.go
+++ b/quarantine/completions.go
@@ -2,20 +2,22 @@
 
 import "sync/atomic"
 
-// completionSlots is how many completed requests are remembered. A popular request is
-// noted so often that rare ones do not displace it for long.
+// completionSlots is the number of completed requests that are remembered. A popular
+// request is noted so often that rare requests with the same slot do not displace it
+// for long.
 const completionSlots = 1024
 
-// Completions remembers requests that completed at one incarnation of an upstream, the
-// popular ones above all. Noting one costs an atomic store. The zero value is empty.
+// Completions remembers requests that completed at one incarnation of an upstream, with
+// a bias to popular ones. Noting a request costs one atomic store. The zero value is
+// empty.
 type Completions struct {
 	slots [completionSlots]atomic.Uint64
 }
 
-// Note remembers a request that completed.
+// Note records that a request completed.
 func (c *Completions) Note(f Fingerprint) { c.slots[f%completionSlots].Store(uint64(f)) }
 
-// Reset forgets all.
+// Reset removes all requests.
 func (c *Completions) Reset() {
 	for i := range c.slots {
 		c.slots[i].Store(0)
--- a/quarantine/custodian.go
+++ b/quarantine/custodian.go
@@ -2,10 +2,10 @@
 
 import "hash/fnv"
 
-// Custodian chooses the member that tries a request whose hold is over. All who know
-// of the same members choose the same one, so that the fleet spends one trial and not
-// one for each member; different requests go to different members. It returns "" if
-// there is none.
+// Custodian selects the member that runs the trial of a request whose quarantine time
+// is over. All members with the same view of the membership select the same one, so
+// that the fleet runs one trial rather than one per member. Different requests are
+// assigned to different members. It returns "" if there are no members.
 func Custodian(members []string, f Fingerprint) string {
 	var chosen string
 	var highest uint64
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,31 +1,34 @@
-// Package quarantine holds back requests under which upstreams end, so that one
-// request can't take their service down.
+// Package quarantine withholds requests that crash upstreams, so that one request can't
+// take a service down.
 //
-// An upstream that ends takes every request with it that it was running, and at most
-// a few of them are the cause. Ledger keeps how many upstreams in turn have ended under
-// each request, by the fingerprint of its content. Blame counts
-// an end against those requests that were there at the most ends before; the rest are
-// suspects at most. A request that completes anywhere has shown that it is harmless,
-// and its count is cleared.
+// An upstream that crashes takes down every request that it was running, and at most a
+// few of them caused the crash. A Ledger stores, by the fingerprint of a request's
+// content, how many upstreams in succession have crashed while they ran the request.
+// Ledger.Blame counts a crash only against the requests with the most earlier crashes;
+// the other requests become suspects at most. A request that completes anywhere is
+// shown to be harmless, and its count is cleared.
 //
-// One end holds nothing back: an upstream ends for many causes. From HoldFrom ends on
-// a request is held, the longer the more ends it has. When its time is over, one member
-// tries it, alone: if it completes it is cleared, if its upstream ends it is held for
-// longer.
+// A single crash quarantines nothing, because an upstream can crash for many reasons.
+// After HoldFrom crashes a request is held in quarantine, for longer the more crashes
+// it has. When its time is over, one member runs it as a trial, alone among the
+// quarantined requests: if it completes it is cleared; if the upstream crashes it is
+// held for longer.
 //
 // A node uses a Ledger in this order:
 //
-//	verdict := ledger.Decide(fingerprint, now)      // where a request is sent from
-//	verdict := ledger.Begin(fingerprint, now)       // beside the upstream that is to run it
-//	blame := ledger.Blame(runs, now)                // when the upstream has ended
+//	verdict := ledger.Decide(fingerprint, now)      // at the node that sends a request
+//	verdict := ledger.Begin(fingerprint, now)       // at the node whose upstream is to run it
+//	blame := ledger.Blame(runs, now)                // after the upstream has crashed
 //	record, news := ledger.Completed(fingerprint, now)
-//	ledger.Abandon(fingerprint, sent, now)          // a trial that showed nothing
+//	ledger.Abandon(fingerprint, sent, now)          // after a trial without a result
 //
-// Blame and Completed return Records, which members tell each other; Merge takes them
-// in. Records of one request are ordered by their Stamp, so members agree whatever the
-// order in which they hear them, and hearing one twice changes nothing.
+// Blame and Completed return Records, which members send to each other and pass to
+// Merge. The Records of one request are ordered by their Stamp, so all members reach
+// the same state in whatever order they receive them, and receiving a Record twice
+// changes nothing.
 //
-// The package does no I/O and starts no goroutine. Time comes in as values, and how
-// long a request is held is measured on the clock of whoever holds it, from when it
-// heard: clocks need not agree. All methods may be called concurrently.
+// The package does no I/O and starts no goroutine. Times are passed in as values. Each
+// member measures how long a request is held on its own clock, from the moment that it
+// receives the Record, so clocks need not be synchronized. All methods are safe for
+// concurrent use.
 package quarantine
--- a/quarantine/hold.go
+++ b/quarantine/hold.go
@@ -2,32 +2,34 @@
 
 import "time"
 
-// HoldFrom is the number of ends from which a request is held back. Two upstreams in
-// turn that end under the same request, while it is the one that both have in common,
-// are more than chance.
+// HoldFrom is the number of crashes from which a request is quarantined. Two successive
+// upstreams that crash while running the same request, when it is the only one that
+// both ran, are unlikely to be a coincidence.
 const HoldFrom = 2
 
-// provenFrom is the number of ends from which a request counts as the cause: it ran
-// alone among those that are held when the last of them ended.
+// provenFrom is the number of crashes from which a request counts as the proven cause:
+// when the last upstream crashed, it was the only quarantined request running there.
 const provenFrom = 3
 
-// forever is the hold of a request that has ended an upstream at each of its trials.
-// Only an operator clears it, or its entry is forgotten.
+// forever is how long a request that crashed an upstream in each of its trials is held.
+// It is released only when an operator clears it or its entry expires.
 const forever = keepProven
 
-// holds is how long a request is held back, by its ends from HoldFrom on.
+// holds is how long a request is quarantined, by its number of crashes from HoldFrom
+// on.
 var holds = [...]time.Duration{
-	// An upstream that has ended takes some seconds to be back. A request that is
-	// innocent waits no longer for its trial, and one that is not finds the other
-	// upstreams in service again.
+	// A crashed upstream takes some seconds to restart. After this time an innocent
+	// request need not wait longer for its trial, and a request that does crash its
+	// upstream finds the other upstreams back in service.
 	10 * time.Second,
-	// From here on the request is the likely cause, and each trial costs an upstream.
+	// From here on the request is the likely cause, and each trial may cost an
+	// upstream.
 	10 * time.Minute,
 	time.Hour,
 	6 * time.Hour,
 }
 
-// HoldTime is how long a request is held back after its last end.
+// HoldTime returns how long a request is quarantined after its last crash.
 func HoldTime(ends int) time.Duration {
 	switch {
 	case ends < HoldFrom:
@@ -38,16 +40,16 @@
 	return forever
 }
 
-// Times after which an entry is forgotten, from its last change.
+// Times from the last change of an entry to its expiry.
 const (
-	// keepSuspect is for a request that is not proven to be the cause, and for one
+	// keepSuspect applies to a request that is not proven to be the cause, and to one
 	// that was cleared.
 	keepSuspect = 10 * time.Minute
-	// keepProven is for one that is.
+	// keepProven applies to a proven cause.
 	keepProven = 24 * time.Hour
 )
 
-// keepTime is how long an entry is kept.
+// keepTime returns how long an entry is retained.
 func keepTime(ends int) time.Duration {
 	if ends >= provenFrom {
 		return keepProven
@@ -55,7 +57,7 @@
 	return keepSuspect
 }
 
-// tellTime is how long the members are told of a request.
+// tellTime returns how long a record is announced to the members.
 func tellTime(ends int) time.Duration {
 	const part = 2
 	if ends == 0 {
@@ -64,14 +66,14 @@
 	return keepTime(ends) / part
 }
 
-// tellCleared is how long the members are told that a request is cleared. All that can
-// be reached have heard it by then.
+// tellCleared is how long the clearing of a request is announced to the members. Within
+// this time all reachable members have received it.
 const tellCleared = time.Minute
 
-// endsTogether is the time within which upstreams that end may do so for one cause that
-// is none of their requests.
+// endsTogether is the time within which several upstreams may crash for a common cause
+// that is none of their requests.
 const endsTogether = 2 * time.Second
 
-// completedRecently is how long a completion speaks against blame that is told later:
-// news of an end may be on its way while the request completes elsewhere.
+// completedRecently is how long a completion outweighs blame that is received later:
+// the notice of a crash may be on its way while the request completes elsewhere.
 const completedRecently = 10 * time.Second
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -8,78 +8,80 @@
 	"time"
 )
 
-// MaxEntries bounds a Ledger. What goes first is what was blamed least and longest
-// ago: it may run again.
+// MaxEntries bounds a Ledger. The entries with the fewest crashes are evicted first,
+// and among those the oldest; their requests may run again.
 const MaxEntries = 4096
 
-// Ledger is what one member knows of requests, whichever services run them: a route
-// may come to lead to other upstreams, and the request end those as well.
+// Ledger stores what one member knows of the requests under which upstreams crashed. It
+// does not distinguish services: after a routing change, a request may reach other
+// upstreams and crash those as well.
 type Ledger struct {
-	// size is the number of entries, read without the lock: without any, calls go
-	// past the ledger.
+	// size is the number of entries. It is read without the lock, so that calls bypass
+	// the ledger while it is empty.
 	size atomic.Int64
 
 	mu      sync.Mutex
 	entries map[Fingerprint]*entry
-	// trial is the request that is being tried here; trying tells that there is one.
+	// trial is the request whose trial is running here, if trying is set.
 	trial  Fingerprint
 	trying bool
 }
 
-// entry is what is known of one request.
+// entry is the state of one request.
 type entry struct {
 	ends  int
 	stamp uint64
-	// tries is how many trials since showed nothing.
+	// tries is the number of trials without a result since the last crash.
 	tries int
-	// worst is the most ends of a request that was proven to be the cause and then
-	// cleared: should it end another upstream, it is held as before.
+	// worst is the highest number of crashes of a request that was proven to be the
+	// cause and then cleared. If it crashes another upstream, it is held as before.
 	worst int
-	// since is when the ends last changed here.
+	// since is when the number of crashes last changed here.
 	since time.Time
-	// completed is when the request last completed here, zero if it did not since
-	// it is known.
+	// completed is when the request last completed here, zero if it has not done so
+	// since the entry was created.
 	completed time.Time
-	// cleared tells that the ends were last changed by a word that cleared them.
+	// cleared reports whether the last change of the number of crashes cleared it.
 	cleared bool
 	label   string
 }
 
-// NewLedger returns an empty ledger.
+// NewLedger returns an empty Ledger.
 func NewLedger() *Ledger { return &Ledger{entries: make(map[Fingerprint]*entry)} }
 
-// Empty reports whether no request is known.
+// Empty reports whether the ledger has no entries.
 func (l *Ledger) Empty() bool { return l.size.Load() == 0 }
 
-// Action is what may be done with a request.
+// Action states what may be done with a request.
 type Action uint8
 
-// The actions.
+// The values of Action.
 const (
-	// Run: nothing speaks against the request.
+	// Run: the request may run; it is not quarantined.
 	Run Action = iota
-	// Trial: the request may be run once, alone among those that are held, by the
-	// member whose turn it is.
+	// Trial: the member that Custodian selects may run the request once, as the only
+	// quarantined request there.
 	Trial
-	// Hold: the request is not to be run.
+	// Hold: the request is quarantined and must not run.
 	Hold
 )
 
-// Verdict is the answer to whether a request may run.
+// Verdict is the decision on whether a request may run.
 type Verdict struct {
 	Action Action
-	// Ends is how many upstreams in turn have ended under the request.
+	// Ends is the number of upstreams in succession that have crashed under the
+	// request.
 	Ends int
-	// Stamp is that of the Record which says so.
+	// Stamp is the Stamp of the Record that the verdict is based on.
 	Stamp uint64
-	// After is how long it is still held.
+	// After is how much longer the request is held.
 	After time.Duration
 }
 
-// trialTime is after how long a request is expected to have had its trial.
+// trialTime is the time after which a request is expected to have completed its trial.
 const trialTime = time.Second
 
-// Decide tells what may be done with a request that is about to be sent to a member.
+// Decide returns what may be done with a request that is about to be sent to a member.
 func (l *Ledger) Decide(f Fingerprint, now time.Time) Verdict {
 	if l.Empty() {
 		return Verdict{}
@@ -105,15 +107,15 @@
 	return verdict
 }
 
-// left is how long the request is still held. A trial that showed nothing counts like
-// an end: it may have cost one.
+// left returns how much longer the request is held. A trial without a result counts
+// like a crash, because it may have crashed the upstream.
 func (e *entry) left(now time.Time) time.Duration {
 	return max(HoldTime(e.ends+e.tries)-now.Sub(e.since), 0)
 }
 
-// Begin tells whether a request may run here. A Trial has begun with it, and ends with
-// Blame, Completed or Abandon. Only one request is tried at a time: should the upstream
-// end, there is no doubt whose doing it was.
+// Begin decides whether a request may run here. If the verdict is Trial, the trial has
+// begun, and it ends with Blame, Completed or Abandon. Only one trial runs at a time,
+// so that the cause is certain if the upstream crashes.
 func (l *Ledger) Begin(f Fingerprint, now time.Time) Verdict {
 	if l.Empty() {
 		return Verdict{}
@@ -132,8 +134,8 @@
 	return verdict
 }
 
-// Abandon ends a trial that showed nothing. If the request was sent to the upstream, it
-// is held again, for longer.
+// Abandon ends a trial without a result. If the request was sent to the upstream, it is
+// quarantined again, for longer.
 func (l *Ledger) Abandon(f Fingerprint, sent bool, now time.Time) {
 	if l.Empty() {
 		return
@@ -149,7 +151,7 @@
 	}
 }
 
-// endTrial ends the trial of a request, and reports whether there was one.
+// endTrial ends the trial of a request, and reports whether one was running.
 func (l *Ledger) endTrial(f Fingerprint) bool {
 	if !l.trying || l.trial != f {
 		return false
@@ -158,8 +160,8 @@
 	return true
 }
 
-// Completed clears a request that has run to its end here. The record is news for the
-// other members if they hold the request back.
+// Completed clears a request that has completed here. The record must be announced to
+// the other members if news is set, that is, if they hold the request in quarantine.
 func (l *Ledger) Completed(f Fingerprint, now time.Time) (record Record, news bool) {
 	if l.Empty() {
 		return Record{}, false
@@ -177,8 +179,8 @@
 	return e.record(f), news
 }
 
-// Clear lets a request run again, as an operator says so. It reports false if the
-// request is not known.
+// Clear releases a request on an operator's command. It returns false if the request is
+// unknown.
 func (l *Ledger) Clear(f Fingerprint, now time.Time) (Record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,7 +193,8 @@
 	return e.record(f), true
 }
 
-// clear forgets the ends. It is a later word only if the others hold the request.
+// clear resets the number of crashes. It raises the stamp only if the request was
+// quarantined, because only then do the other members hold it.
 func (e *entry) clear(now time.Time) {
 	if e.ends == 0 {
 		return
@@ -210,15 +213,17 @@
 	return Record{Fingerprint: f, Ends: e.ends, Stamp: e.stamp}
 }
 
-// Merge takes in what another member told, and reports whether it was news. If this
-// member has seen the request complete meanwhile, the answer says so, for the others.
+// Merge applies a record received from another member, and reports in news whether it
+// changed the ledger. If this member has seen the request complete recently,
+// contradicts is true, and answer is the record that clears the request, to be
+// announced to the others.
 func (l *Ledger) Merge(told Record, now time.Time) (news bool, answer Record, contradicts bool) {
 	told.Ends = min(max(told.Ends, 0), MaxEnds)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entries[told.Fingerprint]
 	if e == nil {
-		// A record that clears a request may come before the one that held it.
+		// A record that clears a request may arrive before the one that quarantined it.
 		e = l.add(told.Fingerprint, now)
 	} else if !told.supersedes(e.record(told.Fingerprint)) {
 		return false, Record{}, false
@@ -237,8 +242,8 @@
 	return true, Record{}, false
 }
 
-// Suspect notes requests that were running at an upstream of another member as that
-// ended.
+// Suspect records requests that were running at another member's upstream when it
+// crashed.
 func (l *Ledger) Suspect(suspects []Fingerprint, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -253,8 +258,8 @@
 	}
 }
 
-// clearedLately tells that the request has no ends, as it completed or was cleared a
-// short time ago. What others knew before does not count then.
+// clearedLately reports whether the request has no crashes because it completed or was
+// cleared a short time ago. Older counts from other members are ignored in that case.
 func (e *entry) clearedLately(now time.Time) bool {
 	return e.ends == 0 && (e.completedSince(now) || e.cleared && now.Sub(e.since) < completedRecently)
 }
@@ -263,7 +268,7 @@
 	return !e.completed.IsZero() && now.Sub(e.completed) < completedRecently
 }
 
-// add makes an entry, and room for it.
+// add creates an entry, evicting others if the ledger is full.
 func (l *Ledger) add(f Fingerprint, now time.Time) *entry {
 	if len(l.entries) >= MaxEntries {
 		l.evict()
@@ -274,8 +279,8 @@
 	return e
 }
 
-// evictedShare is the part of the entries that goes when the ledger is full, so that
-// the next ones find room.
+// A full ledger evicts 1/evictedShare of its entries, so that the next entries fit
+// without another eviction.
 const evictedShare = 8
 
 func (l *Ledger) evict() {
@@ -294,7 +299,7 @@
 
 func (e *entry) weight() int { return max(e.ends, e.worst) }
 
-// Sweep forgets what is out of date.
+// Sweep deletes expired entries.
 func (l *Ledger) Sweep(now time.Time) {
 	if l.Empty() {
 		return
@@ -309,19 +314,22 @@
 	l.size.Store(int64(len(l.entries)))
 }
 
-// Held is a request as an operator sees it.
+// Held is a quarantined or suspected request as shown to an operator.
 type Held struct {
 	Fingerprint Fingerprint
 	Ends        int
-	// Since is when its last upstream ended, as far as this member knows.
+	// Since is when an upstream last crashed under the request, as far as this member
+	// knows.
 	Since time.Time
-	// Left is how long it is held, 0 once it may be tried.
+	// Left is how much longer the request is held, 0 once a trial may run.
 	Left time.Duration
-	// Label describes the request where its upstream ended; "" elsewhere.
+	// Label describes the request at the member whose upstream crashed; it is ""
+	// elsewhere.
 	Label string
 }
 
-// List returns the requests with at least so many ends, those with most ends first.
+// List returns the requests with at least the given number of crashes, those with the
+// most crashes first.
 func (l *Ledger) List(ends int, now time.Time) []Held {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -343,9 +351,9 @@
 	return held
 }
 
-// Told returns what is to be told of the requests that are held back, in no order. It
-// leaves out what is to be forgotten soon, or members would learn it from each other
-// for ever.
+// Told returns the records of quarantined requests to announce, in no particular order.
+// It omits entries that are about to expire; otherwise members would receive them from
+// each other again and again, and never forget them.
 func (l *Ledger) Told(now time.Time) []Record {
 	if l.Empty() {
 		return nil
@@ -361,10 +369,10 @@
 	return records
 }
 
-// Counts are the numbers of entries.
+// Counts has the number of suspects and the number of quarantined requests.
 type Counts struct{ Suspects, Held int }
 
-// Counts returns how many requests are suspects and how many are held.
+// Counts returns how many requests are suspects and how many are quarantined.
 func (l *Ledger) Counts() Counts {
 	if l.Empty() {
 		return Counts{}
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// running are runs of requests that nobody knew anything of.
+// running returns runs of requests without any known crash.
 func running(fingerprints ...quarantine.Fingerprint) []quarantine.Running {
 	var runs []quarantine.Running
 	for _, f := range fingerprints {
@@ -22,7 +22,7 @@
 	return runs
 }
 
-// known are runs of which their senders knew so many ends.
+// known returns runs whose senders knew of the given number of crashes.
 func known(ends int, fingerprints ...quarantine.Fingerprint) []quarantine.Running {
 	runs := running(fingerprints...)
 	for i := range runs {
@@ -40,7 +40,7 @@
 	return all
 }
 
-// Guards against holding requests back for a single end, which may have any cause.
+// Guards against quarantining requests after a single crash, which may have any cause.
 func TestOneEndHoldsNothingBack(t *testing.T) {
 	c := qt.New(t)
 	l := quarantine.NewLedger()
@@ -50,7 +50,7 @@
 	c.Check(actions(l, start, 1, 2, 3), qt.DeepEquals, []quarantine.Action{quarantine.Run, quarantine.Run, quarantine.Run})
 }
 
-// Guards against holding back the innocent requests that run beside the cause.
+// Guards against quarantining the innocent requests that run beside the cause.
 func TestInnocentsBesideTheCauseAreNotHeld(t *testing.T) {
 	c := qt.New(t)
 	const cause, both, fresh = 1, 2, 3
@@ -75,8 +75,8 @@
 	c.Check(actions(second, later, cause, both, fresh), qt.DeepEquals, []quarantine.Action{quarantine.Hold, quarantine.Run, quarantine.Run})
 }
 
-// Guards against holding back a popular read that was running at each upstream of a
-// zone that failed as a whole.
+// Guards against quarantining a popular read because it was running at each upstream of
+// a zone when the complete zone failed.
 func TestUpstreamsThatEndTogetherCountOnce(t *testing.T) {
 	c := qt.New(t)
 	const popular = 7
@@ -93,7 +93,8 @@
 	}
 }
 
-// Guards against holding back a popular read whose zone fails upstream by upstream.
+// Guards against quarantining a popular read when the upstreams of its zone fail one by
+// one.
 func TestPopularReadIsNotHeldForAZoneThatFails(t *testing.T) {
 	c := qt.New(t)
 	const popular = 7
@@ -105,8 +106,9 @@
 	c.Check(second.Blame(popularRun, start.Add(4*time.Second)).Held, qt.HasLen, 1)
 }
 
-// Guards against holding back a popular read for good: it completes where it was under
-// way as the news came, which clears it for all.
+// Guards against quarantining a popular read permanently. It completes at a member
+// where it was already running when the notice of the crashes arrived, which must clear
+// it at all members.
 func TestCompletionSpeaksAgainstNewsOfEnds(t *testing.T) {
 	c := qt.New(t)
 	const popular = 7
@@ -127,8 +129,8 @@
 	c.Check(actions(other, start, popular), qt.DeepEquals, []quarantine.Action{quarantine.Run})
 }
 
-// Guards against finding out again and again whether a request still ends upstreams:
-// after the third end at most three more are spent on it.
+// Guards against testing again and again whether a request still crashes upstreams:
+// after the third crash, at most three more upstreams may be lost to it.
 func TestTrialsOfOneRequestAreFew(t *testing.T) {
 	c := qt.New(t)
 	const cause = 1
@@ -148,12 +150,12 @@
 			thirdAt = now
 		}
 	}
-	c.Check(ended <= 6, qt.IsTrue, qt.Commentf("%d upstreams ended", ended))
+	c.Check(ended <= 6, qt.IsTrue, qt.Commentf("%d upstreams crashed", ended))
 	c.Check(thirdAt.Sub(start) >= quarantine.HoldTime(2), qt.IsTrue)
 }
 
-// Guards against forgetting a proven cause that completed once, at an upstream of
-// another version: its next end holds it as before.
+// Guards against forgetting a proven cause that completed once, for example at an
+// upstream of another version: its next crash must quarantine it for as long as before.
 func TestProvenCauseIsHeldAsBefore(t *testing.T) {
 	c := qt.New(t)
 	const cause = 1
@@ -169,8 +171,8 @@
 	c.Check(l.Blame(running(cause), start.Add(3*time.Minute)).Held, qt.HasLen, 0)
 }
 
-// Guards against memory without bound, by ever new requests or by records of a faulty
-// member, and against losing the cause among them.
+// Guards against unbounded memory use, caused by a stream of new requests or by the
+// records of a faulty member, and against evicting the actual cause among them.
 func TestLedgerIsBounded(t *testing.T) {
 	c := qt.New(t)
 	const cause = 1
@@ -186,8 +188,9 @@
 	c.Check(l.Empty(), qt.IsTrue)
 }
 
-// Guards against members that disagree for ever: whatever records were given, and in
-// whatever order and how often each member hears them, all come to the same.
+// Guards against permanent disagreement between members: whatever records exist, and in
+// whatever order and however often each member receives them, all members must reach
+// the same state.
 func TestMembersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) quarantine.Record {
@@ -216,8 +219,8 @@
 	})
 }
 
-// Guards against one trial for each member: all choose the same one, and different
-// requests do not all go to it.
+// Guards against one trial per member: all members must select the same one, and
+// different requests must not all be assigned to it.
 func TestCustodianIsTheSameForAll(t *testing.T) {
 	c := qt.New(t)
 	chosen := make(map[string]int)
@@ -232,7 +235,7 @@
 	c.Check(quarantine.Custodian(nil, 1), qt.Equals, "")
 }
 
-// Guards against telling the members of more than each change of one can carry.
+// Guards against announcing more records than one update to the members can carry.
 func TestBulletinIsBounded(t *testing.T) {
 	c := qt.New(t)
 	var b quarantine.Bulletin
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// Fingerprint stands for the content of a request. The same content has the same one
-// at every member.
+// Fingerprint is a hash of a request's content. The same content has the same
+// Fingerprint at every member.
 type Fingerprint uint64
 
 const (
@@ -14,8 +14,8 @@
 // String returns the hexadecimal form that ParseFingerprint reads.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), fingerprintBase) }
 
-// ParseFingerprint reads the form that String gives. Anything else is a
-// *FingerprintError.
+// ParseFingerprint parses the form that String returns. For any other text the error is
+// a *FingerprintError.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	value, err := strconv.ParseUint(s, fingerprintBase, fingerprintBits)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return Fingerprint(value), nil
 }
 
-// FingerprintError tells of a text that is no Fingerprint.
+// FingerprintError reports a text that is not a Fingerprint.
 type FingerprintError struct{ Value string }
 
 // Error implements error.
@@ -32,21 +32,21 @@
 	return "fingerprint " + strconv.Quote(e.Value) + ": want 1 to 16 hexadecimal digits"
 }
 
-// Record is what members tell each other of one request.
+// Record is the state of one request as members send it to each other.
 type Record struct {
 	Fingerprint Fingerprint
-	// Ends is how many upstreams in turn have ended under the request, 0 once it
-	// is cleared.
+	// Ends is the number of upstreams in succession that have crashed under the
+	// request, 0 once it is cleared.
 	Ends int
-	// Stamp orders the records of one request: a later word has a higher one.
+	// Stamp orders the records of one request: a newer record has a higher one.
 	Stamp uint64
 }
 
-// MaxEnds is where the count of ends stops.
+// MaxEnds is the highest number of crashes that is counted.
 const MaxEnds = 100
 
-// supersedes reports whether r is the later word. Of two words that were given at the
-// same time, without knowing of each other, the one that blames more holds.
+// supersedes reports whether r replaces other. Of two records that were created
+// concurrently, with the same stamp, the one with more crashes wins.
 func (r Record) supersedes(other Record) bool {
 	if r.Stamp != other.Stamp {
 		return r.Stamp > other.Stamp
