--- a/customer/customer.go
+++ b/customer/customer.go
@@ -7,18 +7,19 @@
 	"unicode/utf8"
 )
 
-// Customer is one customer as operators define it.
+// Customer is a customer as operators configure it.
 type Customer struct {
-	// Name is what the upstream is told, 1 to 256 bytes of text.
+	// Name is the name that upstreams receive, 1 to 256 bytes of text.
 	Name string `json:"name" yaml:"name"`
-	// Keys are the digests of the keys that its callers may send. A customer
-	// without any can't call.
+	// Keys are the digests of the API keys that the customer's callers may send. A
+	// customer without keys can't call.
 	Keys []Digest `json:"keyDigests" yaml:"keyDigests"`
-	// Priority goes before that of the profile in the shed order: 0 is shed first,
-	// 15 last.
+	// Priority takes precedence over the profile's priority in the shed order: 0 is
+	// shed first, 15 last.
 	Priority int `json:"priority" yaml:"priority"`
-	// Rate is how many requests a second all nodes together send on for it, and
-	// Burst how many may come at once on top. A Rate of 0 is no limit.
+	// Rate is the number of requests per second that all nodes together forward for the
+	// customer. Burst is the number of requests that may arrive at once in addition. A
+	// Rate of 0 means no limit.
 	Rate  float64 `json:"rate,omitempty" yaml:"rate,omitempty"`
 	Burst float64 `json:"burst,omitempty" yaml:"burst,omitempty"`
 }
@@ -30,17 +31,17 @@
 	// MaxRate and MaxBurst keep sums over time far from overflow.
 	MaxRate  = 1e9
 	MaxBurst = 1e9
-	// MaxKeys is the most keys of one customer that operators may submit, and
-	// MaxCustomers the most customers.
+	// MaxKeys is the maximum number of keys of one customer, and MaxCustomers the
+	// maximum number of customers, that operators may submit.
 	MaxKeys      = 100
 	MaxCustomers = 20_000
 )
 
-// Limited reports whether the customer's requests are counted.
+// Limited reports whether the customer has a rate limit.
 func (c *Customer) Limited() bool { return c != nil && c.Rate > 0 }
 
-// Validate checks a list that operators submit, as a whole, and returns every
-// problem with it.
+// Validate checks a complete list of customers submitted by an operator and returns all
+// problems found.
 func Validate(list []Customer) []*Error {
 	v := validator{names: make(map[string]bool, len(list)), holders: make(map[Digest]bool)}
 	if len(list) > MaxCustomers {
@@ -91,7 +92,7 @@
 	}
 }
 
-// ValidName reports whether s can name a customer, and be told in a header.
+// ValidName reports whether s can name a customer and can be sent in a header.
 func ValidName(s string) bool {
 	return s != "" && len(s) <= MaxNameLength && utf8.ValidString(s) &&
 		!strings.ContainsFunc(s, unicode.IsControl) && strings.TrimSpace(s) == s
--- a/customer/customer_test.go
+++ b/customer/customer_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A key opens a customer's door at every node, so nothing that is stored, passed on
-// or shown may hold it.
+// Guards against exposing API keys: a key is accepted at every node, so it must not
+// occur in anything that is stored, forwarded or shown.
 func TestNoKeyIsHeldOrShown(t *testing.T) {
 	c := qt.New(t)
 	const secret = "kmgjqnirth5mgjy5rcpi"
@@ -59,7 +59,7 @@
 	c.Check(NewDirectory(nil).Empty(), qt.IsTrue)
 }
 
-// A list is checked as a whole; each problem names the customer and the field.
+// Validate reports all problems of a list; each one names the customer and the field.
 func TestValidateNamesCustomerAndField(t *testing.T) {
 	c := qt.New(t)
 	one := DigestOf("1")
--- a/customer/digest.go
+++ b/customer/digest.go
@@ -5,15 +5,15 @@
 	"encoding/hex"
 )
 
-// DigestSize is the length of a Digest in bytes. Finding another key with the digest
-// of a given one takes some 2^128 tries.
+// DigestSize is the length of a Digest in bytes. Finding another key with the digest of
+// a given key takes about 2^128 attempts.
 const DigestSize = 16
 
-// Digest stands for an API key: the first bytes of its SHA-256. Its text is
+// Digest identifies an API key: the first bytes of its SHA-256 hash. Its text form is
 // hexadecimal.
 //
-// Looking a Digest up tells nothing of the keys by the time it takes: who tries keys
-// can't choose their digests.
+// The time that the lookup of a Digest takes reveals nothing about the stored keys,
+// because an attacker who tries keys can't choose their digests.
 type Digest [DigestSize]byte
 
 // DigestOf returns the digest of a key.
--- a/customer/directory.go
+++ b/customer/directory.go
@@ -1,13 +1,15 @@
 package customer
 
-// Directory finds customers. It is immutable and may be used concurrently.
+// Directory finds customers by API key and by name. It is immutable and safe for
+// concurrent use.
 type Directory struct {
 	byKey  map[Digest]*Customer
 	byName map[string]*Customer
 }
 
-// NewDirectory returns a Directory of a list, which must not be changed afterwards.
-// Of two customers with one key, or with one name, the first in the list holds it.
+// NewDirectory returns a Directory of a list, which must not be changed afterwards. If
+// two customers have the same key or the same name, the first in the list has
+// precedence.
 func NewDirectory(list []Customer) *Directory {
 	keys := 0
 	for i := range list {
@@ -29,11 +31,11 @@
 	return d
 }
 
-// Empty reports whether there are no customers: nobody needs a key then.
+// Empty reports whether there are no customers, in which case callers need no key.
 func (d *Directory) Empty() bool { return len(d.byName) == 0 }
 
-// Holder returns the customer that holds a key, nil if none does.
+// Holder returns the customer with the given key, nil if there is none.
 func (d *Directory) Holder(key Digest) *Customer { return d.byKey[key] }
 
-// Named returns the customer of a name, nil if there is none.
+// Named returns the customer with the given name, nil if there is none.
 func (d *Directory) Named(name string) *Customer { return d.byName[name] }
--- a/customer/errors.go
+++ b/customer/errors.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// DigestError is a text that is no Digest. It doesn't show the text, which may be a
-// key that was put in a digest's place.
+// DigestError reports a text that is not a Digest. It doesn't show the text, which may
+// be a key that was entered in place of a digest.
 type DigestError struct {
-	// Length is that of the text, in bytes.
+	// Length is the length of the text in bytes.
 	Length int
 }
 
@@ -14,12 +14,14 @@
 	return "key digest of " + strconv.Itoa(e.Length) + " characters: want " + strconv.Itoa(2*DigestSize) + " of 0-9 and a-f"
 }
 
-// Error is one reason for which a list of customers is refused. It names the
-// customer and the field, never a key.
+// Error is one problem for which a list of customers is refused. It names the customer
+// and the field, but never a key.
 type Error struct {
-	// Place is that in the list, from 0; -1 where the problem is with the whole.
+	// Place is the customer's index in the list, from 0; -1 if the problem concerns the
+	// complete list.
 	Place int
-	// Customer is the name in quotes, or the place from 1 where there is none.
+	// Customer is the quoted name, or the position counted from 1 if the name is not
+	// valid.
 	Customer string
 	Field    string
 	Want     string
--- a/customer/key.go
+++ b/customer/key.go
@@ -2,16 +2,16 @@
 
 import "net/http"
 
-// Key is what a caller sent to say who it is. It holds no secret. The zero Key is
-// that of a caller that sent none.
+// Key identifies a caller by the API key that it sent. It stores only the digest, not
+// the secret. The zero Key stands for a caller that sent none.
 type Key struct {
 	digest Digest
 	sent   bool
 	known  bool
 }
 
-// ReadKey reads a key from a header. An empty one, or more than one, can't be any
-// customer's.
+// ReadKey reads an API key from a header. An empty value, or more than one value,
+// matches no customer.
 func ReadKey(h http.Header, name string) Key {
 	values := h[name]
 	if len(values) != 1 || values[0] == "" {
