--- a/call/call_test.go
+++ b/call/call_test.go
@@ -14,8 +14,8 @@
 	return Context{RequestID: "r1", Profile: "filing", Level: MakeLevel(12, 127), Timeout: 250 * time.Millisecond, Credit: 2, Depth: 3, Progress: 4, HeldBack: 970, Repeat: true}
 }
 
-// What one node writes the next must read as it was: a level or a credit that
-// changed on the way would be another request's.
+// Guards against headers that change between nodes: a level or a credit that the next
+// node reads differently would be that of another request.
 func TestHeadersRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	h := http.Header{"Accept": {"text/html"}}
@@ -31,9 +31,9 @@
 	c.Check(h.Get("Accept"), qt.Equals, "text/html")
 }
 
-// A peer sends nonsense in one header at a time. Each must be refused by name
-// and value; a silent default would let a broken peer raise a priority or
-// lengthen a deadline.
+// Guards against malformed headers that a peer sends, one at a time. Each must be
+// refused with the header's name and value. A silent default would let a faulty peer
+// raise a priority or extend a deadline.
 func TestMalformedHeadersAreNamed(t *testing.T) {
 	c := qt.New(t)
 	for name, values := range map[string][]string{
@@ -43,7 +43,7 @@
 		HeaderTimeout: {"", "600001", "1.5"},
 		HeaderCredit:  {"", "65"},
 		HeaderDepth:   {"", "65"},
-		// Work claimed without any done would jump the queue.
+		// A request with a falsely high progress would overtake others in the queue.
 		HeaderProgress: {"", "65", "-1", "+1"},
 		HeaderHeldBack: {"", "1001", "-1", "0.5"},
 		HeaderRepeat:   {"", "2", "-1", "true"},
@@ -61,8 +61,8 @@
 	}
 }
 
-// An answer without a readable outcome proves nothing: it must count as
-// unknown, never as not-run.
+// A response without a readable outcome proves nothing: it must count as unknown, never
+// as not-run.
 func TestUnreadableReportIsUnknown(t *testing.T) {
 	c := qt.New(t)
 	for _, name := range []string{HeaderOutcome, HeaderWorst, HeaderCreditLeft, HeaderLoad} {
@@ -83,8 +83,7 @@
 	c.Check((MaxLevel + 1).Priority(), qt.Equals, MaxPriority)
 }
 
-// Whatever arrives, what Extract accepts is within bounds and comes out of
-// Inject as it went in.
+// Whatever Extract accepts is within bounds, and Inject writes it back unchanged.
 func FuzzExtract(f *testing.F) {
 	f.Add("r1", "filing", "1663", "250", "2", "3", "4")
 	f.Add("", "p", "-1", "1e9", "99999999", "٣", "")
@@ -104,13 +103,13 @@
 		again := http.Header{}
 		got.Inject(again)
 		if back, err := Extract(again); err != nil || back != got {
-			t.Fatalf("%+v came back as %+v, %v", got, back, err)
+			t.Fatalf("wrote %+v, read back %+v, %v", got, back, err)
 		}
 	})
 }
 
-// Whatever arrives, only the three outcomes are read, and never not-run from
-// anything but its own name.
+// ExtractReport accepts only the three outcomes, and reads not-run only from exactly
+// that name.
 func FuzzExtractReport(f *testing.F) {
 	f.Add("not-run", "level", "tracker", "1024", "1", "900")
 	f.Add("NOT-RUN", "", "", "2049", "-1", "100001")
--- a/call/context.go
+++ b/call/context.go
@@ -7,111 +7,115 @@
 	"time"
 )
 
-// Headers that travel down with a call. An upstream that calls out copies
-// those in PropagatedHeaders from the request that it is serving.
+// Headers of a call on its way downstream. An upstream that makes calls of its own
+// copies those in PropagatedHeaders from the request that it is serving.
 const (
-	// HeaderRequest is the root request's id, the same at every hop.
+	// HeaderRequest is the id of the root request, the same at every hop.
 	HeaderRequest = "Pollengauge-Request"
 	// HeaderProfile is the name of the root's profile.
 	HeaderProfile = "Pollengauge-Profile"
-	// HeaderLevel is the decimal Level.
+	// HeaderLevel is the Level as a decimal number.
 	HeaderLevel = "Pollengauge-Level"
-	// HeaderTimeout is what is left of the deadline, in whole milliseconds.
-	// It is relative, so clocks need not agree.
+	// HeaderTimeout is the time left until the deadline, in whole milliseconds. It is
+	// relative, so clocks need not be synchronized.
 	HeaderTimeout = "Pollengauge-Timeout-Ms"
 	// HeaderCredit is the number of extra attempts this call may still make.
 	HeaderCredit = "Pollengauge-Credit"
-	// HeaderDepth counts hops below the root, which is 0.
+	// HeaderDepth is the number of hops between the root and the call; it is 0 for the
+	// root.
 	HeaderDepth = "Pollengauge-Depth"
-	// HeaderProgress counts the calls of the request that have already run. It
-	// is absent while that is none.
+	// HeaderProgress is the number of calls of the request that have already run. It is
+	// absent at 0.
 	HeaderProgress = "Pollengauge-Progress"
-	// HeaderHeldBack is the share of the requests that the root refused when it let
-	// this one begin, in thousandths. It is absent at 0.
+	// HeaderHeldBack is the share of requests that the root was refusing when it
+	// admitted this one, in thousandths. It is absent at 0.
 	HeaderHeldBack = "Pollengauge-Held-Back"
-	// HeaderRepeat marks a call whose work some upstream may have had before. It is
-	// absent on others.
+	// HeaderRepeat marks a call whose work an upstream may already have done. It is
+	// absent from other calls.
 	HeaderRepeat = "Pollengauge-Repeat"
-	// HeaderEnds is how many upstreams in turn are known to have ended while they ran
-	// the call: on the way down before this attempt, in an answer with it. It is
-	// absent at 0.
+	// HeaderEnds is the number of upstreams in succession that are known to have
+	// crashed while they ran the call: before this attempt in a request, including this
+	// attempt in a response. It is absent at 0.
 	HeaderEnds = "Pollengauge-Upstream-Ends"
-	// HeaderVisit names, between an upstream and its own node, the call that
-	// the upstream is serving.
+	// HeaderVisit identifies, between an upstream and its own node, the call that the
+	// upstream is serving.
 	HeaderVisit = "Pollengauge-Visit"
-	// HeaderHome marks a call that was forwarded to the home of its key.
+	// HeaderHome marks a call that was forwarded to the owner of its idempotency key.
 	HeaderHome = "Pollengauge-Home"
-	// HeaderHost, between nodes, is the Host that the caller named, where it
-	// is not the service.
+	// HeaderHost, between nodes, is the Host that the caller used, if it differs from
+	// the service.
 	HeaderHost = "Pollengauge-Host"
-	// HeaderOrigin, between nodes, is the service on the VM where the request
-	// entered the system.
+	// HeaderOrigin, between nodes, is the service of the VM where the request entered
+	// the system.
 	HeaderOrigin = "Pollengauge-Origin"
-	// HeaderCustomer is the name of the customer whose request it is, between nodes
-	// escaped as a part of a path. It is absent where there is none.
+	// HeaderCustomer is the name of the request's customer. Between nodes it is escaped
+	// like a path segment. It is absent if there is no customer.
 	HeaderCustomer = "Pollengauge-Customer"
-	// HeaderAPIKey is where callers send the key of their customer.
+	// HeaderAPIKey is the header in which callers send their customer's API key.
 	HeaderAPIKey = "X-Api-Key"
-	// HeaderIdempotencyKey is the published name of a caller's key.
+	// HeaderIdempotencyKey is the header in which callers send an idempotency key; its
+	// name is part of the public API.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderTraceParent is W3C trace context.
+	// HeaderTraceParent is the header of the W3C trace context.
 	HeaderTraceParent = "Traceparent"
 )
 
-// Headers that travel back with an answer.
+// Headers of a response.
 const (
 	// HeaderOutcome is complete, not-run or unknown.
 	HeaderOutcome = "Pollengauge-Outcome"
-	// HeaderReason is a Reason; absent on complete answers.
+	// HeaderReason is a Reason; it is absent if the reason is ReasonNone.
 	HeaderReason = "Pollengauge-Reason"
 	// HeaderHop is the service whose node gave the reason.
 	HeaderHop = "Pollengauge-Hop"
-	// HeaderWorst is the highest admission level at or below the answering hop.
+	// HeaderWorst is the highest admission level at the responding hop and the hops
+	// downstream of it.
 	HeaderWorst = "Pollengauge-Worst-Level"
-	// HeaderCreditLeft is the unused part of the credit handed down.
+	// HeaderCreditLeft is the unused part of the credit that came with the call.
 	HeaderCreditLeft = "Pollengauge-Credit-Left"
-	// HeaderLoad is the answering node's load in thousandths of its limit.
+	// HeaderLoad is the responding node's load, in thousandths of its limit.
 	HeaderLoad = "Pollengauge-Load"
-	// HeaderEndsStamp orders what is told of HeaderEnds by different hops. It is absent
-	// at 0.
+	// HeaderEndsStamp orders the values of HeaderEnds that different hops report. It is
+	// absent at 0.
 	HeaderEndsStamp = "Pollengauge-Upstream-Ends-Stamp"
-	// HeaderRetryAfterMs is Retry-After in milliseconds, for clients that can
-	// use a finer figure than the published whole seconds.
+	// HeaderRetryAfterMs is Retry-After in milliseconds, for clients that can use a
+	// finer resolution than the standard header's whole seconds.
 	HeaderRetryAfterMs = "Pollengauge-Retry-After-Ms"
-	// HeaderPressure is the share of the requests leading to the answering hop,
-	// or further down, that should not begin, in thousandths.
+	// HeaderPressure is the downstream pressure: the share, in thousandths, of the
+	// requests leading to the responding hop or further downstream that should not
+	// start.
 	HeaderPressure = "Pollengauge-Pressure"
-	// HeaderWork is how long the request held slots of the upstream that its
-	// pressure comes from, in whole milliseconds. It is absent at 0.
+	// HeaderWork is how long the request occupied slots of the upstream that causes the
+	// reported pressure, in whole milliseconds. It is absent at 0.
 	HeaderWork = "Pollengauge-Work"
-	// HeaderStale is the age in seconds of a stored answer given in place of
-	// a fresh one (brownout).
+	// HeaderStale is the age in seconds of a stored response that was returned in place
+	// of a fresh one (brownout).
 	HeaderStale = "Pollengauge-Stale"
 )
 
-// NodeHeaders are the headers that only nodes may set: what they tell each
-// other, and their upstreams in the project's own interface.
+// NodeHeaders are the headers that only nodes may set: those that they exchange with
+// each other, and with their upstreams in the project's own interface.
 var NodeHeaders = []string{
 	HeaderRequest, HeaderProfile, HeaderLevel, HeaderTimeout, HeaderCredit, HeaderDepth, HeaderProgress, HeaderHeldBack, HeaderRepeat, HeaderEnds,
 	HeaderVisit, HeaderHome, HeaderHost, HeaderOrigin, HeaderCustomer,
 	HeaderOutcome, HeaderReason, HeaderHop, HeaderWorst, HeaderCreditLeft, HeaderLoad, HeaderRetryAfterMs, HeaderPressure, HeaderWork, HeaderEndsStamp, HeaderStale,
 }
 
-// PropagatedHeaders are what an upstream copies onto its own calls.
+// PropagatedHeaders are the headers that an upstream copies to its own calls.
 var PropagatedHeaders = []string{HeaderRequest, HeaderVisit, HeaderTraceParent}
 
-// Bounds on what headers may hold. Anything over them is refused.
+// Bounds of header values. A value above its bound is refused.
 const (
 	// MaxKeyLength is the longest idempotency key, in bytes.
 	MaxKeyLength = 200
-	// MaxTimeout is the longest time that a call may have left.
+	// MaxTimeout is the longest time that a call may have left until its deadline.
 	MaxTimeout = 10 * time.Minute
-	// MaxCredit is the most extra attempts that a call may be handed.
+	// MaxCredit is the highest credit that a call may have.
 	MaxCredit = 64
-	// MaxDepth is the most hops below the root. It ends loops of services
-	// that call each other.
+	// MaxDepth is the highest number of hops downstream of the root. It stops loops of
+	// services that call each other.
 	MaxDepth = 64
-	// MaxProgress is where the count of calls that have run stops.
+	// MaxProgress is the highest count of calls that have run; the count stops there.
 	MaxProgress = 64
 
 	// MaxOriginLength is the longest Context.Origin, in bytes.
@@ -126,65 +130,65 @@
 	maxHostLength = 253 + 6
 	// maxDigits keeps every number read from a header far from overflow.
 	maxDigits = 7
-	// maxLoad is the highest load in a Report, a hundred times the limit.
+	// maxLoad is the highest Report.Load, a hundred times the limit.
 	maxLoad = 100_000
-	// maxPressure is the whole, in thousandths.
+	// maxPressure is a share of 1, in thousandths.
 	maxPressure = 1000
-	// maxEnds is where the count of upstreams that have ended stops.
+	// maxEnds is the highest count of crashed upstreams; the count stops there.
 	maxEnds = 100
-	// maxEndsStamp is where the stamps of a Report stop.
+	// maxEndsStamp is the highest Report.EndsStamp.
 	maxEndsStamp = 1_000_000
-	// maxWork is the most work of a Report, in milliseconds.
+	// maxWork is the highest Report.Work, in milliseconds.
 	maxWork = 1_000_000
 )
 
-// Context is what one call carries down the chain.
+// Context is the information that a call carries downstream.
 type Context struct {
-	// RequestID is the root request's id, the same at every hop.
+	// RequestID is the id of the root request, the same at every hop.
 	RequestID string
 	// Profile is the name of the root's profile.
 	Profile string
 	// Level is the call's place in the shed order, set by the root.
 	Level Level
-	// Timeout is what was left of the deadline when the call was sent. On the
-	// wire it has whole milliseconds.
+	// Timeout is the time that was left until the deadline when the call was sent. On
+	// the wire it is in whole milliseconds.
 	Timeout time.Duration
-	// Credit is the number of extra attempts handed down with this call.
+	// Credit is the number of extra attempts that this call may use.
 	Credit int
-	// Depth is the number of hops below the root, which has 0.
+	// Depth is the number of hops between the root and the call; it is 0 for the root.
 	Depth int
-	// Progress is how many calls had run for the request when this call was
-	// made, as far as its way down knows: those of the visits that it comes
-	// from. It never falls on the way down and stops at MaxProgress.
+	// Progress is the number of calls that had run for the request when this call was
+	// made. It counts only those of the visits that led to this call, never decreases
+	// on the way downstream, and stops at MaxProgress.
 	Progress int
-	// HeldBack is the share of the requests like this one that the root refused for
-	// an overload below when it let this one begin, in thousandths: of so many more
-	// requests would there have been calls.
+	// HeldBack is the share, in thousandths, of requests like this one that the root
+	// was refusing because of an overload downstream when it admitted this one. A hop
+	// uses it to estimate the demand that it would have without those refusals.
 	HeldBack int
-	// Repeat tells that an upstream may have had this call before, or that the
-	// call is made by a run of which that is so. The load is then a retry's, at
-	// whatever depth.
+	// Repeat reports whether an upstream may already have received this call, or the
+	// call is made by a run for which that is so. Its load is then that of a retry, at
+	// every depth.
 	Repeat bool
-	// Ends is how many upstreams in turn are known to have ended while they ran the
-	// call.
+	// Ends is the number of upstreams in succession that are known to have crashed
+	// while they ran the call.
 	Ends int
-	// Host is the Host that the caller named, "" where it is the service.
+	// Host is the Host that the caller used, "" if it is the service.
 	Host string
-	// Origin is the service on the VM where the request entered the system,
-	// "" where nobody has to be told.
+	// Origin is the service of the VM where the request entered the system, "" if no
+	// hop needs it.
 	Origin string
-	// Customer is the name of the customer whose request it is, "" for a call and
-	// where there is none.
+	// Customer is the name of the request's customer, "" for an upstream's call and if
+	// there is no customer.
 	Customer string
 }
 
-// Inject writes c to h, replacing what was there.
+// Inject writes c to h, replacing existing values.
 func (c Context) Inject(h http.Header) {
 	h.Set(HeaderRequest, c.RequestID)
 	h.Set(HeaderProfile, c.Profile)
 	h.Set(HeaderLevel, strconv.Itoa(int(c.Level)))
-	// A deadline may pass before this line. Below 0, the header would be a broken
-	// one at the next hop, and the call a bad request.
+	// The deadline may have passed by now. The next hop would refuse a negative value
+	// as a malformed header, and the caller would receive a bad-request error.
 	left := min(max(c.Timeout, 0), MaxTimeout)
 	h.Set(HeaderTimeout, strconv.FormatInt(left.Milliseconds(), 10))
 	h.Set(HeaderCredit, strconv.Itoa(c.Credit))
@@ -198,7 +202,7 @@
 	setOptionalNumber(h, HeaderEnds, min(c.Ends, maxEnds))
 }
 
-// flag is a truth as a number.
+// flag converts a boolean to 0 or 1.
 func flag(set bool) int {
 	if set {
 		return 1
@@ -206,7 +210,7 @@
 	return 0
 }
 
-// setOptionalNumber sets a header that is absent at 0.
+// setOptionalNumber sets a header that is absent if its value is 0.
 func setOptionalNumber(h http.Header, name string, value int) {
 	if value == 0 {
 		h.Del(name)
@@ -215,7 +219,7 @@
 	h.Set(name, strconv.Itoa(value))
 }
 
-// setOptional sets a header that is absent when its value is empty.
+// setOptional sets a header that is absent if its value is empty.
 func setOptional(h http.Header, name, value string) {
 	if value == "" {
 		h.Del(name)
@@ -224,8 +228,8 @@
 	h.Set(name, value)
 }
 
-// Extract reads a Context that another node wrote. A missing, malformed or
-// out-of-range header is a *HeaderError.
+// Extract reads the Context that another node wrote. For a missing, malformed or
+// out-of-range header the error is a *HeaderError.
 func Extract(h http.Header) (Context, error) {
 	var c Context
 	var err error
@@ -277,35 +281,36 @@
 	return c, nil
 }
 
-// Report is what an answer tells the hop above.
+// Report is the information that a response carries back to the calling hop.
 type Report struct {
 	Outcome Outcome
-	// Reason is ReasonNone on a complete answer.
+	// Reason is ReasonNone on a complete response that is not an error.
 	Reason Reason
 	// Hop is the service whose node gave the reason.
 	Hop string
-	// Worst is the highest admission level at or below the answering hop.
+	// Worst is the highest admission level at the responding hop and the hops
+	// downstream of it.
 	Worst Level
-	// CreditLeft is the unused part of the credit handed down.
+	// CreditLeft is the unused part of the credit that came with the call.
 	CreditLeft int
-	// Load is in thousandths of the answering node's limit; Inject writes at
-	// most a hundred times the limit.
+	// Load is in thousandths of the responding node's limit. Inject writes at most a
+	// hundred times the limit.
 	Load int
-	// Pressure is the share of the requests leading here that should not begin,
-	// in thousandths.
+	// Pressure is the share, in thousandths, of the requests leading to this hop or
+	// further downstream that should not start.
 	Pressure int
-	// Work is how long the request held slots of the upstream that Pressure comes
-	// from, in milliseconds. Inject writes at most a thousand seconds.
+	// Work is how long the request occupied slots of the upstream that causes Pressure,
+	// in milliseconds. Inject writes at most a thousand seconds.
 	Work int
-	// Ends is how many upstreams in turn have ended while they ran the call, the
-	// answering hop's included. Inject writes at most 100.
+	// Ends is the number of upstreams in succession that have crashed while they ran
+	// the call, including the responding hop's. Inject writes at most 100.
 	Ends int
-	// EndsStamp orders what different hops tell of Ends: a later word has a higher
-	// one. It stops at a million.
+	// EndsStamp orders the values of Ends that different hops report: a newer value has
+	// a higher stamp. It stops at a million.
 	EndsStamp uint64
 }
 
-// Inject writes r to the headers of an answer.
+// Inject writes r to the headers of a response.
 func (r Report) Inject(h http.Header) {
 	h.Set(HeaderOutcome, r.Outcome.String())
 	if r.Reason != ReasonNone {
@@ -329,8 +334,9 @@
 	}
 }
 
-// ExtractReport reads the report of a peer's answer. On an error the report
-// must be taken as Unknown: an answer without a readable outcome proves nothing.
+// ExtractReport reads the Report of a peer's response. If it returns an error, the
+// caller must take the outcome as Unknown: a response without a readable outcome proves
+// nothing.
 func ExtractReport(h http.Header) (Report, error) {
 	var r Report
 	outcome, err := ParseOutcome(h.Get(HeaderOutcome))
@@ -381,7 +387,7 @@
 	return value, nil
 }
 
-// optionalToken is token for a header that may be absent.
+// optionalToken is like token, but returns "" for an absent header.
 func optionalToken(h http.Header, name string, limit int) (string, error) {
 	if len(h[name]) == 0 {
 		return "", nil
@@ -389,8 +395,8 @@
 	return token(h, name, limit)
 }
 
-// optionalText reads a header that may be absent and whose value is escaped as a part
-// of a path: names that others choose may hold what no header can.
+// optionalText reads a header that may be absent and whose value is escaped like a path
+// segment. Names that others choose may contain characters that a header can't.
 func optionalText(h http.Header, name string, limit int) (string, error) {
 	const escaped = 3
 	value, err := optionalToken(h, name, limit*escaped)
@@ -417,7 +423,7 @@
 	return true
 }
 
-// number reads a decimal header between 0 and limit, without sign.
+// number reads an unsigned decimal header value from 0 to limit.
 func number(h http.Header, name string, limit int) (int, error) {
 	value := h.Get(name)
 	n, ok := parseDigits(value)
@@ -427,7 +433,7 @@
 	return n, nil
 }
 
-// optionalNumber is number for a header that is absent at 0.
+// optionalNumber is like number, but returns 0 for an absent header.
 func optionalNumber(h http.Header, name string, limit int) (int, error) {
 	if len(h.Values(name)) == 0 {
 		return 0, nil
@@ -435,8 +441,8 @@
 	return number(h, name, limit)
 }
 
-// parseDigits reads 1 to maxDigits decimal digits and nothing else. The
-// strconv functions also take a sign, which two peers could read differently.
+// parseDigits parses 1 to maxDigits decimal digits and nothing else. The strconv
+// functions also accept a sign, which two peers might read differently.
 func parseDigits(s string) (n int, ok bool) {
 	if s == "" || len(s) > maxDigits {
 		return 0, false
--- a/call/deadline_test.go
+++ b/call/deadline_test.go
@@ -8,10 +8,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A process stands still between the look at the clock and the writing of the
-// header, and the deadline passes. The next hop read a time below 0 as a broken
-// header, and the caller was told that its request is a bad one. It has to read
-// that nothing is left.
+// Guards against a negative timeout header when a process is paused between computing
+// the time left and writing the header, and the deadline passes meanwhile. The next hop
+// refused the negative value as malformed, and the caller received a bad-request error.
+// The next hop must read that no time is left.
 func TestPassedDeadlinesAreReadAsNothingLeft(t *testing.T) {
 	c := qt.New(t)
 	for sent, want := range map[time.Duration]time.Duration{
--- a/call/doc.go
+++ b/call/doc.go
@@ -1,8 +1,8 @@
-// Package call holds the vocabulary that every other part of pollengauge
-// shares: what travels with a request from hop to hop (Context), what comes
-// back with an answer (Report), and the outcome that a caller may rely on.
+// Package call defines the types that all other packages of pollengauge share: the
+// information that travels downstream with a call (Context), the information that comes
+// back with a response (Report), and the Outcome on which a caller may rely.
 //
-// The package does no I/O and keeps no state. Decoding treats every header as
-// hostile input: a value that is malformed or out of range gives a typed
-// *HeaderError, never a silent default.
+// The package does no I/O and has no state. Decoding treats every header as hostile
+// input: for a malformed or out-of-range value it returns a typed *HeaderError, never a
+// silent default.
 package call
--- a/call/errors.go
+++ b/call/errors.go
@@ -2,19 +2,19 @@
 
 import "strconv"
 
-// maxShownValue is the most of a value that an error shows, in bytes.
+// maxShownValue is the number of bytes of a value that an error shows.
 const maxShownValue = 40
 
-// HeaderError tells which header could not be used, and why.
+// HeaderError reports a header with an invalid value.
 type HeaderError struct {
 	Header string
 	Value  string
-	// Want says what the value should have been.
+	// Want describes the valid values.
 	Want string
 }
 
-// Error implements error. Long values are shortened, so that hostile input
-// can't fill a log.
+// Error implements error. Long values are truncated, so that hostile input can't flood
+// a log.
 func (e *HeaderError) Error() string {
 	value := e.Value
 	if len(value) > maxShownValue {
--- a/call/example_test.go
+++ b/call/example_test.go
@@ -8,7 +8,7 @@
 	"pollengauge.dev/call"
 )
 
-// A node hands a call down and judges the answer that comes back.
+// A node sends a call downstream and evaluates the response.
 func Example() {
 	down := http.Header{}
 	call.Context{
--- a/call/id.go
+++ b/call/id.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// KeptIDLength is the longest form of an id in records and logs, and the
-	// longest id that a caller can give its request here, in bytes.
+	// KeptIDLength is the maximum length in bytes of an id in records and logs, and of
+	// an id that a caller may assign to its request.
 	KeptIDLength = 96
-	// maxCallPart is the most that an upstream adds to the id of the request that
-	// it serves to make that of a call: a separator and an id of its own, in
-	// bytes. The longest customary one is a UUID.
+	// maxCallPart is the maximum number of bytes that an upstream appends to its
+	// request's id to make the id of a call: a separator and an id of its own. The
+	// longest customary one is a UUID.
 	maxCallPart = 1 + 36
-	// MaxIDLength is the longest id that is read, in bytes: that of a call at the
-	// greatest depth.
+	// MaxIDLength is the maximum length in bytes of an id that is accepted: that of a
+	// call at the greatest depth.
 	MaxIDLength = KeptIDLength + MaxDepth*maxCallPart
 )
 
-// ReadID reads an id from a header. The hop at which a request enters and those
-// that it is passed on to read it here, so that none refuses what another took.
+// ReadID reads an id from a header. Both the hop where a request enters and the hops
+// that it is forwarded to use this function, so that none refuses an id that another
+// has accepted.
 func ReadID(h http.Header, name string) (string, error) { return token(h, name, MaxIDLength) }
 
-// KeptID returns the form of an id in records and logs: a longer one than
-// KeptIDLength is its begin and a hash of it all.
+// KeptID returns the form of an id in records and logs. An id longer than KeptIDLength
+// is shortened to its beginning and a hash of the complete id.
 func KeptID(id string) string {
 	if len(id) <= KeptIDLength {
 		return id
--- a/call/id_test.go
+++ b/call/id_test.go
@@ -8,10 +8,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Upstreams build the id of a call from that of its request, so ids grow with
-// the depth. From the fifth call below one another on, nodes refused them as bad
-// requests, and the requests above failed with them. An id has to be read at
-// every depth that there is, by both hops, and not without a bound.
+// Guards against refusing the ids of deeply nested calls. Upstreams build the id of a
+// call from that of its request, so ids grow with the depth. Nodes once refused the ids
+// from the fifth nested call on as bad requests, and the requests upstream of them
+// failed too. Ids must be accepted at every permitted depth and by both kinds of hop,
+// but must have a bound.
 func TestIdsOfTheDeepestCallsAreRead(t *testing.T) {
 	c := qt.New(t)
 	for _, part := range []string{strings.Repeat("a", 16), strings.Repeat("u", 36)} {
@@ -33,8 +34,9 @@
 	}
 }
 
-// Records are kept by the thousand and lines are written for each request. What
-// is kept of an id is short, the same at every hop, and another for another id.
+// Guards against long ids in records, which are stored by the thousand, and in log
+// lines, which are written for each request. The form of an id that they contain must
+// be short, the same at every hop, and different for different ids.
 func TestKeptIdsAreShortAndDistinct(t *testing.T) {
 	c := qt.New(t)
 	root := strings.Repeat("r", KeptIDLength)
--- a/call/service.go
+++ b/call/service.go
@@ -9,10 +9,11 @@
 // MaxServiceToken is the longest ServiceToken, in bytes.
 const MaxServiceToken = 63
 
-// ServiceToken returns the form of a service's name that goes between nodes, as the
-// Host of a call and in the membership: 1 to 63 letters, digits and -._~. A name that
-// is of this form is its own token. Any other is its usable letters and a hash of it
-// all, so that equal names have equal tokens at every node. "" stays "".
+// ServiceToken returns the form of a service name that is sent between nodes, as the
+// Host of a call and in the membership: 1 to 63 letters, digits and -._~. A name of
+// this form is its own token. The token of any other name is made of the name's
+// permitted characters and a hash of the complete name, so that equal names have equal
+// tokens at every node. The token of "" is "".
 func ServiceToken(name string) string {
 	if name == "" || isServiceToken(name) {
 		return name
--- a/call/service_test.go
+++ b/call/service_test.go
@@ -7,8 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Names that are tokens go between nodes unchanged; any other gets one of its own
-// that can be a Host, so that no two services are taken for one.
+// Guards against taking two services for the same one. Names that are tokens are sent
+// between nodes unchanged; any other name has a token of its own that can be used as a
+// Host.
 func TestServiceTokens(t *testing.T) {
 	c := qt.New(t)
 	for _, name := range []string{"", "desk", "Front.End~1", strings.Repeat("s", MaxServiceToken)} {
