--- a/quota/homes.go
+++ b/quota/homes.go
@@ -22,20 +22,20 @@
 
 // Of returns the owner of a customer and its deputy, the member with the second highest
 // hash. Each is "" if there is no such member.
-func (h *Homes) Of(customer string) (home, deputy string) {
-	of := hashOf(customer)
+func (h *Homes) Of(customer string) (owner, deputy string) {
+	customerHash := hashOf(customer)
 	var first, second uint64
 	for i, member := range h.hashes {
-		draw := mix(of, member)
+		rank := mix(customerHash, member)
 		switch {
-		case home == "" || draw > first:
-			deputy, second = home, first
-			home, first = h.ids[i], draw
-		case deputy == "" || draw > second:
-			deputy, second = h.ids[i], draw
+		case owner == "" || rank > first:
+			deputy, second = owner, first
+			owner, first = h.ids[i], rank
+		case deputy == "" || rank > second:
+			deputy, second = h.ids[i], rank
 		}
 	}
-	return home, deputy
+	return owner, deputy
 }
 
 func hashOf(s string) uint64 {
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -9,11 +9,11 @@
 
 const (
 	ledgerShards = 16
-	// usualSpan is the time constant of the decaying averages of demand.
-	usualSpan = time.Second
-	// bucketLife is how long a bucket without requests is retained. A customer that
+	// demandTimeConstant is the time constant of the decaying averages of demand.
+	demandTimeConstant = time.Second
+	// bucketTTL is how long a bucket without requests is retained. A customer that
 	// returns later gets a new bucket.
-	bucketLife = time.Minute
+	bucketTTL = time.Minute
 	// minRetryAfter and maxRetryAfter bound Grant.RetryAfter.
 	maxRetryAfter = 2 * time.Second
 	minRetryAfter = 20 * time.Millisecond
@@ -56,10 +56,10 @@
 // Ledger has the token buckets of the customers that this member owns. It is safe for
 // concurrent use.
 type Ledger struct {
-	window time.Duration
-	start  func(Limit) float64
-	seed   maphash.Seed
-	shards [ledgerShards]ledgerShard
+	window        time.Duration
+	initialTokens func(Limit) float64
+	seed          maphash.Seed
+	shards        [ledgerShards]ledgerShard
 }
 
 type ledgerShard struct {
@@ -77,20 +77,20 @@
 type bucket struct {
 	limit   Limit
 	version uint64
-	// since is when this member became the owner of the customer.
-	since time.Time
-	level float64
-	at    time.Time
-	lent  windowCount
-	// asked and refused count tokens requested and refused, as decaying averages over
-	// usualSpan.
-	asked, refused float64
+	// ownedSince is when this member became the owner of the customer.
+	ownedSince time.Time
+	tokens     float64
+	updatedAt  time.Time
+	leased     windowCount
+	// requested and refused count tokens requested and refused, as decaying averages
+	// over demandTimeConstant.
+	requested, refused float64
 }
 
 // NewLedger returns an empty Ledger for windows of the given length. start returns the
 // number of tokens in a new bucket.
 func NewLedger(window time.Duration, start func(Limit) float64) *Ledger {
-	l := &Ledger{window: max(window, minWindow), start: start, seed: maphash.MakeSeed()}
+	l := &Ledger{window: max(window, minWindow), initialTokens: start, seed: maphash.MakeSeed()}
 	for i := range l.shards {
 		l.shards[i].buckets = make(map[string]*bucket)
 	}
@@ -109,54 +109,54 @@
 		if !a.Since.IsZero() && a.Since.Before(now) {
 			since = a.Since
 		}
-		b = &bucket{limit: a.Limit, version: a.Version, since: since, at: since, level: l.start(a.Limit)}
+		b = &bucket{limit: a.Limit, version: a.Version, ownedSince: since, updatedAt: since, tokens: l.initialTokens(a.Limit)}
 		s.buckets[a.Customer] = b
 	}
 	if a.Version > b.version {
 		b.limit, b.version = a.Limit, a.Version
 	}
-	b.pass(now, a.Share, l.window)
-	return b.lend(a, l.window, now)
+	b.advance(now, a.Share, l.window)
+	return b.lease(a, l.window, now)
 }
 
-// pass updates the bucket to the current time.
+// advance updates the bucket to the current time.
 //
-// A customer may send its burst and then move to another owner, which knows nothing of
-// the burst and would grant the burst's share of a window once more. Therefore an owner
-// fills the bucket at the rate alone in its first window.
-func (b *bucket) pass(now time.Time, share float64, window time.Duration) {
-	elapsed := max(now.Sub(b.at), 0)
-	early := min(max(b.since.Add(window).Sub(b.at), 0), elapsed)
-	filled := b.limit.Rate*early.Seconds() + b.limit.in(window)/window.Seconds()*(elapsed-early).Seconds()
-	b.at = now
-	b.level = min(b.level+filled*share, max(b.limit.Burst*share, 1))
-	left := math.Exp(-float64(elapsed) / float64(usualSpan))
-	b.asked *= left
-	b.refused *= left
+// A customer may send its burst and then move to another owner. The new owner knows
+// nothing of the burst and would permit it once more in its first window. Therefore an
+// owner fills the bucket at the rate alone in its first window.
+func (b *bucket) advance(now time.Time, share float64, window time.Duration) {
+	elapsed := max(now.Sub(b.updatedAt), 0)
+	early := min(max(b.ownedSince.Add(window).Sub(b.updatedAt), 0), elapsed)
+	filled := b.limit.Rate*early.Seconds() + b.limit.perWindow(window)/window.Seconds()*(elapsed-early).Seconds()
+	b.updatedAt = now
+	b.tokens = min(b.tokens+filled*share, max(b.limit.Burst*share, 1))
+	decay := math.Exp(-float64(elapsed) / float64(demandTimeConstant))
+	b.requested *= decay
+	b.refused *= decay
 }
 
-// spareShare is the fraction of a window's limit up to which tokens are leased in
+// prefetchShare is the fraction of a window's limit up to which tokens are leased in
 // advance, for requests that are not waiting yet. Beyond it, tokens leased in advance
 // and used in the next window could make that window exceed its limit.
-const spareShare = 0.8
+const prefetchShare = 0.8
 
-func (b *bucket) lend(a Ask, window time.Duration, now time.Time) Grant {
+func (b *bucket) lease(a Ask, window time.Duration, now time.Time) Grant {
 	want := max(a.Want, 1)
-	most := max(b.limit.in(window)*a.Share, 1)
-	lent := b.lent.sum(now, window)
-	if lent >= spareShare*most {
+	maxTokens := max(b.limit.perWindow(window)*a.Share, 1)
+	leased := b.leased.sum(now, window)
+	if leased >= prefetchShare*maxTokens {
 		want = min(want, max(a.Need, 0))
 	}
-	b.asked += float64(want)
-	g := Grant{Use: min(b.asked/(b.limit.in(window)/window.Seconds()*usualSpan.Seconds()), 1)}
+	b.requested += float64(want)
+	g := Grant{Use: min(b.requested/(b.limit.perWindow(window)/window.Seconds()*demandTimeConstant.Seconds()), 1)}
 	if want == 0 {
 		g.Spare = true
 		return g
 	}
-	g.Tokens = min(want, int(b.level+rounding), int(most-lent+rounding))
+	g.Tokens = min(want, int(b.tokens+roundingTolerance), int(maxTokens-leased+roundingTolerance))
 	if g.Tokens > 0 {
-		b.level -= float64(g.Tokens)
-		b.lent.add(g.Tokens, now, window)
+		b.tokens -= float64(g.Tokens)
+		b.leased.add(g.Tokens, now, window)
 		return g
 	}
 	g.Tokens = 0
@@ -168,26 +168,26 @@
 	return g
 }
 
-// rounding compensates for the rounding errors of sums of fractions that have no exact
-// binary representation.
-const rounding = 1e-9
+// roundingTolerance compensates for the rounding errors of sums of fractions that have
+// no exact binary representation.
+const roundingTolerance = 1e-9
 
 // retryAfter spreads the retries of refused callers over the time in which the bucket
 // will have tokens for all of them.
 func (b *bucket) retryAfter(a Ask, window time.Duration) time.Duration {
-	rate := b.limit.in(window) / window.Seconds() * a.Share
-	wait := (max(1-b.level, 0) + a.Draw*b.refused) / rate
+	rate := b.limit.perWindow(window) / window.Seconds() * a.Share
+	wait := (max(1-b.tokens, 0) + a.Draw*b.refused) / rate
 	return time.Duration(min(max(wait, minRetryAfter.Seconds()), maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
 // sweep deletes buckets without recent requests. The caller holds the lock.
 func (s *ledgerShard) sweep(now time.Time) {
-	if now.Sub(s.swept) < bucketLife {
+	if now.Sub(s.swept) < bucketTTL {
 		return
 	}
 	s.swept = now
 	for name, b := range s.buckets {
-		if now.Sub(b.at) >= bucketLife {
+		if now.Sub(b.updatedAt) >= bucketTTL {
 			delete(s.buckets, name)
 		}
 	}
@@ -198,12 +198,12 @@
 // In a network partition a customer may move to another owner and back. Without the
 // deletion, the first owner's bucket would have refilled meanwhile, and the customer
 // would have its burst a second time.
-func (l *Ledger) Keep(home func(customer string) bool) {
+func (l *Ledger) Keep(isOwner func(customer string) bool) {
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
 		for name := range s.buckets {
-			if !home(name) {
+			if !isOwner(name) {
 				delete(s.buckets, name)
 			}
 		}
@@ -227,7 +227,7 @@
 		s := &l.shards[i]
 		s.mu.Lock()
 		for name, b := range s.buckets {
-			out = append(out, Account{Customer: name, Limit: b.limit, Tokens: b.level, Asked: b.asked, Refused: b.refused})
+			out = append(out, Account{Customer: name, Limit: b.limit, Tokens: b.tokens, Asked: b.requested, Refused: b.refused})
 		}
 		s.mu.Unlock()
 	}
--- a/quota/limit.go
+++ b/quota/limit.go
@@ -11,12 +11,12 @@
 	Burst float64
 }
 
-// depth returns the bucket's capacity in tokens. A capacity below one would never let a
+// capacity returns the bucket's size in tokens. A size below one would never let a
 // request through.
-func (l Limit) depth() float64 { return max(l.Burst, 1) }
+func (l Limit) capacity() float64 { return max(l.Burst, 1) }
 
-// in returns the number of requests that may be forwarded in a window.
-func (l Limit) in(window time.Duration) float64 { return l.Rate*window.Seconds() + l.Burst }
+// perWindow returns the number of requests that may be forwarded in a window.
+func (l Limit) perWindow(window time.Duration) float64 { return l.Rate*window.Seconds() + l.Burst }
 
 // Tolerance is how far the total over all nodes may exceed a limit in any window. It
 // exists so that nodes need not contact the owner for each request.
@@ -35,20 +35,20 @@
 // Fractions of a Tolerance. They add up to less than 1; the rest covers customers whose
 // owner changes.
 const (
-	lifeShare   = 0.4
+	ttlShare    = 0.4
 	deputyShare = 0.3
 	startShare  = 0.2
-	// minLife and maxLife bound the time to live of a token. maxLife applies where the
+	// minTTL and maxTTL bound the time to live of a token. maxTTL applies where the
 	// tolerance would allow a longer one, because demand moves between nodes.
-	maxLife = time.Second
-	minLife = 10 * time.Millisecond
+	maxTTL = time.Second
+	minTTL = 10 * time.Millisecond
 )
 
 // Life returns the time to live of a leased token. It is chosen so that the tokens
-// leased in one window and used in the next stay below lifeShare of the excess that
-// Over permits.
+// leased in one window and used in the next stay below ttlShare of the excess that Over
+// permits.
 func (t Tolerance) Life() time.Duration {
-	return min(max(time.Duration(lifeShare*t.Over*float64(t.Window)), minLife), maxLife)
+	return min(max(time.Duration(ttlShare*t.Over*float64(t.Window)), minTTL), maxTTL)
 }
 
 // Deputy returns the limit within which a deputy leases tokens.
@@ -57,11 +57,11 @@
 	if seconds <= 0 {
 		return Limit{}
 	}
-	return Limit{Rate: deputyShare * (t.Over*l.in(t.Window) + t.Slack) / seconds, Burst: 0}
+	return Limit{Rate: deputyShare * (t.Over*l.perWindow(t.Window) + t.Slack) / seconds, Burst: 0}
 }
 
 // Start returns the number of tokens in a new bucket.
-func (t Tolerance) Start(l Limit) float64 { return min(startShare*t.Slack, l.depth()) }
+func (t Tolerance) Start(l Limit) float64 { return min(startShare*t.Slack, l.capacity()) }
 
 // Most returns the maximum number of a customer's requests in a window.
-func (t Tolerance) Most(l Limit) float64 { return l.in(t.Window)*(1+t.Over) + t.Slack }
+func (t Tolerance) Most(l Limit) float64 { return l.perWindow(t.Window)*(1+t.Over) + t.Slack }
--- a/quota/purse.go
+++ b/quota/purse.go
@@ -9,58 +9,58 @@
 )
 
 const (
-	purseShards = 16
+	cacheShards = 16
 	// wantShare is the fraction of the demand expected within a token's time to live
 	// that is requested at once. Unused tokens are lost to the other nodes.
 	wantShare = 0.75
 	// maxWant bounds the tokens of one Ask.
 	maxWant = 1000
-	// purseLife is how long the account of a customer that sends no requests is
+	// accountTTL is how long the account of a customer that sends no requests is
 	// retained.
-	purseLife = 10 * time.Second
-	// dryMost bounds how long a node refuses requests without contacting the owner
+	accountTTL = 10 * time.Second
+	// maxBackoff bounds how long a node refuses requests without contacting the owner
 	// again, after the owner had no tokens.
-	dryMost = 100 * time.Millisecond
+	maxBackoff = 100 * time.Millisecond
 )
 
 // Purse caches the tokens that were leased to a node. It is safe for concurrent use.
 type Purse struct {
-	life   time.Duration
+	ttl    time.Duration
 	seed   maphash.Seed
-	shards [purseShards]purseShard
+	shards [cacheShards]cacheShard
 }
 
-type purseShard struct {
+type cacheShard struct {
 	mu       sync.Mutex
-	accounts map[string]*purseAccount
+	accounts map[string]*cacheAccount
 	swept    time.Time
 	_        [32]byte // avoids false sharing between the locks of neighbouring shards
 }
 
-// purseAccount is the state of one customer at a node.
-type purseAccount struct {
-	// lent has the leased tokens by expiry, the earliest first.
-	lent []lent
+// cacheAccount is the state of one customer at a node.
+type cacheAccount struct {
+	// leases has the leased tokens by expiry, the earliest first.
+	leases []lease
 	// demand is the number of requests per second, as a decaying average.
-	demand float64
-	at     time.Time
-	// dry is the time until which the owner is not contacted again. Until then, after
-	// is the Retry-After that callers receive.
-	dry   time.Time
-	after time.Duration
-	use   float64
+	demand    float64
+	updatedAt time.Time
+	// backoffUntil is the time until which the owner is not contacted again. Until
+	// then, retryAfter is the Retry-After that callers receive.
+	backoffUntil time.Time
+	retryAfter   time.Duration
+	use          float64
 }
 
-type lent struct {
-	tokens int
-	ends   time.Time
+type lease struct {
+	tokens  int
+	expires time.Time
 }
 
 // NewPurse returns an empty Purse for tokens with the given time to live.
-func NewPurse(life time.Duration) *Purse {
-	p := &Purse{life: life, seed: maphash.MakeSeed()}
+func NewPurse(ttl time.Duration) *Purse {
+	p := &Purse{ttl: ttl, seed: maphash.MakeSeed()}
 	for i := range p.shards {
-		p.shards[i].accounts = make(map[string]*purseAccount)
+		p.shards[i].accounts = make(map[string]*cacheAccount)
 	}
 	return p
 }
@@ -88,29 +88,29 @@
 // count the request a second time.
 func (p *Purse) Retake(customer string, now time.Time) Taken { return p.take(customer, 0, now) }
 
-func (p *Purse) take(customer string, came float64, now time.Time) Taken {
+func (p *Purse) take(customer string, arrivals float64, now time.Time) Taken {
 	s := p.shard(customer)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(customer, now)
-	a.pass(now)
-	a.demand += came
+	a.advance(now)
+	a.demand += arrivals
 	left := a.tokens(now)
 	taken := Taken{OK: left > 0, Use: a.use}
-	want := min(max(int(math.Ceil(a.demand*wantShare*p.life.Seconds())), 1), maxWant)
+	want := min(max(int(math.Ceil(a.demand*wantShare*p.ttl.Seconds())), 1), maxWant)
 	if taken.OK {
-		taken.Ends = a.lent[0].ends
-		a.lent[0].tokens--
+		taken.Ends = a.leases[0].expires
+		a.leases[0].tokens--
 		left--
 		// Requests the next tokens before the last one is used, if another request is
 		// expected within their time to live.
-		if a.demand*p.life.Seconds() >= 1 && left < (want+1)/2 && !now.Before(a.dry) {
+		if a.demand*p.ttl.Seconds() >= 1 && left < (want+1)/2 && !now.Before(a.backoffUntil) {
 			taken.Want = want
 		}
 		return taken
 	}
-	if now.Before(a.dry) {
-		taken.RetryAfter = a.after
+	if now.Before(a.backoffUntil) {
+		taken.RetryAfter = a.retryAfter
 		return taken
 	}
 	taken.Want = want
@@ -119,23 +119,23 @@
 
 // Return gives back the token of a request that did not run, unless the token has
 // expired.
-func (p *Purse) Return(customer string, ends, now time.Time) {
-	if !now.Before(ends) {
+func (p *Purse) Return(customer string, expires, now time.Time) {
+	if !now.Before(expires) {
 		return
 	}
 	s := p.shard(customer)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(customer, now)
-	place := 0
-	for place < len(a.lent) && a.lent[place].ends.Before(ends) {
-		place++
+	index := 0
+	for index < len(a.leases) && a.leases[index].expires.Before(expires) {
+		index++
 	}
-	if place < len(a.lent) && a.lent[place].ends.Equal(ends) {
-		a.lent[place].tokens++
+	if index < len(a.leases) && a.leases[index].expires.Equal(expires) {
+		a.leases[index].tokens++
 		return
 	}
-	a.lent = slices.Insert(a.lent, place, lent{tokens: 1, ends: ends})
+	a.leases = slices.Insert(a.leases, index, lease{tokens: 1, expires: expires})
 }
 
 // Put stores the owner's response to an Ask that was sent at the given time.
@@ -149,50 +149,50 @@
 		return
 	}
 	if g.Tokens == 0 {
-		a.dry, a.after = now.Add(min(g.RetryAfter, dryMost)), g.RetryAfter
+		a.backoffUntil, a.retryAfter = now.Add(min(g.RetryAfter, maxBackoff)), g.RetryAfter
 		return
 	}
-	ends := sent.Add(p.life)
-	place := len(a.lent)
-	for place > 0 && a.lent[place-1].ends.After(ends) {
-		place--
+	expires := sent.Add(p.ttl)
+	index := len(a.leases)
+	for index > 0 && a.leases[index-1].expires.After(expires) {
+		index--
 	}
-	a.lent = slices.Insert(a.lent, place, lent{tokens: g.Tokens, ends: ends})
+	a.leases = slices.Insert(a.leases, index, lease{tokens: g.Tokens, expires: expires})
 }
 
-func (p *Purse) shard(customer string) *purseShard {
-	return &p.shards[maphash.String(p.seed, customer)%purseShards]
+func (p *Purse) shard(customer string) *cacheShard {
+	return &p.shards[maphash.String(p.seed, customer)%cacheShards]
 }
 
-func (s *purseShard) account(customer string, now time.Time) *purseAccount {
-	if now.Sub(s.swept) >= purseLife {
+func (s *cacheShard) account(customer string, now time.Time) *cacheAccount {
+	if now.Sub(s.swept) >= accountTTL {
 		s.swept = now
 		for name, a := range s.accounts {
-			if now.Sub(a.at) >= purseLife {
+			if now.Sub(a.updatedAt) >= accountTTL {
 				delete(s.accounts, name)
 			}
 		}
 	}
 	a := s.accounts[customer]
 	if a == nil {
-		a = &purseAccount{at: now}
+		a = &cacheAccount{updatedAt: now}
 		s.accounts[customer] = a
 	}
 	return a
 }
 
-func (a *purseAccount) pass(now time.Time) {
-	a.demand *= math.Exp(-float64(max(now.Sub(a.at), 0)) / float64(usualSpan))
-	a.at = now
+func (a *cacheAccount) advance(now time.Time) {
+	a.demand *= math.Exp(-float64(max(now.Sub(a.updatedAt), 0)) / float64(demandTimeConstant))
+	a.updatedAt = now
 }
 
 // tokens removes expired and used tokens, and returns the number left.
-func (a *purseAccount) tokens(now time.Time) int {
-	for len(a.lent) > 0 && (a.lent[0].tokens == 0 || !now.Before(a.lent[0].ends)) {
-		a.lent = a.lent[1:]
+func (a *cacheAccount) tokens(now time.Time) int {
+	for len(a.leases) > 0 && (a.leases[0].tokens == 0 || !now.Before(a.leases[0].expires)) {
+		a.leases = a.leases[1:]
 	}
 	left := 0
-	for _, l := range a.lent {
+	for _, l := range a.leases {
 		left += l.tokens
 	}
 	return left
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -16,7 +16,7 @@
 
 // A customer requests many times its limit. The tokens leased must stay within the
 // limit in every window, including the first one.
-func TestLedgerLendsTheLimit(t *testing.T) {
+func TestLedgerLeasesUpToTheLimit(t *testing.T) {
 	c := qt.New(t)
 	l := NewLedger(DefaultTolerance.Window, DefaultTolerance.Start)
 	lent, window := 0, make([]int, 10_000)
@@ -42,7 +42,7 @@
 // Guards against leasing tokens twice when a network partition moves a customer to
 // another owner and back: the first owner's bucket would have refilled meanwhile, while
 // the other owner leased tokens too.
-func TestBucketsOfCustomersThatMovedAreForgotten(t *testing.T) {
+func TestBucketsOfMovedCustomersAreDeleted(t *testing.T) {
 	c := qt.New(t)
 	l := NewLedger(DefaultTolerance.Window, DefaultTolerance.Start)
 	ask := Ask{Customer: "a", Limit: Limit{Rate: 10, Burst: 50}, Want: 100, Need: 100, Share: 1}
@@ -55,7 +55,7 @@
 
 // A customer sends its first request long after its owner became the owner. No tokens
 // were leased in the meantime, so the full burst must be available.
-func TestFirstRequestsFindTheBurst(t *testing.T) {
+func TestFirstRequestGetsAccumulatedBurst(t *testing.T) {
 	c := qt.New(t)
 	ask := Ask{Customer: "a", Limit: Limit{Rate: 10, Burst: 30}, Want: 100, Need: 100, Share: 1, Since: at(0)}
 	c.Check(NewLedger(DefaultTolerance.Window, DefaultTolerance.Start).Ask(ask, at(time.Minute)).Tokens, qt.Equals, 30)
@@ -80,7 +80,7 @@
 
 // Callers that are refused at the same moment must receive retry times spread over the
 // period in which there will be tokens for all of them, rather than retry all at once.
-func TestRefusedAreSpread(t *testing.T) {
+func TestRetryTimesAreSpread(t *testing.T) {
 	c := qt.New(t)
 	l := NewLedger(DefaultTolerance.Window, func(Limit) float64 { return 0 })
 	for range 20 {
@@ -94,7 +94,7 @@
 
 // Guards against using a token that expired unused or was returned after its expiry: it
 // was counted in an earlier window.
-func TestTokensEnd(t *testing.T) {
+func TestTokensExpire(t *testing.T) {
 	c := qt.New(t)
 	p := NewPurse(400 * time.Millisecond)
 	c.Check(p.Take("a", at(0)).Want, qt.Equals, 1)
@@ -111,7 +111,7 @@
 
 // After an owner reported that it has no tokens, the node must not contact it for a
 // moment. Callers receive the Retry-After that the owner reported.
-func TestDryHomesAreLeftAlone(t *testing.T) {
+func TestNodeBacksOffFromOwnerWithoutTokens(t *testing.T) {
 	c := qt.New(t)
 	p := NewPurse(400 * time.Millisecond)
 	p.Put("a", Grant{RetryAfter: time.Second}, at(0), at(0))
@@ -121,7 +121,7 @@
 
 // Members with the same view of the membership agree on the owners. When a member
 // leaves, only its own customers move, each to its deputy.
-func TestHomesMoveOnlyWithTheirMember(t *testing.T) {
+func TestCustomersMoveOnlyWithTheirOwner(t *testing.T) {
 	c := qt.New(t)
 	var ids []string
 	for i := range 70 {
@@ -151,7 +151,7 @@
 
 // In a network partition each side leases its share. A member that announces its leave
 // makes the fleet smaller; a restart at the same place does not.
-func TestShareIsThePartThatIsSeen(t *testing.T) {
+func TestShareOfVisibleFleet(t *testing.T) {
 	c := qt.New(t)
 	var f Fleet
 	member := func(i int, id string) Member {
@@ -180,8 +180,8 @@
 	c.Check(f.Share(at(4*time.Second)), qt.Equals, 1.0)
 	f.Update(all[:8], none, at(5*time.Second))
 	c.Check(f.Share(at(5*time.Second)) < 0.9, qt.IsTrue)
-	f.Update(all[:8], none, at(5*time.Second+missingLife))
-	c.Check(f.Share(at(6*time.Second+missingLife)), qt.Equals, 1.0, qt.Commentf("a place without a member for longer than missingLife"))
+	f.Update(all[:8], none, at(5*time.Second+missingTimeout))
+	c.Check(f.Share(at(6*time.Second+missingTimeout)), qt.Equals, 1.0, qt.Commentf("a place without a member for longer than missingTimeout"))
 	var fresh Fleet
 	fresh.Heard(8, at(0))
 	fresh.Update(all[:4], none, at(0))
@@ -191,8 +191,8 @@
 	fresh.Update(all[:4], none, at(time.Second))
 	c.Check(fresh.Share(at(time.Second)), qt.Equals, 0.25)
 	c.Check(fresh.Whole(), qt.IsFalse)
-	fresh.Update(all[:4], none, at(missingLife))
-	c.Check(fresh.Share(at(missingLife+settleTime)), qt.Equals, 1.0)
+	fresh.Update(all[:4], none, at(missingTimeout))
+	c.Check(fresh.Share(at(missingTimeout+settleTime)), qt.Equals, 1.0)
 	var seen Fleet
 	seen.Heard(4, at(0))
 	seen.Update(all[:4], none, at(0))
@@ -207,7 +207,7 @@
 	c.Check(DefaultTolerance.Life(), qt.Equals, 200*time.Millisecond)
 	c.Check(DefaultTolerance.Most(limit), qt.Equals, 86.0)
 	deputy := DefaultTolerance.Deputy(limit)
-	parts := limit.in(time.Second)*DefaultTolerance.Life().Seconds() + deputy.in(DefaultTolerance.Window) + 1 + DefaultTolerance.Start(limit)
+	parts := limit.perWindow(time.Second)*DefaultTolerance.Life().Seconds() + deputy.perWindow(DefaultTolerance.Window) + 1 + DefaultTolerance.Start(limit)
 	c.Check(parts < DefaultTolerance.Most(limit)-60, qt.IsTrue, qt.Commentf("%v", parts))
 	c.Check(Tolerance{}.Deputy(limit), qt.Equals, Limit{})
 }
@@ -222,14 +222,14 @@
 	sent  []time.Time
 	// stored is the fleet size that processes read when they start. lost is the
 	// fraction of token requests that the owner does not answer.
-	stored int
-	lost   float64
+	stored   int
+	lossRate float64
 }
 
 type worldNode struct {
 	id      string
 	born    time.Time
-	purse   *Purse
+	tokens  *Purse
 	ledger  *Ledger
 	deputy  *Ledger
 	side    int
@@ -249,7 +249,7 @@
 	for i := range w.nodes {
 		w.restart(i)
 	}
-	w.look()
+	w.updateViews()
 	return w
 }
 
@@ -257,15 +257,15 @@
 	n := w.nodes[i]
 	*n = worldNode{
 		id: "n" + strconv.Itoa(i) + "." + strconv.Itoa(n.restart), restart: n.restart + 1, side: n.side, born: w.now,
-		view: []int{}, purse: NewPurse(w.t.Life()), ledger: NewLedger(w.t.Window, w.t.Start), deputy: NewLedger(DefaultTolerance.Window, func(Limit) float64 { return 1 }),
+		view: []int{}, tokens: NewPurse(w.t.Life()), ledger: NewLedger(w.t.Window, w.t.Start), deputy: NewLedger(DefaultTolerance.Window, func(Limit) float64 { return 1 }),
 	}
 	if w.stored > 0 {
 		n.fleet.Heard(w.stored, w.now)
 	}
 }
 
-// look updates each node's view with the nodes on its side of the partition.
-func (w *world) look() {
+// updateViews updates each node's view with the nodes on its side of the partition.
+func (w *world) updateViews() {
 	for _, n := range w.nodes {
 		n.view = n.view[:0]
 		var living []Member
@@ -282,7 +282,7 @@
 		// Members seen at the last look but not now are suspected, and still count.
 		ids := idsOf(living)
 		for _, id := range n.alive {
-			if !slices.Contains(ids, id) && w.holds(id) {
+			if !slices.Contains(ids, id) && w.isRunning(id) {
 				ids = append(ids, id)
 			}
 		}
@@ -304,24 +304,24 @@
 	return ids
 }
 
-// holds reports whether a process is still running, on any side of the partition.
-func (w *world) holds(id string) bool {
+// isRunning reports whether a process is still running, on any side of the partition.
+func (w *world) isRunning(id string) bool {
 	return slices.ContainsFunc(w.nodes, func(n *worldNode) bool { return n.id == id })
 }
 
 // request simulates a request that arrives at a node.
 func (w *world) request(i int) {
 	n := w.nodes[i]
-	taken := n.purse.Take("c", w.now)
+	taken := n.tokens.Take("c", w.now)
 	if taken.Want > 0 {
 		need := 1
 		if taken.OK {
 			need = 0
 		}
 		if g, ok := w.ask(n, taken.Want, need); ok {
-			n.purse.Put("c", g, w.now, w.now)
+			n.tokens.Put("c", g, w.now, w.now)
 			if !taken.OK {
-				taken = n.purse.Retake("c", w.now)
+				taken = n.tokens.Retake("c", w.now)
 			}
 		}
 	}
@@ -337,7 +337,7 @@
 	}
 	home, deputy := NewHomes(n.ids).Of("c")
 	ask := Ask{Customer: "c", Limit: w.limit, Want: want, Need: need, Draw: w.rnd.Float64()}
-	if h := byID[home]; h != nil && h.side == n.side && w.rnd.Float64() >= w.lost {
+	if h := byID[home]; h != nil && h.side == n.side && w.rnd.Float64() >= w.lossRate {
 		if own, _ := NewHomes(h.ids).Of("c"); own != h.id {
 			return Grant{}, false
 		}
@@ -351,8 +351,8 @@
 	return Grant{}, false
 }
 
-// most returns the maximum number of requests in any window.
-func (w *world) most() int {
+// maxInWindow returns the maximum number of requests in any window.
+func (w *world) maxInWindow() int {
 	first, most := 0, 0
 	for i, last := range w.sent {
 		for last.Sub(w.sent[first]) > w.t.Window {
@@ -372,14 +372,14 @@
 		limit := Limit{Rate: []float64{2, 10, 40, 200}[seed%4]}
 		limit.Burst = limit.Rate * []float64{0, 1, 2}[seed%3]
 		w := newWorld(8+rnd.IntN(30), limit, seed)
-		w.lost = 0.05
+		w.lossRate = 0.05
 		demand := limit.Rate * (1.5 + 6*rnd.Float64())
 		nextFault := w.now.Add(time.Second)
 		lookAt := w.now
 		for w.now.Before(epoch.Add(40 * time.Second)) {
 			w.now = w.now.Add(time.Duration(rnd.ExpFloat64() / demand * float64(time.Second)))
 			if !w.now.Before(lookAt) {
-				w.look()
+				w.updateViews()
 				lookAt = w.now.Add(300 * time.Millisecond)
 			}
 			if w.now.After(nextFault) {
@@ -403,13 +403,13 @@
 			}
 			w.request(rnd.IntN(len(w.nodes)))
 		}
-		c.Check(float64(w.most()) <= w.t.Most(limit), qt.IsTrue, qt.Commentf("seed %d: %d of %v", seed, w.most(), w.t.Most(limit)))
+		c.Check(float64(w.maxInWindow()) <= w.t.Most(limit), qt.IsTrue, qt.Commentf("seed %d: %d of %v", seed, w.maxInWindow(), w.t.Most(limit)))
 	}
 }
 
 // A customer that sends within its limit, evenly or through one node, is hardly ever
 // refused. A customer that sends far above its limit gets its limit.
-func TestWhatIsWithinTheLimitIsLetThrough(t *testing.T) {
+func TestRequestsWithinTheLimitAreAllowed(t *testing.T) {
 	c := qt.New(t)
 	for name, test := range map[string]struct {
 		demand      float64
