--- a/quarantine/blame.go
+++ b/quarantine/blame.go
@@ -43,13 +43,13 @@
 // crash at the same moment, as when a zone fails, therefore count once for the requests
 // that were running at all of them. When the upstreams of a zone fail one by one, a
 // request is sent on to the next upstream just before that one fails too; a request
-// that had completed there before is not counted again within endsTogether.
+// that had completed there before is not counted again within commonCauseWindow.
 func (l *Ledger) Blame(runs []Running, now time.Time) Blame {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	most := 0
+	maxPrior := 0
 	for _, run := range runs {
-		most = max(most, l.priorEnds(run, now))
+		maxPrior = max(maxPrior, l.priorCrashes(run, now))
 	}
 	var blame Blame
 	seen := make(map[Fingerprint]bool, len(runs))
@@ -59,14 +59,14 @@
 		}
 		seen[run.Fingerprint] = true
 		l.endTrial(run.Fingerprint)
-		l.blameOne(run, most, &blame, now)
+		l.blameOne(run, maxPrior, &blame, now)
 	}
 	return blame
 }
 
-// priorEnds returns how many upstreams are known to have crashed under a request. A
+// priorCrashes returns how many upstreams are known to have crashed under a request. A
 // completion here is more recent than the count that the sender knew.
-func (l *Ledger) priorEnds(run Running, now time.Time) int {
+func (l *Ledger) priorCrashes(run Running, now time.Time) int {
 	e := l.entries[run.Fingerprint]
 	switch {
 	case e == nil && run.Completed && run.Known < HoldFrom:
@@ -74,18 +74,18 @@
 	case e == nil:
 		return run.Known
 	}
-	if e.clearedLately(now) {
+	if e.recentlyCleared(now) {
 		return 0
 	}
-	prior := max(e.ends, run.Known)
-	if run.Completed && prior < HoldFrom && now.Sub(e.since) < endsTogether {
+	prior := max(e.crashes, run.Known)
+	if run.Completed && prior < HoldFrom && now.Sub(e.changedAt) < commonCauseWindow {
 		return 0
 	}
 	return prior
 }
 
 func (l *Ledger) blameOne(run Running, most int, blame *Blame, now time.Time) {
-	prior := l.priorEnds(run, now)
+	prior := l.priorCrashes(run, now)
 	e := l.entries[run.Fingerprint]
 	if prior < most {
 		if e == nil {
@@ -93,17 +93,17 @@
 		}
 		return
 	}
-	if prior == 0 && (e == nil || e.worst == 0) {
+	if prior == 0 && (e == nil || e.provenCrashes == 0) {
 		l.suspect(run.Fingerprint, blame, now)
 		return
 	}
 	if e == nil {
 		e = l.add(run.Fingerprint, now)
 	}
-	e.ends = min(max(prior, e.worst)+1, MaxEnds)
+	e.crashes = min(max(prior, e.provenCrashes)+1, MaxEnds)
 	e.stamp++
-	e.since, e.tries = now, 0
-	e.completed = time.Time{}
+	e.changedAt, e.inconclusiveTrials = now, 0
+	e.completedAt = time.Time{}
 	e.label = run.Label
 	blame.Held = append(blame.Held, Blamed{Record: e.record(run.Fingerprint), Label: run.Label})
 }
@@ -113,7 +113,7 @@
 	if e == nil {
 		e = l.add(f, now)
 	}
-	e.ends, e.since = 1, now
-	e.completed = time.Time{}
+	e.crashes, e.changedAt = 1, now
+	e.completedAt = time.Time{}
 	blame.Suspects = append(blame.Suspects, f)
 }
--- a/quarantine/bulletin.go
+++ b/quarantine/bulletin.go
@@ -60,7 +60,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	before := len(b.posts)
-	b.posts = slices.DeleteFunc(b.posts, func(p post) bool { return now.Sub(p.at) >= tellTime(p.Ends) })
+	b.posts = slices.DeleteFunc(b.posts, func(p post) bool { return now.Sub(p.at) >= announceTime(p.Ends) })
 	return len(b.posts) < before
 }
 
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -19,7 +19,7 @@
 //	verdict := ledger.Decide(fingerprint, now)      // at the node that sends a request
 //	verdict := ledger.Begin(fingerprint, now)       // at the node whose upstream is to run it
 //	blame := ledger.Blame(runs, now)                // after the upstream has crashed
-//	record, news := ledger.Completed(fingerprint, now)
+//	record, announce := ledger.Completed(fingerprint, now)
 //	ledger.Abandon(fingerprint, sent, now)          // after a trial without a result
 //
 // Blame and Completed return Records, which members send to each other and pass to
--- a/quarantine/hold.go
+++ b/quarantine/hold.go
@@ -7,17 +7,18 @@
 // both ran, are unlikely to be a coincidence.
 const HoldFrom = 2
 
-// provenFrom is the number of crashes from which a request counts as the proven cause:
-// when the last upstream crashed, it was the only quarantined request running there.
-const provenFrom = 3
+// provenThreshold is the number of crashes from which a request counts as the proven
+// cause: when the last upstream crashed, it was the only quarantined request running
+// there.
+const provenThreshold = 3
 
-// forever is how long a request that crashed an upstream in each of its trials is held.
-// It is released only when an operator clears it or its entry expires.
-const forever = keepProven
+// maxHoldTime is how long a request that crashed an upstream in each of its trials is
+// held. It is released only when an operator clears it or its entry expires.
+const maxHoldTime = provenTTL
 
-// holds is how long a request is quarantined, by its number of crashes from HoldFrom
-// on.
-var holds = [...]time.Duration{
+// holdTimes is how long a request is quarantined, by its number of crashes from
+// HoldFrom on.
+var holdTimes = [...]time.Duration{
 	// A crashed upstream takes some seconds to restart. After this time an innocent
 	// request need not wait longer for its trial, and a request that does crash its
 	// upstream finds the other upstreams back in service.
@@ -34,46 +35,46 @@
 	switch {
 	case ends < HoldFrom:
 		return 0
-	case ends-HoldFrom < len(holds):
-		return holds[ends-HoldFrom]
+	case ends-HoldFrom < len(holdTimes):
+		return holdTimes[ends-HoldFrom]
 	}
-	return forever
+	return maxHoldTime
 }
 
 // Times from the last change of an entry to its expiry.
 const (
-	// keepSuspect applies to a request that is not proven to be the cause, and to one
+	// suspectTTL applies to a request that is not proven to be the cause, and to one
 	// that was cleared.
-	keepSuspect = 10 * time.Minute
-	// keepProven applies to a proven cause.
-	keepProven = 24 * time.Hour
+	suspectTTL = 10 * time.Minute
+	// provenTTL applies to a proven cause.
+	provenTTL = 24 * time.Hour
 )
 
-// keepTime returns how long an entry is retained.
-func keepTime(ends int) time.Duration {
-	if ends >= provenFrom {
-		return keepProven
+// entryTTL returns how long an entry is retained.
+func entryTTL(ends int) time.Duration {
+	if ends >= provenThreshold {
+		return provenTTL
 	}
-	return keepSuspect
+	return suspectTTL
 }
 
-// tellTime returns how long a record is announced to the members.
-func tellTime(ends int) time.Duration {
+// announceTime returns how long a record is announced to the members.
+func announceTime(ends int) time.Duration {
 	const part = 2
 	if ends == 0 {
-		return tellCleared
+		return announceClearedTime
 	}
-	return keepTime(ends) / part
+	return entryTTL(ends) / part
 }
 
-// tellCleared is how long the clearing of a request is announced to the members. Within
-// this time all reachable members have received it.
-const tellCleared = time.Minute
+// announceClearedTime is how long the clearing of a request is announced to the
+// members. Within this time all reachable members have received it.
+const announceClearedTime = time.Minute
 
-// endsTogether is the time within which several upstreams may crash for a common cause
-// that is none of their requests.
-const endsTogether = 2 * time.Second
+// commonCauseWindow is the time within which several upstreams may crash for a common
+// cause that is none of their requests.
+const commonCauseWindow = 2 * time.Second
 
-// completedRecently is how long a completion outweighs blame that is received later:
+// completionValidity is how long a completion outweighs blame that is received later:
 // the notice of a crash may be on its way while the request completes elsewhere.
-const completedRecently = 10 * time.Second
+const completionValidity = 10 * time.Second
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -29,18 +29,18 @@
 
 // entry is the state of one request.
 type entry struct {
-	ends  int
-	stamp uint64
-	// tries is the number of trials without a result since the last crash.
-	tries int
-	// worst is the highest number of crashes of a request that was proven to be the
-	// cause and then cleared. If it crashes another upstream, it is held as before.
-	worst int
-	// since is when the number of crashes last changed here.
-	since time.Time
-	// completed is when the request last completed here, zero if it has not done so
+	crashes int
+	stamp   uint64
+	// inconclusiveTrials is the number of trials without a result since the last crash.
+	inconclusiveTrials int
+	// provenCrashes is the highest number of crashes of a request that was proven to be
+	// the cause and then cleared. If it crashes another upstream, it is held as before.
+	provenCrashes int
+	// changedAt is when the number of crashes last changed here.
+	changedAt time.Time
+	// completedAt is when the request last completed here, zero if it has not done so
 	// since the entry was created.
-	completed time.Time
+	completedAt time.Time
 	// cleared reports whether the last change of the number of crashes cleared it.
 	cleared bool
 	label   string
@@ -96,21 +96,21 @@
 	if e == nil {
 		return Verdict{}
 	}
-	verdict := Verdict{Ends: e.ends, Stamp: e.stamp}
-	if e.ends < HoldFrom {
+	verdict := Verdict{Ends: e.crashes, Stamp: e.stamp}
+	if e.crashes < HoldFrom {
 		return verdict
 	}
 	verdict.Action = Trial
-	if left := e.left(now); left > 0 {
+	if left := e.remainingHold(now); left > 0 {
 		verdict.Action, verdict.After = Hold, left
 	}
 	return verdict
 }
 
-// left returns how much longer the request is held. A trial without a result counts
-// like a crash, because it may have crashed the upstream.
-func (e *entry) left(now time.Time) time.Duration {
-	return max(HoldTime(e.ends+e.tries)-now.Sub(e.since), 0)
+// remainingHold returns how much longer the request is held. A trial without a result
+// counts like a crash, because it may have crashed the upstream.
+func (e *entry) remainingHold(now time.Time) time.Duration {
+	return max(HoldTime(e.crashes+e.inconclusiveTrials)-now.Sub(e.changedAt), 0)
 }
 
 // Begin decides whether a request may run here. If the verdict is Trial, the trial has
@@ -145,9 +145,9 @@
 	if !l.endTrial(f) || !sent {
 		return
 	}
-	if e := l.entries[f]; e != nil && e.ends >= HoldFrom {
-		e.tries++
-		e.since = now
+	if e := l.entries[f]; e != nil && e.crashes >= HoldFrom {
+		e.inconclusiveTrials++
+		e.changedAt = now
 	}
 }
 
@@ -160,9 +160,10 @@
 	return true
 }
 
-// Completed clears a request that has completed here. The record must be announced to
-// the other members if news is set, that is, if they hold the request in quarantine.
-func (l *Ledger) Completed(f Fingerprint, now time.Time) (record Record, news bool) {
+// Completed clears a request that has completed here. It reports in announce whether
+// the other members hold the request in quarantine, so that the record must be
+// announced to them.
+func (l *Ledger) Completed(f Fingerprint, now time.Time) (record Record, announce bool) {
 	if l.Empty() {
 		return Record{}, false
 	}
@@ -173,10 +174,10 @@
 	if e == nil {
 		return Record{}, false
 	}
-	news = e.ends >= HoldFrom
+	announce = e.crashes >= HoldFrom
 	e.clear(now)
-	e.completed = now
-	return e.record(f), news
+	e.completedAt = now
+	return e.record(f), announce
 }
 
 // Clear releases a request on an operator's command. It returns false if the request is
@@ -189,55 +190,55 @@
 		return Record{}, false
 	}
 	e.clear(now)
-	e.worst = 0
+	e.provenCrashes = 0
 	return e.record(f), true
 }
 
 // clear resets the number of crashes. It raises the stamp only if the request was
 // quarantined, because only then do the other members hold it.
 func (e *entry) clear(now time.Time) {
-	if e.ends == 0 {
+	if e.crashes == 0 {
 		return
 	}
-	if e.ends >= provenFrom {
-		e.worst = max(e.worst, e.ends)
+	if e.crashes >= provenThreshold {
+		e.provenCrashes = max(e.provenCrashes, e.crashes)
 	}
-	if e.ends >= HoldFrom {
+	if e.crashes >= HoldFrom {
 		e.stamp++
 	}
-	e.ends, e.tries, e.cleared = 0, 0, true
-	e.since = now
+	e.crashes, e.inconclusiveTrials, e.cleared = 0, 0, true
+	e.changedAt = now
 }
 
 func (e *entry) record(f Fingerprint) Record {
-	return Record{Fingerprint: f, Ends: e.ends, Stamp: e.stamp}
+	return Record{Fingerprint: f, Ends: e.crashes, Stamp: e.stamp}
 }
 
-// Merge applies a record received from another member, and reports in news whether it
-// changed the ledger. If this member has seen the request complete recently,
-// contradicts is true, and answer is the record that clears the request, to be
+// Merge applies a record received from another member, and reports in changed whether
+// the state of the request changed. If this member has seen the request complete
+// recently, contradicts is true, and reply is the record that clears the request, to be
 // announced to the others.
-func (l *Ledger) Merge(told Record, now time.Time) (news bool, answer Record, contradicts bool) {
-	told.Ends = min(max(told.Ends, 0), MaxEnds)
+func (l *Ledger) Merge(received Record, now time.Time) (changed bool, reply Record, contradicts bool) {
+	received.Ends = min(max(received.Ends, 0), MaxEnds)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entries[told.Fingerprint]
+	e := l.entries[received.Fingerprint]
 	if e == nil {
 		// A record that clears a request may arrive before the one that quarantined it.
-		e = l.add(told.Fingerprint, now)
-	} else if !told.supersedes(e.record(told.Fingerprint)) {
+		e = l.add(received.Fingerprint, now)
+	} else if !received.supersedes(e.record(received.Fingerprint)) {
 		return false, Record{}, false
 	}
-	if told.Ends == 0 {
-		news = e.ends > 0
+	if received.Ends == 0 {
+		changed = e.crashes > 0
 		e.clear(now)
-		e.stamp, e.cleared = told.Stamp, true
-		return news, Record{}, false
+		e.stamp, e.cleared = received.Stamp, true
+		return changed, Record{}, false
 	}
-	e.ends, e.stamp, e.since, e.tries = told.Ends, told.Stamp, now, 0
-	if told.Ends < provenFrom && e.completedSince(now) {
+	e.crashes, e.stamp, e.changedAt, e.inconclusiveTrials = received.Ends, received.Stamp, now, 0
+	if received.Ends < provenThreshold && e.recentlyCompleted(now) {
 		e.clear(now)
-		return true, e.record(told.Fingerprint), true
+		return true, e.record(received.Fingerprint), true
 	}
 	return true, Record{}, false
 }
@@ -252,20 +253,21 @@
 		if e == nil {
 			e = l.add(f, now)
 		}
-		if e.ends == 0 && !e.clearedLately(now) {
-			e.ends, e.since = 1, now
+		if e.crashes == 0 && !e.recentlyCleared(now) {
+			e.crashes, e.changedAt = 1, now
 		}
 	}
 }
 
-// clearedLately reports whether the request has no crashes because it completed or was
-// cleared a short time ago. Older counts from other members are ignored in that case.
-func (e *entry) clearedLately(now time.Time) bool {
-	return e.ends == 0 && (e.completedSince(now) || e.cleared && now.Sub(e.since) < completedRecently)
+// recentlyCleared reports whether the request has no crashes because it completed or
+// was cleared a short time ago. Older counts from other members are ignored in that
+// case.
+func (e *entry) recentlyCleared(now time.Time) bool {
+	return e.crashes == 0 && (e.recentlyCompleted(now) || e.cleared && now.Sub(e.changedAt) < completionValidity)
 }
 
-func (e *entry) completedSince(now time.Time) bool {
-	return !e.completed.IsZero() && now.Sub(e.completed) < completedRecently
+func (e *entry) recentlyCompleted(now time.Time) bool {
+	return !e.completedAt.IsZero() && now.Sub(e.completedAt) < completionValidity
 }
 
 // add creates an entry, evicting others if the ledger is full.
@@ -273,7 +275,7 @@
 	if len(l.entries) >= MaxEntries {
 		l.evict()
 	}
-	e := &entry{since: now}
+	e := &entry{changedAt: now}
 	l.entries[f] = e
 	l.size.Store(int64(len(l.entries)))
 	return e
@@ -290,14 +292,14 @@
 	}
 	slices.SortFunc(known, func(a, b Fingerprint) int {
 		one, other := l.entries[a], l.entries[b]
-		return cmp.Or(cmp.Compare(one.weight(), other.weight()), one.since.Compare(other.since), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(one.weight(), other.weight()), one.changedAt.Compare(other.changedAt), cmp.Compare(a, b))
 	})
 	for _, f := range known[:max(len(known)/evictedShare, 1)] {
 		delete(l.entries, f)
 	}
 }
 
-func (e *entry) weight() int { return max(e.ends, e.worst) }
+func (e *entry) weight() int { return max(e.crashes, e.provenCrashes) }
 
 // Sweep deletes expired entries.
 func (l *Ledger) Sweep(now time.Time) {
@@ -307,7 +309,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for f, e := range l.entries {
-		if now.Sub(e.since) >= keepTime(e.weight()) {
+		if now.Sub(e.changedAt) >= entryTTL(e.weight()) {
 			delete(l.entries, f)
 		}
 	}
@@ -335,12 +337,12 @@
 	defer l.mu.Unlock()
 	var held []Held
 	for f, e := range l.entries {
-		if e.ends >= max(ends, 1) {
+		if e.crashes >= max(ends, 1) {
 			held = append(held, Held{
 				Fingerprint: f,
-				Ends:        e.ends,
-				Since:       e.since,
-				Left:        e.left(now),
+				Ends:        e.crashes,
+				Since:       e.changedAt,
+				Left:        e.remainingHold(now),
 				Label:       e.label,
 			})
 		}
@@ -362,7 +364,7 @@
 	defer l.mu.Unlock()
 	var records []Record
 	for f, e := range l.entries {
-		if e.ends >= HoldFrom && now.Sub(e.since) < tellTime(e.ends) {
+		if e.crashes >= HoldFrom && now.Sub(e.changedAt) < announceTime(e.crashes) {
 			records = append(records, e.record(f))
 		}
 	}
@@ -382,9 +384,9 @@
 	var c Counts
 	for _, e := range l.entries {
 		switch {
-		case e.ends >= HoldFrom:
+		case e.crashes >= HoldFrom:
 			c.Held++
-		case e.ends > 0:
+		case e.crashes > 0:
 			c.Suspects++
 		}
 	}
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -41,7 +41,7 @@
 }
 
 // Guards against quarantining requests after a single crash, which may have any cause.
-func TestOneEndHoldsNothingBack(t *testing.T) {
+func TestOneCrashQuarantinesNothing(t *testing.T) {
 	c := qt.New(t)
 	l := quarantine.NewLedger()
 	blame := l.Blame(running(1, 2, 2, 3), start)
@@ -77,7 +77,7 @@
 
 // Guards against quarantining a popular read because it was running at each upstream of
 // a zone when the complete zone failed.
-func TestUpstreamsThatEndTogetherCountOnce(t *testing.T) {
+func TestSimultaneousCrashesCountOnce(t *testing.T) {
 	c := qt.New(t)
 	const popular = 7
 	var members []*quarantine.Ledger
@@ -109,7 +109,7 @@
 // Guards against quarantining a popular read permanently. It completes at a member
 // where it was already running when the notice of the crashes arrived, which must clear
 // it at all members.
-func TestCompletionSpeaksAgainstNewsOfEnds(t *testing.T) {
+func TestCompletionOverridesReportedCrashes(t *testing.T) {
 	c := qt.New(t)
 	const popular = 7
 	l := quarantine.NewLedger()
