--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -215,9 +215,10 @@
 }
 
 // Merge applies a record received from another member, and reports in changed whether
-// the state of the request changed. If this member has seen the request complete
-// recently, contradicts is true, and reply is the record that clears the request, to be
-// announced to the others.
+// it had an effect: an older record has none, and neither has one that clears a request
+// without crashes. If this member has seen the request complete recently, contradicts
+// is true, and reply is the record that clears the request, to be announced to the
+// others.
 func (l *Ledger) Merge(received Record, now time.Time) (changed bool, reply Record, contradicts bool) {
 	received.Ends = min(max(received.Ends, 0), MaxEnds)
 	l.mu.Lock()
