--- a/customer/customer.go
+++ b/customer/customer.go
@@ -43,7 +43,7 @@
 // Validate checks a complete list of customers submitted by an operator and returns all
 // problems found.
 func Validate(list []Customer) []*Error {
-	v := validator{names: make(map[string]bool, len(list)), holders: make(map[Digest]bool)}
+	v := validator{names: make(map[string]bool, len(list)), usedKeys: make(map[Digest]bool)}
 	if len(list) > MaxCustomers {
 		v.add(-1, strconv.Itoa(len(list)), "customers", "at most "+strconv.Itoa(MaxCustomers))
 	}
@@ -55,7 +55,7 @@
 
 type validator struct {
 	names    map[string]bool
-	holders  map[Digest]bool
+	usedKeys map[Digest]bool
 	problems []*Error
 }
 
@@ -64,31 +64,31 @@
 }
 
 func (v *validator) customer(c *Customer, place int) {
-	shown := strconv.Quote(c.Name)
+	label := strconv.Quote(c.Name)
 	if !ValidName(c.Name) {
-		shown = "number " + strconv.Itoa(place+1)
-		v.add(place, shown, "name", "1 to 256 bytes of text without control characters or spaces at an end")
+		label = "number " + strconv.Itoa(place+1)
+		v.add(place, label, "name", "1 to 256 bytes of text without control characters or spaces at an end")
 	} else if v.names[c.Name] {
-		v.add(place, shown, "name", "a name that no other customer has")
+		v.add(place, label, "name", "a name that no other customer has")
 	}
 	v.names[c.Name] = true
 	if len(c.Keys) > MaxKeys {
-		v.add(place, shown, "keyDigests", "at most "+strconv.Itoa(MaxKeys))
+		v.add(place, label, "keyDigests", "at most "+strconv.Itoa(MaxKeys))
 	}
 	for i, key := range c.Keys {
-		if v.holders[key] {
-			v.add(place, shown, "keyDigests["+strconv.Itoa(i)+"]", "a key that stands nowhere else in the list")
+		if v.usedKeys[key] {
+			v.add(place, label, "keyDigests["+strconv.Itoa(i)+"]", "a key that stands nowhere else in the list")
 		}
-		v.holders[key] = true
+		v.usedKeys[key] = true
 	}
 	if c.Priority < 0 || c.Priority > MaxPriority {
-		v.add(place, shown, "priority", "0 to 15")
+		v.add(place, label, "priority", "0 to 15")
 	}
 	if !(c.Rate >= 0 && c.Rate <= MaxRate) {
-		v.add(place, shown, "rate", "0 to 1e9 requests a second")
+		v.add(place, label, "rate", "0 to 1e9 requests a second")
 	}
 	if !(c.Burst >= 0 && c.Burst <= MaxBurst) {
-		v.add(place, shown, "burst", "0 to 1e9 requests")
+		v.add(place, label, "burst", "0 to 1e9 requests")
 	}
 }
 
--- a/customer/customer_test.go
+++ b/customer/customer_test.go
@@ -12,7 +12,7 @@
 
 // Guards against exposing API keys: a key is accepted at every node, so it must not
 // occur in anything that is stored, forwarded or shown.
-func TestNoKeyIsHeldOrShown(t *testing.T) {
+func TestKeysAreNotStoredOrShown(t *testing.T) {
 	c := qt.New(t)
 	const secret = "kmgjqnirth5mgjy5rcpi"
 	list := []Customer{{Name: "a", Keys: []Digest{DigestOf(secret)}}, {Name: "b", Keys: []Digest{DigestOf(secret)}}}
@@ -28,7 +28,7 @@
 	c.Check(strings.Contains(err.Error(), secret), qt.IsFalse, qt.Commentf("a key in the place of a digest"))
 }
 
-func TestDigestsTravelAsText(t *testing.T) {
+func TestDigestTextRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	want := DigestOf("one")
 	data, err := json.Marshal(want)
--- a/customer/key.go
+++ b/customer/key.go
@@ -7,7 +7,7 @@
 type Key struct {
 	digest Digest
 	sent   bool
-	known  bool
+	valid  bool
 }
 
 // ReadKey reads an API key from a header. An empty value, or more than one value,
@@ -17,7 +17,7 @@
 	if len(values) != 1 || values[0] == "" {
 		return Key{sent: len(values) > 0}
 	}
-	return Key{digest: DigestOf(values[0]), sent: true, known: true}
+	return Key{digest: DigestOf(values[0]), sent: true, valid: true}
 }
 
 // Sent reports whether the caller sent the header at all.
@@ -25,7 +25,7 @@
 
 // Owner returns the customer of a key, nil if there is none.
 func (d *Directory) Owner(k Key) *Customer {
-	if !k.known {
+	if !k.valid {
 		return nil
 	}
 	return d.byKey[k.digest]
