--- a/call/context.go
+++ b/call/context.go
@@ -21,7 +21,7 @@
 	HeaderTimeout = "Pollengauge-Timeout-Ms"
 	// HeaderCredit is the number of extra attempts this call may still make.
 	HeaderCredit = "Pollengauge-Credit"
-	// HeaderDepth is the number of hops between the root and the call; it is 0 for the
+	// HeaderDepth is the number of hops from the root to the call; it is 0 for the
 	// root.
 	HeaderDepth = "Pollengauge-Depth"
 	// HeaderProgress is the number of calls of the request that have already run. It is
@@ -132,12 +132,12 @@
 	maxDigits = 7
 	// maxLoad is the highest Report.Load, a hundred times the limit.
 	maxLoad = 100_000
-	// maxPressure is a share of 1, in thousandths.
-	maxPressure = 1000
-	// maxEnds is the highest count of crashed upstreams; the count stops there.
-	maxEnds = 100
-	// maxEndsStamp is the highest Report.EndsStamp.
-	maxEndsStamp = 1_000_000
+	// maxShare is the highest value of a share, which is in thousandths.
+	maxShare = 1000
+	// maxCrashes is the highest count of crashed upstreams; the count stops there.
+	maxCrashes = 100
+	// maxCrashesStamp is the highest Report.EndsStamp.
+	maxCrashesStamp = 1_000_000
 	// maxWork is the highest Report.Work, in milliseconds.
 	maxWork = 1_000_000
 )
@@ -155,7 +155,7 @@
 	Timeout time.Duration
 	// Credit is the number of extra attempts that this call may use.
 	Credit int
-	// Depth is the number of hops between the root and the call; it is 0 for the root.
+	// Depth is the number of hops from the root to the call; it is 0 for the root.
 	Depth int
 	// Progress is the number of calls that had run for the request when this call was
 	// made. It counts only those of the visits that led to this call, never decreases
@@ -197,13 +197,13 @@
 	setOptional(h, HeaderOrigin, url.PathEscape(c.Origin))
 	setOptional(h, HeaderCustomer, url.PathEscape(c.Customer))
 	setOptionalNumber(h, HeaderProgress, c.Progress)
-	setOptionalNumber(h, HeaderHeldBack, min(c.HeldBack, maxPressure))
-	setOptionalNumber(h, HeaderRepeat, flag(c.Repeat))
-	setOptionalNumber(h, HeaderEnds, min(c.Ends, maxEnds))
+	setOptionalNumber(h, HeaderHeldBack, min(c.HeldBack, maxShare))
+	setOptionalNumber(h, HeaderRepeat, boolToInt(c.Repeat))
+	setOptionalNumber(h, HeaderEnds, min(c.Ends, maxCrashes))
 }
 
-// flag converts a boolean to 0 or 1.
-func flag(set bool) int {
+// boolToInt converts a boolean to 0 or 1.
+func boolToInt(set bool) int {
 	if set {
 		return 1
 	}
@@ -256,14 +256,14 @@
 	if c.Progress, err = optionalNumber(h, HeaderProgress, MaxProgress); err != nil {
 		return Context{}, err
 	}
-	if c.HeldBack, err = optionalNumber(h, HeaderHeldBack, maxPressure); err != nil {
+	if c.HeldBack, err = optionalNumber(h, HeaderHeldBack, maxShare); err != nil {
 		return Context{}, err
 	}
 	repeat, err := optionalNumber(h, HeaderRepeat, 1)
 	if err != nil {
 		return Context{}, err
 	}
-	if c.Ends, err = optionalNumber(h, HeaderEnds, maxEnds); err != nil {
+	if c.Ends, err = optionalNumber(h, HeaderEnds, maxCrashes); err != nil {
 		return Context{}, err
 	}
 	if c.Host, err = optionalToken(h, HeaderHost, maxHostLength); err != nil {
@@ -323,14 +323,14 @@
 	h.Set(HeaderCreditLeft, strconv.Itoa(r.CreditLeft))
 	h.Set(HeaderLoad, strconv.Itoa(min(r.Load, maxLoad)))
 	if r.Pressure > 0 {
-		h.Set(HeaderPressure, strconv.Itoa(min(r.Pressure, maxPressure)))
+		h.Set(HeaderPressure, strconv.Itoa(min(r.Pressure, maxShare)))
 	}
 	if r.Work > 0 {
 		h.Set(HeaderWork, strconv.Itoa(min(r.Work, maxWork)))
 	}
 	if r.Ends > 0 {
-		h.Set(HeaderEnds, strconv.Itoa(min(r.Ends, maxEnds)))
-		setOptionalNumber(h, HeaderEndsStamp, int(min(r.EndsStamp, maxEndsStamp)))
+		h.Set(HeaderEnds, strconv.Itoa(min(r.Ends, maxCrashes)))
+		setOptionalNumber(h, HeaderEndsStamp, int(min(r.EndsStamp, maxCrashesStamp)))
 	}
 }
 
@@ -353,16 +353,16 @@
 	if r.Load, err = number(h, HeaderLoad, maxLoad); err != nil {
 		return Report{}, err
 	}
-	if r.Pressure, err = optionalNumber(h, HeaderPressure, maxPressure); err != nil {
+	if r.Pressure, err = optionalNumber(h, HeaderPressure, maxShare); err != nil {
 		return Report{}, err
 	}
 	if r.Work, err = optionalNumber(h, HeaderWork, maxWork); err != nil {
 		return Report{}, err
 	}
-	if r.Ends, err = optionalNumber(h, HeaderEnds, maxEnds); err != nil {
+	if r.Ends, err = optionalNumber(h, HeaderEnds, maxCrashes); err != nil {
 		return Report{}, err
 	}
-	stamp, err := optionalNumber(h, HeaderEndsStamp, maxEndsStamp)
+	stamp, err := optionalNumber(h, HeaderEndsStamp, maxCrashesStamp)
 	if err != nil {
 		return Report{}, err
 	}
--- a/call/deadline_test.go
+++ b/call/deadline_test.go
@@ -12,7 +12,7 @@
 // the time left and writing the header, and the deadline passes meanwhile. The next hop
 // refused the negative value as malformed, and the caller received a bad-request error.
 // The next hop must read that no time is left.
-func TestPassedDeadlinesAreReadAsNothingLeft(t *testing.T) {
+func TestPassedDeadlineIsReadAsZero(t *testing.T) {
 	c := qt.New(t)
 	for sent, want := range map[time.Duration]time.Duration{
 		-3 * time.Second:        0,
--- a/call/id.go
+++ b/call/id.go
@@ -11,13 +11,13 @@
 	// KeptIDLength is the maximum length in bytes of an id in records and logs, and of
 	// an id that a caller may assign to its request.
 	KeptIDLength = 96
-	// maxCallPart is the maximum number of bytes that an upstream appends to its
+	// maxIDSuffix is the maximum number of bytes that an upstream appends to its
 	// request's id to make the id of a call: a separator and an id of its own. The
 	// longest customary one is a UUID.
-	maxCallPart = 1 + 36
+	maxIDSuffix = 1 + 36
 	// MaxIDLength is the maximum length in bytes of an id that is accepted: that of a
 	// call at the greatest depth.
-	MaxIDLength = KeptIDLength + MaxDepth*maxCallPart
+	MaxIDLength = KeptIDLength + MaxDepth*maxIDSuffix
 )
 
 // ReadID reads an id from a header. Both the hop where a request enters and the hops
--- a/call/id_test.go
+++ b/call/id_test.go
@@ -13,7 +13,7 @@
 // from the fifth nested call on as bad requests, and the requests upstream of them
 // failed too. Ids must be accepted at every permitted depth and by both kinds of hop,
 // but must have a bound.
-func TestIdsOfTheDeepestCallsAreRead(t *testing.T) {
+func TestIDsOfDeepestCallsAreAccepted(t *testing.T) {
 	c := qt.New(t)
 	for _, part := range []string{strings.Repeat("a", 16), strings.Repeat("u", 36)} {
 		id := strings.Repeat("r", KeptIDLength)
