--- a/quarantine/hold.go
+++ b/quarantine/hold.go
@@ -31,12 +31,12 @@
 }
 
 // HoldTime returns how long a request is quarantined after its last crash.
-func HoldTime(ends int) time.Duration {
+func HoldTime(crashes int) time.Duration {
 	switch {
-	case ends < HoldFrom:
+	case crashes < HoldFrom:
 		return 0
-	case ends-HoldFrom < len(holdTimes):
-		return holdTimes[ends-HoldFrom]
+	case crashes-HoldFrom < len(holdTimes):
+		return holdTimes[crashes-HoldFrom]
 	}
 	return maxHoldTime
 }
@@ -51,20 +51,20 @@
 )
 
 // entryTTL returns how long an entry is retained.
-func entryTTL(ends int) time.Duration {
-	if ends >= provenThreshold {
+func entryTTL(crashes int) time.Duration {
+	if crashes >= provenThreshold {
 		return provenTTL
 	}
 	return suspectTTL
 }
 
 // announceTime returns how long a record is announced to the members.
-func announceTime(ends int) time.Duration {
+func announceTime(crashes int) time.Duration {
 	const part = 2
-	if ends == 0 {
+	if crashes == 0 {
 		return announceClearedTime
 	}
-	return entryTTL(ends) / part
+	return entryTTL(crashes) / part
 }
 
 // announceClearedTime is how long the clearing of a request is announced to the
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -333,12 +333,12 @@
 
 // List returns the requests with at least the given number of crashes, those with the
 // most crashes first.
-func (l *Ledger) List(ends int, now time.Time) []Held {
+func (l *Ledger) List(minCrashes int, now time.Time) []Held {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var held []Held
 	for f, e := range l.entries {
-		if e.crashes >= max(ends, 1) {
+		if e.crashes >= max(minCrashes, 1) {
 			held = append(held, Held{
 				Fingerprint: f,
 				Ends:        e.crashes,
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -23,10 +23,10 @@
 }
 
 // known returns runs whose senders knew of the given number of crashes.
-func known(ends int, fingerprints ...quarantine.Fingerprint) []quarantine.Running {
+func known(crashes int, fingerprints ...quarantine.Fingerprint) []quarantine.Running {
 	runs := running(fingerprints...)
 	for i := range runs {
-		runs[i].Known = ends
+		runs[i].Known = crashes
 	}
 	return runs
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -132,21 +132,21 @@
 	counts := map[string]int{}
 	for i := range 7000 {
 		name := "customer" + strconv.Itoa(i)
-		home, deputy := all.Of(name)
+		owner, deputy := all.Of(name)
 		now, _ := fewer.Of(name)
-		counts[home]++
-		if home == ids[0] {
-			home = deputy
+		counts[owner]++
+		if owner == ids[0] {
+			owner = deputy
 		}
-		c.Check(now, qt.Equals, home)
+		c.Check(now, qt.Equals, owner)
 	}
 	for id, count := range counts {
 		c.Check(count > 50 && count < 160, qt.IsTrue, qt.Commentf("%s owns %d customers", id, count))
 	}
-	home, deputy := NewHomes(nil).Of("a")
-	c.Check(home+deputy, qt.Equals, "")
-	home, deputy = NewHomes([]string{"one"}).Of("a")
-	c.Check([]string{home, deputy}, qt.DeepEquals, []string{"one", ""})
+	owner, deputy := NewHomes(nil).Of("a")
+	c.Check(owner+deputy, qt.Equals, "")
+	owner, deputy = NewHomes([]string{"one"}).Of("a")
+	c.Check([]string{owner, deputy}, qt.DeepEquals, []string{"one", ""})
 }
 
 // In a network partition each side leases its share. A member that announces its leave
@@ -335,9 +335,9 @@
 	for _, other := range w.nodes {
 		byID[other.id] = other
 	}
-	home, deputy := NewHomes(n.ids).Of("c")
+	owner, deputy := NewHomes(n.ids).Of("c")
 	ask := Ask{Customer: "c", Limit: w.limit, Want: want, Need: need, Draw: w.rnd.Float64()}
-	if h := byID[home]; h != nil && h.side == n.side && w.rnd.Float64() >= w.lossRate {
+	if h := byID[owner]; h != nil && h.side == n.side && w.rnd.Float64() >= w.lossRate {
 		if own, _ := NewHomes(h.ids).Of("c"); own != h.id {
 			return Grant{}, false
 		}
