--- a/call/service.go
+++ b/call/service.go
@@ -36,7 +36,7 @@
 	return len(s) <= MaxServiceToken && !strings.ContainsFunc(s, func(r rune) bool { return !isUnreserved(r) })
 }
 
-// isUnreserved reports whether r may stand in a Host as it is (RFC 3986, 2.3).
+// isUnreserved reports whether r may occur unescaped in a Host (RFC 3986, 2.3).
 func isUnreserved(r rune) bool {
 	letter := (r|0x20) >= 'a' && (r|0x20) <= 'z'
 	return letter || (r >= '0' && r <= '9') || strings.ContainsRune("-._~", r)
