--- a/call/service.go
+++ b/call/service.go
@@ -9,10 +9,11 @@
 // MaxServiceToken is the longest ServiceToken, in bytes.
 const MaxServiceToken = 63
 
-// ServiceToken returns the form of a service's name that goes between nodes, as the
-// Host of a call and in the membership: 1 to 63 letters, digits and -._~. A name that
-// is of this form is its own token. Any other is its usable letters and a hash of it
-// all, so that equal names have equal tokens at every node. "" stays "".
+// ServiceToken returns the form of a service name that is sent between nodes, as the
+// Host of a call and in the membership: 1 to 63 letters, digits and -._~. A name of
+// this form is its own token. The token of any other name is made of the name's
+// permitted characters and a hash of the complete name, so that equal names have equal
+// tokens at every node. The token of "" is "".
 func ServiceToken(name string) string {
 	if name == "" || isServiceToken(name) {
 		return name
@@ -35,7 +36,7 @@
 	return len(s) <= MaxServiceToken && !strings.ContainsFunc(s, func(r rune) bool { return !isUnreserved(r) })
 }
 
-// isUnreserved reports whether r may stand in a Host as it is (RFC 3986, 2.3).
+// isUnreserved reports whether r may occur unescaped in a Host (RFC 3986, 2.3).
 func isUnreserved(r rune) bool {
 	letter := (r|0x20) >= 'a' && (r|0x20) <= 'z'
 	return letter || (r >= '0' && r <= '9') || strings.ContainsRune("-._~", r)
--- a/customer/customer.go
+++ b/customer/customer.go
@@ -7,18 +7,19 @@
 	"unicode/utf8"
 )
 
-// Customer is one customer as operators define it.
+// Customer is a customer as operators configure it.
 type Customer struct {
-	// Name is what the upstream is told, 1 to 256 bytes of text.
+	// Name is the name that upstreams receive, 1 to 256 bytes of text.
 	Name string `json:"name" yaml:"name"`
-	// Keys are the digests of the keys that its callers may send. A customer
-	// without any can't call.
+	// Keys are the digests of the API keys that the customer's callers may send. A
+	// customer without keys can't call.
 	Keys []Digest `json:"keyDigests" yaml:"keyDigests"`
-	// Priority goes before that of the profile in the shed order: 0 is shed first,
-	// 15 last.
+	// Priority takes precedence over the profile's priority in the shed order: 0 is
+	// shed first, 15 last.
 	Priority int `json:"priority" yaml:"priority"`
-	// Rate is how many requests a second all nodes together send on for it, and
-	// Burst how many may come at once on top. A Rate of 0 is no limit.
+	// Rate is the number of requests per second that all nodes together forward for the
+	// customer. Burst is the number of requests that may arrive at once in addition. A
+	// Rate of 0 means no limit.
 	Rate  float64 `json:"rate,omitempty" yaml:"rate,omitempty"`
 	Burst float64 `json:"burst,omitempty" yaml:"burst,omitempty"`
 }
@@ -30,19 +31,19 @@
 	// MaxRate and MaxBurst keep sums over time far from overflow.
 	MaxRate  = 1e9
 	MaxBurst = 1e9
-	// MaxKeys is the most keys of one customer that operators may submit, and
-	// MaxCustomers the most customers.
+	// MaxKeys is the maximum number of keys of one customer, and MaxCustomers the
+	// maximum number of customers, that operators may submit.
 	MaxKeys      = 100
 	MaxCustomers = 20_000
 )
 
-// Limited reports whether the customer's requests are counted.
+// Limited reports whether the customer has a rate limit.
 func (c *Customer) Limited() bool { return c != nil && c.Rate > 0 }
 
-// Validate checks a list that operators submit, as a whole, and returns every
-// problem with it.
+// Validate checks a complete list of customers submitted by an operator and returns all
+// problems found.
 func Validate(list []Customer) []*Error {
-	v := validator{names: make(map[string]bool, len(list)), holders: make(map[Digest]bool)}
+	v := validator{names: make(map[string]bool, len(list)), usedKeys: make(map[Digest]bool)}
 	if len(list) > MaxCustomers {
 		v.add(-1, strconv.Itoa(len(list)), "customers", "at most "+strconv.Itoa(MaxCustomers))
 	}
@@ -54,7 +55,7 @@
 
 type validator struct {
 	names    map[string]bool
-	holders  map[Digest]bool
+	usedKeys map[Digest]bool
 	problems []*Error
 }
 
@@ -63,35 +64,35 @@
 }
 
 func (v *validator) customer(c *Customer, place int) {
-	shown := strconv.Quote(c.Name)
+	label := strconv.Quote(c.Name)
 	if !ValidName(c.Name) {
-		shown = "number " + strconv.Itoa(place+1)
-		v.add(place, shown, "name", "1 to 256 bytes of text without control characters or spaces at an end")
+		label = "number " + strconv.Itoa(place+1)
+		v.add(place, label, "name", "1 to 256 bytes of text without control characters or spaces at an end")
 	} else if v.names[c.Name] {
-		v.add(place, shown, "name", "a name that no other customer has")
+		v.add(place, label, "name", "a name that no other customer has")
 	}
 	v.names[c.Name] = true
 	if len(c.Keys) > MaxKeys {
-		v.add(place, shown, "keyDigests", "at most "+strconv.Itoa(MaxKeys))
+		v.add(place, label, "keyDigests", "at most "+strconv.Itoa(MaxKeys))
 	}
 	for i, key := range c.Keys {
-		if v.holders[key] {
-			v.add(place, shown, "keyDigests["+strconv.Itoa(i)+"]", "a key that stands nowhere else in the list")
+		if v.usedKeys[key] {
+			v.add(place, label, "keyDigests["+strconv.Itoa(i)+"]", "a key that stands nowhere else in the list")
 		}
-		v.holders[key] = true
+		v.usedKeys[key] = true
 	}
 	if c.Priority < 0 || c.Priority > MaxPriority {
-		v.add(place, shown, "priority", "0 to 15")
+		v.add(place, label, "priority", "0 to 15")
 	}
 	if !(c.Rate >= 0 && c.Rate <= MaxRate) {
-		v.add(place, shown, "rate", "0 to 1e9 requests a second")
+		v.add(place, label, "rate", "0 to 1e9 requests a second")
 	}
 	if !(c.Burst >= 0 && c.Burst <= MaxBurst) {
-		v.add(place, shown, "burst", "0 to 1e9 requests")
+		v.add(place, label, "burst", "0 to 1e9 requests")
 	}
 }
 
-// ValidName reports whether s can name a customer, and be told in a header.
+// ValidName reports whether s can name a customer and can be sent in a header.
 func ValidName(s string) bool {
 	return s != "" && len(s) <= MaxNameLength && utf8.ValidString(s) &&
 		!strings.ContainsFunc(s, unicode.IsControl) && strings.TrimSpace(s) == s
--- a/customer/key.go
+++ b/customer/key.go
@@ -2,22 +2,22 @@
 
 import "net/http"
 
-// Key is what a caller sent to say who it is. It holds no secret. The zero Key is
-// that of a caller that sent none.
+// Key identifies a caller by the API key that it sent. It stores only the digest, not
+// the secret. The zero Key stands for a caller that sent none.
 type Key struct {
 	digest Digest
 	sent   bool
-	known  bool
+	valid  bool
 }
 
-// ReadKey reads a key from a header. An empty one, or more than one, can't be any
-// customer's.
+// ReadKey reads an API key from a header. An empty value, or more than one value,
+// matches no customer.
 func ReadKey(h http.Header, name string) Key {
 	values := h[name]
 	if len(values) != 1 || values[0] == "" {
 		return Key{sent: len(values) > 0}
 	}
-	return Key{digest: DigestOf(values[0]), sent: true, known: true}
+	return Key{digest: DigestOf(values[0]), sent: true, valid: true}
 }
 
 // Sent reports whether the caller sent the header at all.
@@ -25,7 +25,7 @@
 
 // Owner returns the customer of a key, nil if there is none.
 func (d *Directory) Owner(k Key) *Customer {
-	if !k.known {
+	if !k.valid {
 		return nil
 	}
 	return d.byKey[k.digest]
--- a/quarantine/blame.go
+++ b/quarantine/blame.go
@@ -2,52 +2,54 @@
 
 import "time"
 
-// Running is a request that an upstream was running as it ended.
+// Running is a request that an upstream was running when it crashed.
 type Running struct {
 	Fingerprint Fingerprint
-	// Known is how many upstreams had ended under the request before, as whoever
-	// sent it here knew.
+	// Known is the number of upstreams that had crashed under the request before, as
+	// far as the member that sent it here knew.
 	Known int
-	// Completed tells that the same request has completed at this incarnation of the
-	// upstream before.
+	// Completed reports whether the same request had already completed at this
+	// incarnation of the upstream.
 	Completed bool
 	// Label describes the request for operators.
 	Label string
 }
 
-// Blamed is what an end says of one request.
+// Blamed is the new Record of a request that was blamed for a crash.
 type Blamed struct {
 	Record
 	Label string
 }
 
-// Blame is what the end of an upstream says of the requests that it was running.
+// Blame is the result of attributing an upstream's crash to the requests that it was
+// running.
 type Blame struct {
-	// Held are those that are held back from now on, or longer than before.
+	// Held are the requests that are quarantined from now on, or for longer than
+	// before.
 	Held []Blamed
-	// Suspects are those under which an upstream has ended for the first time.
+	// Suspects are the requests under which an upstream has crashed for the first time.
 	Suspects []Fingerprint
 }
 
-// Blame counts the end of an upstream against the requests that it was running.
+// Blame counts the crash of an upstream against the requests that it was running.
 //
-// The load that it answers: one request ends each upstream that runs it, and beside it
-// run tens of others, which are sent on to the same next upstream. Only those that were
-// there at the most ends before are counted one more. Those with fewer have an
-// explanation beside them, and become suspects at most: an innocent request that comes
-// to run beside the cause is not held for it.
+// One request may crash each upstream that runs it. Tens of other requests run beside
+// it and are sent on to the same next upstream. Only the requests with the most earlier
+// crashes are counted one more. For a request with fewer, another running request
+// explains the crash better, so it becomes a suspect at most. An innocent request that
+// happens to run beside the cause is therefore not quarantined for it.
 //
-// A count rises by one from what was known as the run began, so that upstreams which
-// end at the same moment, as when a zone fails, count once for the requests that were
-// running at all of them. Where a zone fails upstream by upstream, its requests are sent
-// on to the next one just before that ends; one that has completed there before is not
-// counted again within endsTogether.
+// A count rises by one from the count that was known when the run began. Upstreams that
+// crash at the same moment, as when a zone fails, therefore count once for the requests
+// that were running at all of them. When the upstreams of a zone fail one by one, a
+// request is sent on to the next upstream just before that one fails too; a request
+// that had completed there before is not counted again within commonCauseWindow.
 func (l *Ledger) Blame(runs []Running, now time.Time) Blame {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	most := 0
+	maxPrior := 0
 	for _, run := range runs {
-		most = max(most, l.priorEnds(run, now))
+		maxPrior = max(maxPrior, l.priorCrashes(run, now))
 	}
 	var blame Blame
 	seen := make(map[Fingerprint]bool, len(runs))
@@ -57,14 +59,14 @@
 		}
 		seen[run.Fingerprint] = true
 		l.endTrial(run.Fingerprint)
-		l.blameOne(run, most, &blame, now)
+		l.blameOne(run, maxPrior, &blame, now)
 	}
 	return blame
 }
 
-// priorEnds is how many upstreams are known to have ended under a request. A completion
-// here is later than what its sender knew.
-func (l *Ledger) priorEnds(run Running, now time.Time) int {
+// priorCrashes returns how many upstreams are known to have crashed under a request. A
+// completion here is more recent than the count that the sender knew.
+func (l *Ledger) priorCrashes(run Running, now time.Time) int {
 	e := l.entries[run.Fingerprint]
 	switch {
 	case e == nil && run.Completed && run.Known < HoldFrom:
@@ -72,18 +74,18 @@
 	case e == nil:
 		return run.Known
 	}
-	if e.clearedLately(now) {
+	if e.recentlyCleared(now) {
 		return 0
 	}
-	prior := max(e.ends, run.Known)
-	if run.Completed && prior < HoldFrom && now.Sub(e.since) < endsTogether {
+	prior := max(e.crashes, run.Known)
+	if run.Completed && prior < HoldFrom && now.Sub(e.changedAt) < commonCauseWindow {
 		return 0
 	}
 	return prior
 }
 
 func (l *Ledger) blameOne(run Running, most int, blame *Blame, now time.Time) {
-	prior := l.priorEnds(run, now)
+	prior := l.priorCrashes(run, now)
 	e := l.entries[run.Fingerprint]
 	if prior < most {
 		if e == nil {
@@ -91,17 +93,17 @@
 		}
 		return
 	}
-	if prior == 0 && (e == nil || e.worst == 0) {
+	if prior == 0 && (e == nil || e.provenCrashes == 0) {
 		l.suspect(run.Fingerprint, blame, now)
 		return
 	}
 	if e == nil {
 		e = l.add(run.Fingerprint, now)
 	}
-	e.ends = min(max(prior, e.worst)+1, MaxEnds)
+	e.crashes = min(max(prior, e.provenCrashes)+1, MaxEnds)
 	e.stamp++
-	e.since, e.tries = now, 0
-	e.completed = time.Time{}
+	e.changedAt, e.inconclusiveTrials = now, 0
+	e.completedAt = time.Time{}
 	e.label = run.Label
 	blame.Held = append(blame.Held, Blamed{Record: e.record(run.Fingerprint), Label: run.Label})
 }
@@ -111,7 +113,7 @@
 	if e == nil {
 		e = l.add(f, now)
 	}
-	e.ends, e.since = 1, now
-	e.completed = time.Time{}
+	e.crashes, e.changedAt = 1, now
+	e.completedAt = time.Time{}
 	blame.Suspects = append(blame.Suspects, f)
 }
--- a/quarantine/hold.go
+++ b/quarantine/hold.go
@@ -2,76 +2,79 @@
 
 import "time"
 
-// HoldFrom is the number of ends from which a request is held back. Two upstreams in
-// turn that end under the same request, while it is the one that both have in common,
-// are more than chance.
+// HoldFrom is the number of crashes from which a request is quarantined. Two successive
+// upstreams that crash while running the same request, when it is the only one that
+// both ran, are unlikely to be a coincidence.
 const HoldFrom = 2
 
-// provenFrom is the number of ends from which a request counts as the cause: it ran
-// alone among those that are held when the last of them ended.
-const provenFrom = 3
+// provenThreshold is the number of crashes from which a request counts as the proven
+// cause: when the last upstream crashed, it was the only quarantined request running
+// there.
+const provenThreshold = 3
 
-// forever is the hold of a request that has ended an upstream at each of its trials.
-// Only an operator clears it, or its entry is forgotten.
-const forever = keepProven
+// maxHoldTime is how long a request that crashed an upstream in each of its trials is
+// held. It is released only when an operator clears it or its entry expires.
+const maxHoldTime = provenTTL
 
-// holds is how long a request is held back, by its ends from HoldFrom on.
-var holds = [...]time.Duration{
-	// An upstream that has ended takes some seconds to be back. A request that is
-	// innocent waits no longer for its trial, and one that is not finds the other
-	// upstreams in service again.
+// holdTimes is how long a request is quarantined, by its number of crashes from
+// HoldFrom on.
+var holdTimes = [...]time.Duration{
+	// A crashed upstream takes some seconds to restart. After this time an innocent
+	// request need not wait longer for its trial, and a request that does crash its
+	// upstream finds the other upstreams back in service.
 	10 * time.Second,
-	// From here on the request is the likely cause, and each trial costs an upstream.
+	// From here on the request is the likely cause, and each trial may cost an
+	// upstream.
 	10 * time.Minute,
 	time.Hour,
 	6 * time.Hour,
 }
 
-// HoldTime is how long a request is held back after its last end.
-func HoldTime(ends int) time.Duration {
+// HoldTime returns how long a request is quarantined after its last crash.
+func HoldTime(crashes int) time.Duration {
 	switch {
-	case ends < HoldFrom:
+	case crashes < HoldFrom:
 		return 0
-	case ends-HoldFrom < len(holds):
-		return holds[ends-HoldFrom]
+	case crashes-HoldFrom < len(holdTimes):
+		return holdTimes[crashes-HoldFrom]
 	}
-	return forever
+	return maxHoldTime
 }
 
-// Times after which an entry is forgotten, from its last change.
+// Times from the last change of an entry to its expiry.
 const (
-	// keepSuspect is for a request that is not proven to be the cause, and for one
+	// suspectTTL applies to a request that is not proven to be the cause, and to one
 	// that was cleared.
-	keepSuspect = 10 * time.Minute
-	// keepProven is for one that is.
-	keepProven = 24 * time.Hour
+	suspectTTL = 10 * time.Minute
+	// provenTTL applies to a proven cause.
+	provenTTL = 24 * time.Hour
 )
 
-// keepTime is how long an entry is kept.
-func keepTime(ends int) time.Duration {
-	if ends >= provenFrom {
-		return keepProven
+// entryTTL returns how long an entry is retained.
+func entryTTL(crashes int) time.Duration {
+	if crashes >= provenThreshold {
+		return provenTTL
 	}
-	return keepSuspect
+	return suspectTTL
 }
 
-// tellTime is how long the members are told of a request.
-func tellTime(ends int) time.Duration {
+// announceTime returns how long a record is announced to the members.
+func announceTime(crashes int) time.Duration {
 	const part = 2
-	if ends == 0 {
-		return tellCleared
+	if crashes == 0 {
+		return announceClearedTime
 	}
-	return keepTime(ends) / part
+	return entryTTL(crashes) / part
 }
 
-// tellCleared is how long the members are told that a request is cleared. All that can
-// be reached have heard it by then.
-const tellCleared = time.Minute
+// announceClearedTime is how long the clearing of a request is announced to the
+// members. Within this time all reachable members have received it.
+const announceClearedTime = time.Minute
 
-// endsTogether is the time within which upstreams that end may do so for one cause that
-// is none of their requests.
-const endsTogether = 2 * time.Second
+// commonCauseWindow is the time within which several upstreams may crash for a common
+// cause that is none of their requests.
+const commonCauseWindow = 2 * time.Second
 
-// completedRecently is how long a completion speaks against blame that is told later:
-// news of an end may be on its way while the request completes elsewhere.
-const completedRecently = 10 * time.Second
+// completionValidity is how long a completion outweighs blame that is received later:
+// the notice of a crash may be on its way while the request completes elsewhere.
+const completionValidity = 10 * time.Second
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -9,89 +9,95 @@
 
 const (
 	ledgerShards = 16
-	// usualSpan is the time over which demand is averaged.
-	usualSpan = time.Second
-	// bucketLife is how long a bucket is kept that nobody asks of. A customer that
-	// comes back finds a new one.
-	bucketLife = time.Minute
-	// maxRetryAfter bounds Grant.RetryAfter.
+	// demandTimeConstant is the time constant of the decaying averages of demand.
+	demandTimeConstant = time.Second
+	// bucketTTL is how long a bucket without requests is retained. A customer that
+	// returns later gets a new bucket.
+	bucketTTL = time.Minute
+	// minRetryAfter and maxRetryAfter bound Grant.RetryAfter.
 	maxRetryAfter = 2 * time.Second
 	minRetryAfter = 20 * time.Millisecond
 )
 
-// Ask is what a node asks the home of a customer for.
+// Ask is a node's request for tokens to the owner of a customer.
 type Ask struct {
 	Customer string
-	// Limit is in force from configuration Version on. The home keeps the limit of
-	// the latest version that it was told of.
+	// Limit applies from configuration Version on. The owner uses the limit of the
+	// latest version that it has received.
 	Limit   Limit
 	Version uint64
-	// Want is how many tokens are wanted, at least 1. Need is how many of them are for
-	// requests that wait; the others are for those to be expected.
+	// Want is the number of tokens requested, at least 1. Need is how many of them are
+	// for requests that are waiting; the others are for requests expected soon.
 	Want, Need int
-	// Share is the part of the limit that may be lent, above 0 to 1.
+	// Share is the share of the limit that may be leased, greater than 0 and at most 1.
 	Share float64
-	// Since is since when this member has counted for the customer, and nobody else.
-	// A customer that asks for the first time finds what has gathered since.
+	// Since is when this member became the customer's only owner. The bucket of a
+	// customer that sends its first request later holds the tokens accumulated since
+	// then.
 	Since time.Time
-	// Draw is a random number from 0 to 1, exclusive, that spreads those who come back.
+	// Draw is a random number in [0, 1) that spreads the times at which refused callers
+	// retry.
 	Draw float64
 }
 
-// Grant is the answer.
+// Grant is the owner's response to an Ask.
 type Grant struct {
-	// Tokens is how many were lent. With none, Spare tells that none was needed.
+	// Tokens is the number of tokens leased. If it is 0, Spare reports whether no
+	// waiting request needed one.
 	Tokens int
 	Spare  bool
-	// RetryAfter is when the next one can be expected, where none was.
+	// RetryAfter is when the next token can be expected, if none was leased to a
+	// waiting request.
 	RetryAfter time.Duration
-	// Use is the customer's demand as a part of its limit, at most 1.
+	// Use is the customer's demand as a fraction of its limit, at most 1.
 	Use float64
 }
 
-// Ledger has the buckets of the customers for which this member counts. All methods may
-// be called concurrently.
+// Ledger has the token buckets of the customers that this member owns. It is safe for
+// concurrent use.
 type Ledger struct {
-	window time.Duration
-	start  func(Limit) float64
-	seed   maphash.Seed
-	shards [ledgerShards]ledgerShard
+	window        time.Duration
+	initialTokens func(Limit) float64
+	seed          maphash.Seed
+	shards        [ledgerShards]ledgerShard
 }
 
 type ledgerShard struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket
 	swept   time.Time
-	_       [32]byte // keeps neighbouring locks off one cache line
+	_       [32]byte // avoids false sharing between the locks of neighbouring shards
 }
 
-// bucket is the account of one customer. Two bounds hold for it: what is lent in any
-// window, which is the limit, and a token bucket that is filled at the pace of such
-// windows and as deep as the burst. The second keeps a customer that sends too much from
-// using up a window in its first second.
+// bucket is the account of one customer. It enforces two bounds: the tokens leased in
+// any window, which is the limit itself, and a token bucket that is as deep as the
+// burst and fills at the limit of a window divided by the window's length. The second
+// bound keeps a customer that sends too much from using up a window in its first
+// second.
 type bucket struct {
 	limit   Limit
 	version uint64
-	// since is when this member began to count.
-	since time.Time
-	level float64
-	at    time.Time
-	lent  windowCount
-	// asked and refused are tokens in a decaying average over usualSpan.
-	asked, refused float64
+	// ownedSince is when this member became the owner of the customer.
+	ownedSince time.Time
+	tokens     float64
+	updatedAt  time.Time
+	leased     windowCount
+	// requested and refused count tokens requested and refused, as decaying averages
+	// over demandTimeConstant.
+	requested, refused float64
 }
 
-// NewLedger returns an empty Ledger for windows of a length, whose new buckets hold
-// start tokens.
+// NewLedger returns an empty Ledger for windows of the given length. start returns the
+// number of tokens in a new bucket.
 func NewLedger(window time.Duration, start func(Limit) float64) *Ledger {
-	l := &Ledger{window: max(window, minWindow), start: start, seed: maphash.MakeSeed()}
+	l := &Ledger{window: max(window, minWindow), initialTokens: start, seed: maphash.MakeSeed()}
 	for i := range l.shards {
 		l.shards[i].buckets = make(map[string]*bucket)
 	}
 	return l
 }
 
-// Ask lends tokens, as many as are there and wanted.
+// Ask leases as many of the requested tokens as are available.
 func (l *Ledger) Ask(a Ask, now time.Time) Grant {
 	s := &l.shards[maphash.String(l.seed, a.Customer)%ledgerShards]
 	s.mu.Lock()
@@ -103,53 +109,54 @@
 		if !a.Since.IsZero() && a.Since.Before(now) {
 			since = a.Since
 		}
-		b = &bucket{limit: a.Limit, version: a.Version, since: since, at: since, level: l.start(a.Limit)}
+		b = &bucket{limit: a.Limit, version: a.Version, ownedSince: since, updatedAt: since, tokens: l.initialTokens(a.Limit)}
 		s.buckets[a.Customer] = b
 	}
 	if a.Version > b.version {
 		b.limit, b.version = a.Limit, a.Version
 	}
-	b.pass(now, a.Share, l.window)
-	return b.lend(a, l.window, now)
+	b.advance(now, a.Share, l.window)
+	return b.lease(a, l.window, now)
 }
 
-// pass brings the bucket up to date.
+// advance updates the bucket to the current time.
 //
-// The failure: a customer has sent its burst, and then counts elsewhere. Its new home
-// knows nothing of the burst, and lends a window's part of it once more. In its first
-// window a home therefore lends at the rate alone.
-func (b *bucket) pass(now time.Time, share float64, window time.Duration) {
-	elapsed := max(now.Sub(b.at), 0)
-	early := min(max(b.since.Add(window).Sub(b.at), 0), elapsed)
-	filled := b.limit.Rate*early.Seconds() + b.limit.in(window)/window.Seconds()*(elapsed-early).Seconds()
-	b.at = now
-	b.level = min(b.level+filled*share, max(b.limit.Burst*share, 1))
-	left := math.Exp(-float64(elapsed) / float64(usualSpan))
-	b.asked *= left
-	b.refused *= left
+// A customer may send its burst and then move to another owner. The new owner knows
+// nothing of the burst and would permit it once more in its first window. Therefore an
+// owner fills the bucket at the rate alone in its first window.
+func (b *bucket) advance(now time.Time, share float64, window time.Duration) {
+	elapsed := max(now.Sub(b.updatedAt), 0)
+	early := min(max(b.ownedSince.Add(window).Sub(b.updatedAt), 0), elapsed)
+	filled := b.limit.Rate*early.Seconds() + b.limit.perWindow(window)/window.Seconds()*(elapsed-early).Seconds()
+	b.updatedAt = now
+	b.tokens = min(b.tokens+filled*share, max(b.limit.Burst*share, 1))
+	decay := math.Exp(-float64(elapsed) / float64(demandTimeConstant))
+	b.requested *= decay
+	b.refused *= decay
 }
 
-// spareShare is the part of a window's limit up to which tokens are lent that no request
-// waits for. Beyond it such tokens, used in the next window, could exceed that one.
-const spareShare = 0.8
+// prefetchShare is the fraction of a window's limit up to which tokens are leased in
+// advance, for requests that are not waiting yet. Beyond it, tokens leased in advance
+// and used in the next window could make that window exceed its limit.
+const prefetchShare = 0.8
 
-func (b *bucket) lend(a Ask, window time.Duration, now time.Time) Grant {
+func (b *bucket) lease(a Ask, window time.Duration, now time.Time) Grant {
 	want := max(a.Want, 1)
-	most := max(b.limit.in(window)*a.Share, 1)
-	lent := b.lent.sum(now, window)
-	if lent >= spareShare*most {
+	maxTokens := max(b.limit.perWindow(window)*a.Share, 1)
+	leased := b.leased.sum(now, window)
+	if leased >= prefetchShare*maxTokens {
 		want = min(want, max(a.Need, 0))
 	}
-	b.asked += float64(want)
-	g := Grant{Use: min(b.asked/(b.limit.in(window)/window.Seconds()*usualSpan.Seconds()), 1)}
+	b.requested += float64(want)
+	g := Grant{Use: min(b.requested/(b.limit.perWindow(window)/window.Seconds()*demandTimeConstant.Seconds()), 1)}
 	if want == 0 {
 		g.Spare = true
 		return g
 	}
-	g.Tokens = min(want, int(b.level+rounding), int(most-lent+rounding))
+	g.Tokens = min(want, int(b.tokens+roundingTolerance), int(maxTokens-leased+roundingTolerance))
 	if g.Tokens > 0 {
-		b.level -= float64(g.Tokens)
-		b.lent.add(g.Tokens, now, window)
+		b.tokens -= float64(g.Tokens)
+		b.leased.add(g.Tokens, now, window)
 		return g
 	}
 	g.Tokens = 0
@@ -161,40 +168,42 @@
 	return g
 }
 
-// rounding makes up for sums of parts that have no exact binary form.
-const rounding = 1e-9
+// roundingTolerance compensates for the rounding errors of sums of fractions that have
+// no exact binary representation.
+const roundingTolerance = 1e-9
 
-// retryAfter spreads those who were refused over the time in which the bucket will have
-// tokens for all of them.
+// retryAfter spreads the retries of refused callers over the time in which the bucket
+// will have tokens for all of them.
 func (b *bucket) retryAfter(a Ask, window time.Duration) time.Duration {
-	rate := b.limit.in(window) / window.Seconds() * a.Share
-	wait := (max(1-b.level, 0) + a.Draw*b.refused) / rate
+	rate := b.limit.perWindow(window) / window.Seconds() * a.Share
+	wait := (max(1-b.tokens, 0) + a.Draw*b.refused) / rate
 	return time.Duration(min(max(wait, minRetryAfter.Seconds()), maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// sweep forgets buckets that nobody asks of. The lock is held.
+// sweep deletes buckets without recent requests. The caller holds the lock.
 func (s *ledgerShard) sweep(now time.Time) {
-	if now.Sub(s.swept) < bucketLife {
+	if now.Sub(s.swept) < bucketTTL {
 		return
 	}
 	s.swept = now
 	for name, b := range s.buckets {
-		if now.Sub(b.at) >= bucketLife {
+		if now.Sub(b.updatedAt) >= bucketTTL {
 			delete(s.buckets, name)
 		}
 	}
 }
 
-// Keep forgets the buckets of customers for which this member counts no more.
+// Keep deletes the buckets of customers that this member no longer owns.
 //
-// The failure: a cut moves a customer to another home and back. The first one's bucket
-// has filled up meanwhile, and the customer has its burst a second time.
-func (l *Ledger) Keep(home func(customer string) bool) {
+// In a network partition a customer may move to another owner and back. Without the
+// deletion, the first owner's bucket would have refilled meanwhile, and the customer
+// would have its burst a second time.
+func (l *Ledger) Keep(isOwner func(customer string) bool) {
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
 		for name := range s.buckets {
-			if !home(name) {
+			if !isOwner(name) {
 				delete(s.buckets, name)
 			}
 		}
@@ -202,22 +211,23 @@
 	}
 }
 
-// Account is what a Ledger holds of one customer.
+// Account is the state of one customer in a Ledger.
 type Account struct {
 	Customer string
 	Limit    Limit
-	// Tokens are there now; Asked and Refused were of late, a second.
+	// Tokens is the number available now. Asked and Refused are recent averages, in
+	// tokens per second.
 	Tokens, Asked, Refused float64
 }
 
-// Accounts returns what is held, in no order.
+// Accounts returns the state of all customers in the ledger, in no particular order.
 func (l *Ledger) Accounts() []Account {
 	var out []Account
 	for i := range l.shards {
 		s := &l.shards[i]
 		s.mu.Lock()
 		for name, b := range s.buckets {
-			out = append(out, Account{Customer: name, Limit: b.limit, Tokens: b.level, Asked: b.asked, Refused: b.refused})
+			out = append(out, Account{Customer: name, Limit: b.limit, Tokens: b.tokens, Asked: b.requested, Refused: b.refused})
 		}
 		s.mu.Unlock()
 	}
