--- a/retry/after.go
+++ b/retry/after.go
@@ -8,51 +8,53 @@
 	"pollengauge.dev/call"
 )
 
-// Defaults of an AfterInput.
+// Defaults for AfterInput.
 const (
 	DefaultAfterBase = time.Second
 	DefaultAfterMax  = 60 * time.Second
 )
 
-// maxLevelFactor is how much further the hints of the lowest level reach than
-// those of the highest one refused. Low levels are admitted last when the
-// overload passes.
+// maxLevelFactor bounds the factor by which the range of hints widens for
+// levels below the level in force. Low levels are admitted last when an
+// overload passes, so their callers should come back later.
 const maxLevelFactor = 3
 
-// maxRecoveryFactor is how much further the hints reach where recovery goes
-// first. What a surge of some seconds left is more than After reckons with, and
-// has to be served beside the usual load without making it wait.
+// maxRecoveryFactor multiplies the overload-dependent part of the range of
+// hints for profiles that prefer recovery time. The backlog left by a surge of
+// some seconds is larger than After estimates, and has to be served beside the
+// usual load without making that load wait.
 const maxRecoveryFactor = 16
 
-// AfterInput is what After looks at.
+// AfterInput holds the inputs of After.
 type AfterInput struct {
-	// Level is the refused request's, InForce the admission level that
-	// refused it (0 when the level had no part in it).
+	// Level is the admission level of the refused request. InForce is the
+	// admission level that refused it, or 0 when the refusal did not depend on
+	// the level.
 	Level   call.Level
 	InForce call.Level
-	// RefusedShare is the share of recent requests that was refused, 0 to 1.
+	// RefusedShare is the share of recent requests that were refused, 0 to 1.
 	RefusedShare float64
-	// Recovery is what the caller's profile prefers, from goodput (0) to
-	// recovery time (1). Towards 1 those who come back are spread thinner, so
-	// that new callers find room beside them.
+	// Recovery is the preference of the caller's profile, from goodput (0) to
+	// recovery time (1). Values near 1 spread the returning callers over a
+	// longer time, which leaves capacity for new callers.
 	Recovery float64
-	// Base is the shortest hint. A longer one leaves more quiet for recovery
-	// and keeps callers waiting longer. Default 1 s.
+	// Base is the shortest hint. A longer one gives the service more time to
+	// recover and keeps callers waiting longer. Default 1 s.
 	Base time.Duration
 	// Max is the longest hint. Default 60 s.
 	Max time.Duration
 }
 
 // After returns how long a refused caller should wait before it tries again.
-// It is only a hint in the answer, which is never held back for it.
+// The hint is only a field of the answer; the answer itself is not delayed.
 //
-// The hints are spread evenly between Base and an end that grows with the
-// overload. A service that refuses the share s of its requests needs
-// 1/(1-s) times as long to serve what came as it took to come, so the end is
-// Base + Base/(1-s), further for levels far below the one in force, and for
-// profiles that put recovery first. Refused
-// callers that all got the same hint would come back at the same time, and be
-// refused together again.
+// Hints are distributed uniformly between Base and an upper end that grows with
+// the overload. A service that refuses the share s of its requests needs
+// 1/(1-s) times the arrival time of those requests to serve them all, so the
+// upper end is Base + Base/(1-s). It is higher for levels far below the level
+// in force and for profiles that prefer recovery time. If all refused callers
+// received the same hint, they would come back at the same time and be refused
+// together again.
 func After(in AfterInput, r *rand.Rand) time.Duration {
 	base := in.Base
 	if base <= 0 {
@@ -77,7 +79,8 @@
 	return 1 / (1 - min(max(share, 0), most))
 }
 
-// recoveryFactor returns 1 for goodput and maxRecoveryFactor for recovery.
+// recoveryFactor returns a factor from 1, when goodput is preferred, to
+// maxRecoveryFactor, when recovery time is preferred.
 func recoveryFactor(recovery float64) float64 {
 	if math.IsNaN(recovery) {
 		return 1
@@ -85,8 +88,8 @@
 	return 1 + (maxRecoveryFactor-1)*min(max(recovery, 0), 1)
 }
 
-// levelFactor returns 1 for a level at or above the one in force, and up to
-// maxLevelFactor below it.
+// levelFactor returns 1 for a level at or above the level in force, and a
+// factor of up to maxLevelFactor for levels below it.
 func levelFactor(level, inForce call.Level) float64 {
 	if level >= inForce {
 		return 1
@@ -95,9 +98,10 @@
 	return 1 + (maxLevelFactor-1)*gap
 }
 
-// WholeSeconds turns a hint into the value of the Retry-After header: at
-// least 1, rounded up or down by chance in proportion to the fraction, so
-// that the mean stays and many callers aren't pushed into one second.
+// WholeSeconds converts a hint to the value of the Retry-After header, which is
+// at least 1. It rounds up with a probability equal to the fraction of a
+// second, and down otherwise. This preserves the mean and does not concentrate
+// many callers in one second.
 func WholeSeconds(d time.Duration, r *rand.Rand) int {
 	whole := int(d / time.Second)
 	fraction := float64(d%time.Second) / float64(time.Second)
--- a/retry/bucket.go
+++ b/retry/bucket.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// Defaults of a BucketConfig.
+// Defaults for BucketConfig.
 const (
 	DefaultCarry = time.Second
-	// carrySlices is how many parts the carry slides by.
+	// carrySlices is the number of slices that Carry is divided into. Earned
+	// retries expire one slice at a time.
 	carrySlices = 10
 	carrySlots  = carrySlices + 1
 )
 
-// BucketConfig sets a Bucket.
+// BucketConfig configures a Bucket.
 type BucketConfig struct {
-	// Ratio is the retries that each first attempt earns, as in BudgetConfig.
+	// Ratio is the number of retries that each first attempt earns, as in
+	// BudgetConfig.
 	Ratio float64
-	// Carry is how long what was earned can be spent. Long lets a fault that has
-	// just begun have more retries, and a window of any length Carry more than
-	// its share. Default 1 s.
+	// Carry is how long an earned retry can be spent. A longer Carry allows
+	// more retries at the start of a fault, and lets a time window of any
+	// length exceed its share by the retries earned during Carry. Default 1 s.
 	Carry time.Duration
-	// Start is as in BudgetConfig.
+	// Start is the time at which the node started, as in BudgetConfig.
 	Start time.Time
 }
 
@@ -49,19 +51,21 @@
 	return c
 }
 
-// Bucket bounds the retries of one node on one service in every window of time: in
-// any span there are at most Ratio times the first attempts of that span and of
-// Carry (up to a tenth longer) before it, and one. Bounds of this kind add up: over
-// all nodes of a fleet the same holds for the sums, however the load is split, and
-// with one retry for each node.
+// Bucket is a token bucket that bounds the retries of one node to one service
+// in every time window. A window of any length has at most one retry more than
+// Ratio times the first attempts made in that window and during Carry (up to a
+// tenth longer) before it. These bounds add up: the same holds for the sums
+// over all nodes of a fleet, however the load is split, with one extra retry
+// for each node.
 //
-// The failure: a bound on the retries of the last ten seconds lets a node spend at
-// once what ten seconds have earned. A deep service begins to refuse half of its
-// calls, the requests that fail make no further calls, and ten seconds later its
-// retries were 0.22 of its first calls, where 0.18 were allowed each node.
+// A bound on the retries of the last ten seconds is not enough, because a node
+// can spend at once the retries earned in ten seconds. When a service far
+// downstream began to refuse half of its calls, the requests that failed made
+// no further calls to it, and ten seconds later its retries were 0.22 of its
+// first calls although each node was limited to 0.18.
 //
-// One whole retry is kept however long ago it was earned, so that a node with a
-// call now and then has one too.
+// One whole retry never expires, so that a node which calls only rarely can
+// retry too.
 type Bucket struct {
 	config BucketConfig
 	slice  time.Duration
@@ -72,7 +76,7 @@
 }
 
 // NewBucket returns an empty Bucket. Settings out of range get their default;
-// Validate tells of them.
+// Validate reports them.
 func NewBucket(config BucketConfig) *Bucket {
 	config = config.withDefaults()
 	return &Bucket{config: config, slice: config.Carry / carrySlices}
@@ -87,7 +91,8 @@
 	b.expire(now)
 }
 
-// Allow reports whether a retry may be made now, and pays for it if so.
+// Allow reports whether a retry may be made now, and if so deducts it from the
+// bucket.
 func (b *Bucket) Allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -107,11 +112,12 @@
 	return int(b.tokens + roundingSlack)
 }
 
-// roundingSlack makes up for sums of a ratio that has no exact binary form: ten
-// times a tenth is a whole retry.
+// roundingSlack compensates for rounding errors in sums of a ratio that has no
+// exact binary form: ten times 0.1 must be one whole retry.
 const roundingSlack = 1e-9
 
-// expire takes away what was earned too long ago. The lock is held.
+// expire removes the retries that were earned more than Carry ago. The caller
+// holds b.mu.
 func (b *Bucket) expire(now time.Time) {
 	kept := b.config.Ratio * float64(sum(b.recent[:], b.epoch(now)))
 	b.tokens = min(b.tokens, max(kept, 1))
--- a/retry/bucket_test.go
+++ b/retry/bucket_test.go
@@ -9,15 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// event is one first attempt, or one retry that was made, of a fleet.
+// event is one first attempt, or one allowed retry, of any node of a fleet.
 type event struct {
 	at    time.Time
 	retry bool
 }
 
-// overspent returns the first span in which the retries of all nodes are more than
-// ratio times the first attempts of the span and of a carry (and a tenth) before
-// it, and one for each life of a node.
+// overspent describes the first time span that breaks the bound, or returns ""
+// if none does. The retries of all nodes in a span may be at most ratio times
+// the first attempts made in the span and during carry (and a tenth) before it,
+// plus one for each incarnation of a node.
 func overspent(events []event, ratio float64, carry time.Duration, lives int) string {
 	for i, begin := range events {
 		retries, firsts := 0, 0
@@ -36,11 +37,10 @@
 	return ""
 }
 
-// The load of a service is split over nodes in any way, nodes start anew with
-// nothing, calls come and stop, and everything fails. In no span of time may the
-// retries of the fleet be more than their share of what came in it or just before:
-// a service that begins to fail would otherwise get, all at once, what was saved
-// while it was well.
+// The fleet's retries must not exceed their share in any time span, however the
+// load is split over nodes, while nodes restart with empty buckets, traffic
+// starts and stops, and all calls fail. Otherwise a service that begins to fail
+// would receive at once all retries that were saved while it was healthy.
 func TestBucketsBoundEachSpanOverTheFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0, 0.5).Draw(t, "ratio")
@@ -79,14 +79,14 @@
 	})
 }
 
-// boundMutant is a bound with one safeguard left out.
+// boundMutant is a Bound with one safeguard left out.
 type boundMutant struct {
 	name string
 	make func() Bound
 }
 
-// hoarder keeps what it earned for ever; spender doesn't take what it gives;
-// inventor begins with retries that nothing has earned.
+// hoarder never expires what it earned; spender doesn't deduct the retries that
+// it allows; inventor starts with retries that no first attempt has earned.
 type (
 	hoarder  struct{ Bucket }
 	spender  struct{ *Bucket }
@@ -105,9 +105,10 @@
 
 func (s spender) Allow(now time.Time) bool { return s.Left(now) > 0 }
 
-// Two nodes, each step a call, a retry that is asked for, half a carry that passes,
-// or a node that starts anew: every sequence of seven steps is played. With each
-// safeguard in place no span is overspent; with one left out, some sequence shows it.
+// Plays every sequence of seven steps for two nodes. Each step is some first
+// calls or some requested retries at one node, the passing of half a carry, or
+// a restart of a node. With all safeguards in place no sequence may break the
+// bound; with any one left out, some sequence must.
 func TestEverySequenceOfASmallFleetKeepsTheBound(t *testing.T) {
 	c := qt.New(t)
 	const ratio = 0.5
@@ -116,8 +117,8 @@
 	c.Check(worstSequence(whole), qt.Equals, "")
 	for _, mutant := range []boundMutant{
 		{"nothing expires", func() Bound { return &hoarder{Bucket: Bucket{config: config}} }},
-		{"retries are not paid", func() Bound { return spender{NewBucket(config)} }},
-		{"a start brings retries", func() Bound {
+		{"allowed retries are not deducted", func() Bound { return spender{NewBucket(config)} }},
+		{"a new bucket starts with unearned retries", func() Bound {
 			b := NewBucket(config)
 			b.tokens = 3
 			b.recent[0] = sliceCount{epoch: 0, count: 6}
@@ -128,7 +129,8 @@
 	}
 }
 
-// worstSequence plays all sequences and returns the first overspent span.
+// worstSequence plays all sequences and describes the first span that breaks
+// the bound.
 func worstSequence(fresh func() Bound) string {
 	const (
 		steps = 7
@@ -177,8 +179,9 @@
 	return overspent(events, 0.5, DefaultCarry, lives)
 }
 
-// A node with a call every few seconds must have a retry now and then, and one
-// with many calls all that they earn, while they come and not much later.
+// A node that makes a call every few seconds must have one retry available. A
+// busy node must have all retries that it earns, and lose them soon after its
+// calls stop.
 func TestBucketsGiveWhatIsEarned(t *testing.T) {
 	c := qt.New(t)
 	quiet := NewBucket(BucketConfig{Ratio: 0.2, Start: start})
@@ -205,7 +208,7 @@
 	c.Check(none.Allow(now), qt.IsFalse)
 }
 
-// Settings from outside that make no sense must be told.
+// Validate must report settings that are out of range.
 func TestBucketConfigIsChecked(t *testing.T) {
 	c := qt.New(t)
 	c.Check(BucketConfig{Ratio: 0.2}.Validate(), qt.IsNil)
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Defaults of a BudgetConfig.
+// Defaults for BudgetConfig.
 const (
 	DefaultRatio  = 0.1
 	DefaultWindow = 10 * time.Second
@@ -15,28 +15,30 @@
 
 const (
 	budgetShards = 8
-	// budgetSlices is how many parts a window slides by. One more slot holds
-	// the part that is being filled.
+	// budgetSlices is the number of slices that a window is divided into. One
+	// more slot holds the slice that is being filled.
 	budgetSlices = 10
 	budgetSlots  = budgetSlices + 1
 )
 
-// BudgetConfig sets a Budget.
+// BudgetConfig configures a Budget.
 type BudgetConfig struct {
-	// Ratio is the retries allowed for each first attempt. A higher ratio
-	// saves more requests when a few targets fail, and adds that much load
-	// when all do: 0.1 means at most 10 % more. Default 0.1.
+	// Ratio is the number of retries allowed for each first attempt. A higher
+	// ratio completes more requests when a few targets fail, and adds that much
+	// load when all targets fail: 0.1 means at most 10 % more. Default 0.1.
 	Ratio float64
-	// Window is how far back attempts count. A short window follows the
-	// traffic; a long one lets a quiet node save up. Default 10 s.
+	// Window is the time over which attempts are counted. A short window
+	// follows changes in the traffic; a long one lets a quiet node save up
+	// retries. Default 10 s.
 	Window time.Duration
-	// Burst is the retries allowed in a window whatever the traffic, so that
-	// a node with a call a minute may retry at all. Over a fleet of n nodes
-	// it adds up to n*Burst. Default 3; negative means none.
+	// Burst is the number of retries allowed in a window independently of the
+	// traffic, so that a node with one call a minute may retry at all. Over a
+	// fleet of n nodes it adds up to n*Burst. Default 3; a negative value means
+	// none.
 	Burst int
-	// Start is the time at which the node started. Times are measured from
-	// it, by the monotonic clock where the values have one, so that a step of
-	// the wall clock moves nothing. Zero means the Unix epoch.
+	// Start is the time at which the node started. Times are measured from it,
+	// by the monotonic clock where the values have one, so that a step of the
+	// wall clock has no effect. Zero means the Unix epoch.
 	Start time.Time
 }
 
@@ -68,16 +70,17 @@
 	return c
 }
 
-// Budget bounds the retries of one node: it allows one only if, with it, the
-// retries of the window that ends now are at most Ratio of the first attempts
-// in that window, plus Burst. The window slides by tenths and is up to a
-// tenth longer than Window.
+// Budget bounds the retries of one node. It allows a retry only if the retries
+// of the window that ends now, including this one, are at most Ratio times the
+// first attempts in that window, plus Burst. The window slides by a tenth of
+// Window at a time and is up to a tenth longer than Window.
 //
-// Credit bounds one request; but when every request of a surge fails, each
-// with credit 2, the load would triple just as it can't be carried. The
-// budget keeps the sum near the first attempts.
+// Credit bounds the retries of one request. That alone is not enough: when
+// every request of a surge fails, each with a credit of 2, the load would
+// triple at the moment when it can't be served. Budget keeps the total load
+// near the number of first attempts.
 //
-// First attempts, which are many, are counted in shards, drawn at random.
+// First attempts, which are many, are counted in shards drawn at random.
 // Retries, which are few, take one lock, so the bound is exact.
 type Budget struct {
 	config BudgetConfig
@@ -93,7 +96,7 @@
 	count int64
 }
 
-// budgetShard has the size of two cache lines, so that shards on different
+// budgetShard is padded to two cache lines, so that shards used by different
 // cores don't share one.
 type budgetShard struct {
 	mu     sync.Mutex
@@ -101,8 +104,8 @@
 	_      [64]byte
 }
 
-// NewBudget returns a Budget. Settings out of range get their default;
-// Validate tells of them.
+// NewBudget returns a Budget. Settings out of range get their default; Validate
+// reports them.
 func NewBudget(config BudgetConfig) *Budget {
 	config = config.withDefaults()
 	return &Budget{config: config, slice: config.Window / budgetSlices}
@@ -140,14 +143,16 @@
 	return max(int(b.bound(state.Firsts))-int(state.Retries), 0)
 }
 
-// bound is the most retries of a window with so many first attempts.
+// bound returns the maximum number of retries in a window with the given number
+// of first attempts.
 func (b *Budget) bound(firsts int64) float64 {
 	return b.config.Ratio*float64(firsts) + float64(b.config.Burst)
 }
 
-// BudgetState is what a Budget counted in its current window.
+// BudgetState holds the counts of a Budget's current window.
 type BudgetState struct {
-	// Firsts and Retries are first attempts and allowed retries.
+	// Firsts is the number of first attempts, Retries the number of allowed
+	// retries.
 	Firsts  int64
 	Retries int64
 }
@@ -172,8 +177,9 @@
 	return firsts
 }
 
-// add counts one in the slot of epoch. A time behind the slot's (two callers
-// read the clock, then took the lock in the other order) counts as the slot's.
+// add increments the slot of epoch. If the slot already holds a later epoch,
+// because two callers read the clock in one order and took the lock in the
+// other, the event is counted in that later epoch.
 func add(slots []sliceCount, epoch int64) {
 	slot := &slots[slotOf(epoch, len(slots))]
 	if slot.epoch < epoch {
@@ -182,7 +188,7 @@
 	slot.count++
 }
 
-// sum adds the slots that lie in the window ending with epoch.
+// sum returns the total of the slots that lie in the window ending with epoch.
 func sum(slots []sliceCount, epoch int64) int64 {
 	var total int64
 	for i := range slots {
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// allFail lets calls arrive evenly and fail, and asks for a retry of each,
-// twice. It returns how many retries were allowed.
+// allFail makes calls that arrive evenly and all fail, and requests two retries
+// of each. It returns the number of retries allowed.
 func allFail(budget *Budget, begin time.Time, calls int, every time.Duration) (allowed int) {
 	for i := range calls {
 		now := begin.Add(time.Duration(i) * every)
@@ -22,10 +22,11 @@
 	return allowed
 }
 
-// Everything fails, and each request has credit for two more attempts. A
-// node's retries must be the share of its first attempts, and the burst once
-// for each window, which is up to a tenth longer than ten seconds. A restart,
-// or a new ratio, forgets the window and brings its burst again, and no more.
+// Every call fails, and each request has credit for two more attempts. A node's
+// retries must stay within their share of its first attempts, plus one burst
+// per window, which is up to a tenth longer than ten seconds. A restart or a
+// new ratio discards the counts of the window and allows one more burst, and
+// nothing beyond it.
 func TestRetriesAreTheShareAndTheBursts(t *testing.T) {
 	c := qt.New(t)
 	const every = 10 * time.Millisecond
--- a/retry/credit.go
+++ b/retry/credit.go
@@ -6,8 +6,9 @@
 	"pollengauge.dev/call"
 )
 
-// The state of a Credit is one word, so that each move is one atomic step:
-// 16 bits of what is left, 32 bits of what is lent out, one closed bit.
+// The state of a Credit is one 64-bit word, so that each change is one atomic
+// operation: 16 bits for the credit left, 32 bits for the credit lent out, and
+// one bit that is set when the Credit is closed.
 const (
 	lentShift = 16
 	leftMask  = 1<<lentShift - 1
@@ -15,12 +16,13 @@
 	closedBit = 1 << 63
 )
 
-// Credit is the extra attempts that one visit (the handling of one call by
-// one node) may still make or hand down.
+// Credit is the number of extra attempts that one visit (the handling of one
+// call by one node) may still make or pass to its downstream calls.
 //
-// The sum over all visits of a request never grows: Take and Lend remove
-// before they give, Return adds no more than is lent out, and a closed Credit
-// accepts nothing. What is lost with an answer counts as spent.
+// The sum over all visits of a request never grows: Take and Lend deduct the
+// credit before they hand it out, Return adds no more than is lent out, and a
+// closed Credit accepts nothing. Credit that is lost together with an answer
+// counts as spent.
 //
 // All methods may be called concurrently. A Credit must not be copied after
 // first use. The zero value has no credit.
@@ -35,14 +37,14 @@
 	return c
 }
 
-// Init sets an unused Credit to n, clamped to 0..call.MaxCredit. It is for
-// a Credit that is a field of the visit, which saves its allocation.
+// Init sets an unused Credit to n, clamped to 0..call.MaxCredit. It is for a
+// Credit that is a field of its visit, which avoids an allocation.
 func (c *Credit) Init(n int) {
 	c.state.Store(uint64(min(max(n, 0), call.MaxCredit)))
 }
 
-// Take removes up to n for the visit's own retries and returns how many it
-// got.
+// Take deducts up to n for the visit's own retries and returns the amount
+// deducted.
 func (c *Credit) Take(n int) int {
 	if n <= 0 {
 		return 0
@@ -72,13 +74,14 @@
 	}
 }
 
-// Lend removes the part of the credit that goes down with one call, and
-// returns it: all but one, or the last one.
+// Lend deducts the part of the credit that is sent downstream with one call,
+// and returns it: all credit but one, or the last one.
 //
-// One reaches any depth, so the hop next to a failure has it wherever that
-// is. Visits near the root that had more keep one for a lost answer, whose
-// loan is spent, or for a second call in parallel. docs/design/retry.md has
-// the comparison with other shares.
+// A credit of one is passed on at any depth, so the hop next to a failure has
+// it wherever that hop is. Visits near the root that had more keep one, either
+// for a retry after a lost answer, whose loan counts as spent, or for a second
+// call in parallel. docs/design/retry.md compares this rule with other ways to
+// split the credit.
 func (c *Credit) Lend() int {
 	for {
 		old := c.state.Load()
@@ -93,13 +96,13 @@
 	}
 }
 
-// Return adds what an answer brought back of a loan. It is called once for
-// each loan whose answer arrived, and with left equal to lent when nothing
-// was sent. It isn't called when the answer was lost: the hop below may have
-// used the loan, so it counts as spent.
+// Return ends a loan and adds the credit that the answer gave back. It is
+// called once for each loan whose answer arrived, and with left equal to lent
+// when nothing was sent. It must not be called when the answer was lost: the
+// downstream hop may have used the loan, so it counts as spent.
 //
-// left is clamped to 0..lent and to all that is lent out, so that a faulty
-// or hostile peer can't raise the credit.
+// left is clamped to 0..lent and to the total that is lent out, so that a
+// faulty or hostile peer can't raise the credit.
 func (c *Credit) Return(lent, left int) {
 	if lent <= 0 {
 		return
@@ -118,8 +121,8 @@
 	}
 }
 
-// Available returns what could be taken now. It is for display and for
-// Decide; Take has the last word.
+// Available returns the credit that could be taken now. It is for display and
+// for Decide; only Take decides atomically.
 func (c *Credit) Available() int {
 	state := c.state.Load()
 	if state&closedBit != 0 {
@@ -128,12 +131,13 @@
 	return int(state & leftMask)
 }
 
-// Left closes the credit and returns what to report upwards.
+// Left closes the Credit and returns the unused credit to report to the calling
+// hop.
 //
-// The amount reported belongs to the hop above from then on. Without closing,
-// a late answer from below or a forgotten goroutine could still spend it here
-// and the same credit would be used twice. A second Left returns 0 for the
-// same reason.
+// From then on the reported amount belongs to the calling hop. Without closing,
+// a late answer from downstream or a forgotten goroutine could still spend it
+// here, and the same credit would be used twice. A second Left returns 0 for
+// the same reason.
 func (c *Credit) Left() int {
 	state := c.state.Swap(closedBit)
 	if state&closedBit != 0 {
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -6,99 +6,107 @@
 	"pollengauge.dev/call"
 )
 
-// Why is the one word that a Verdict gives for its choice. It is a metric
-// label and is shown by explain.
+// Why is the reason for a Verdict, as one word. It is a metric label and is
+// shown by the explain command.
 type Why string
 
-// The reasons for a verdict.
+// Values of Why.
 const (
-	// WhyRetry: the attempt may be made again, elsewhere.
+	// WhyRetry: the attempt may be made again, on another target.
 	WhyRetry Why = "retry"
-	// WhyComplete: there is an answer, nothing to retry. An error of the upstream's
-	// own is retried where running the call twice does no harm.
+	// WhyComplete: the call has a complete answer, so there is nothing to
+	// retry. An error response of the upstream itself is retried if the call is
+	// idempotent.
 	WhyComplete Why = "complete"
 	// WhyMayHaveRun: the call may have run and isn't idempotent.
 	WhyMayHaveRun Why = "may-have-run"
-	// WhyDeeper: the failure was further down, and the hop next to it had its
-	// chance.
+	// WhyDeeper: the failure happened further downstream, and the hop next to
+	// it could retry already.
 	WhyDeeper Why = "deeper"
-	// WhyHeld: upstreams end under the request, and the next one is to be spared.
+	// WhyHeld: the request is held in quarantine. Upstreams crashed while
+	// running it, and no other upstream may be exposed to it.
 	WhyHeld Why = "held"
-	// WhyHopeless: no other target would answer differently.
+	// WhyHopeless: every other target would refuse the call for the same
+	// reason.
 	WhyHopeless Why = "hopeless"
-	// WhyOverload: the service as a whole refuses, not one target.
+	// WhyOverload: the service as a whole refuses calls, not just one target.
 	WhyOverload Why = "overload"
 	// WhyDeadline: too little time is left for another attempt.
 	WhyDeadline Why = "deadline"
-	// WhyNoTarget: every target was tried.
+	// WhyNoTarget: every target was tried already.
 	WhyNoTarget Why = "no-target"
-	// WhyNoCredit: the request has used up its extra attempts, or lent them.
+	// WhyNoCredit: the visit has no credit left; the request has used up its
+	// extra attempts, or lent them to downstream calls.
 	WhyNoCredit Why = "no-credit"
-	// WhyRationed: more retries are wanted than the budget earns, and other
-	// requests need fewer of them.
+	// WhyRationed: more retries are requested than the budget earns, and they
+	// go to requests that need fewer further calls.
 	WhyRationed Why = "rationed"
-	// WhyBudget: this node's retries have reached their share.
+	// WhyBudget: this node's retry budget is used up.
 	WhyBudget Why = "budget"
 )
 
 // OverloadThousandths is the refused share of a service, in thousandths, from
 // which a refusal for overload isn't retried.
 //
-// One hot target of three refuses: another has room, and the retry saves the
-// request. All three refuse: a retry is one more refusal, and takes the
-// node's budget from failures that a retry can mend. A refusal in spite of free
-// slots is none for overload: the next target is as likely to take the call as
-// any.
+// If one overloaded target of three refuses, another has capacity, and the
+// retry completes the request. If all three refuse, a retry is refused too, and
+// uses budget that is then missing for failures that a retry can overcome. A
+// refusal by a target with free slots is not a sign of overload: the next
+// target is as likely to accept the call as any other.
 const OverloadThousandths = 500
 
-// Decision is all that Decide looks at.
+// Decision holds the inputs of Decide.
 type Decision struct {
-	// Outcome and Reason are those of the attempt that ended. A failure seen
-	// here (connect, lost, timeout) has the reason that this node gave it.
+	// Outcome and Reason describe the attempt that ended. For a failure that
+	// this node itself detected (connect, lost, timeout), Reason was set by
+	// this node.
 	Outcome call.Outcome
 	Reason  call.Reason
-	// Hop is the service whose node gave the reason, empty when it was seen
-	// here. Service is the service that was called.
+	// Hop is the service whose node set the reason; it is empty when this node
+	// did. Service is the service that was called.
 	Hop     string
 	Service string
 	// Idempotent is true when running the call twice does no harm.
 	Idempotent bool
-	// Held tells that so many upstreams have ended under the request that no other
-	// one may be given it.
+	// Held is true when the request is in quarantine: so many upstreams have
+	// crashed while running it that no other upstream may receive it.
 	Held bool
-	// Free tells that the attempt never got as far as an upstream, and that
-	// another one may be made without paying: no upstream has had any work from
-	// it. FreeMade is how many free ones there were already.
+	// Free is true when the attempt never reached an upstream, so that another
+	// one may be made without using credit or budget: no upstream has had any
+	// work from it. FreeMade is the number of such free attempts already made
+	// for the call.
 	Free     bool
 	FreeMade int
-	// Credit is what the visit has left, Budget whether the node's budget has
-	// room. Claim fills both.
+	// Credit is the visit's remaining credit. Budget is true when the node's
+	// retry budget allows a retry. Claim sets both.
 	Credit int
 	Budget bool
-	// Benefit is what the retry is worth.
+	// Benefit is the value of the retry, by which Ration chooses.
 	Benefit Benefit
-	// DeadlineLeft is the time left for the call; AttemptTime is what an
-	// attempt is expected to take, 0 when not known.
+	// DeadlineLeft is the time left for the call. AttemptTime is the expected
+	// duration of an attempt, 0 when not known.
 	DeadlineLeft time.Duration
 	AttemptTime  time.Duration
 	// TargetsLeft is the number of targets not tried yet.
 	TargetsLeft int
-	// Refusing is the share of recent attempts on the service that its
-	// targets refused for overload, in thousandths.
+	// Refusing is the share of recent attempts on the service that its targets
+	// refused for overload, in thousandths.
 	Refusing int
 }
 
-// Verdict is Decide's answer.
+// Verdict is the result of Decide.
 type Verdict struct {
 	Retry bool
-	// Free tells that the retry is paid neither from credit nor from budget.
+	// Free is true when the retry is charged neither to the credit nor to the
+	// budget.
 	Free bool
 	Why  Why
 }
 
-// Decide says whether an attempt may be made again. It is pure. The order of
-// the checks is that of their meaning to an operator: safety first, then
-// sense, then the bounds.
+// Decide reports whether an attempt may be made again, and why. It is a pure
+// function. The checks run in the order that matters to an operator: first
+// whether a retry is safe, then whether it can help, then whether the credit
+// and budget allow it.
 func Decide(in Decision) Verdict {
 	switch {
 	case in.Outcome == call.Complete && (in.Reason != call.ReasonUpstreamFailed || !in.Idempotent):
@@ -106,8 +114,8 @@
 	case in.Outcome != call.NotRun && !in.Idempotent:
 		return Verdict{Why: WhyMayHaveRun}
 	case in.Hop != "" && in.Hop != in.Service:
-		// Without this each hop above would retry the same failure, and the
-		// attempts would multiply on the way up.
+		// Without this check each hop on the way up to the root would retry the
+		// same failure, and the attempts would multiply.
 		return Verdict{Why: WhyDeeper}
 	case in.Held:
 		return Verdict{Why: WhyHeld}
@@ -131,27 +139,28 @@
 	return Verdict{Retry: true, Why: WhyRetry}
 }
 
-// Bound is a Budget or a Bucket.
+// Bound limits the retries of a node; Budget and Bucket implement it.
 type Bound interface {
-	// OnFirst counts a first attempt, which earns a part of a retry.
+	// OnFirst counts a first attempt, which earns a fraction of a retry.
 	OnFirst(now time.Time)
-	// Allow reports whether a retry may be made now, and pays for it if so.
+	// Allow reports whether a retry may be made now, and if so deducts it.
 	Allow(now time.Time) bool
 	// Left returns how many retries may be made now.
 	Left(now time.Time) int
 }
 
-// Account is what retries are paid from: their bound, and the ration that chooses
-// among them, nil for none. Draw is a random number from 0 to 1, exclusive, for the
-// ration.
+// Account holds the limits that a retry is charged to: Bound limits the number
+// of retries, and Ration, which may be nil, chooses among the requests for
+// them. Draw is a random number in [0, 1) for the Ration.
 type Account struct {
 	Bound  Bound
 	Ration *Ration
 	Draw   float64
 }
 
-// Claim decides and, when the answer is a retry, takes one from the credit
-// and one from the budget: both or neither. It fills in.Credit and in.Budget.
+// Claim calls Decide and, when the verdict is a retry that is not free, takes
+// one from the credit and one from the budget: both or neither. It sets
+// in.Credit and in.Budget.
 func Claim(in Decision, credit *Credit, account Account, now time.Time) Verdict {
 	in.Credit = credit.Available()
 	in.Budget = true
@@ -172,17 +181,17 @@
 	return verdict
 }
 
-// MaxFree bounds the free attempts of one call. One full target of three is
-// common, two are still likely to have a third with room; what is refused three
-// times is refused everywhere.
+// MaxFree is the maximum number of free attempts of one call. It is common that
+// one target of three is full; when two are, the third is still likely to have
+// capacity. A call that was refused three times is refused everywhere.
 const MaxFree = 2
 
 func (in Decision) free() bool {
 	return in.Free && in.Outcome == call.NotRun && in.FreeMade < MaxFree && BeforeUpstream(in.Reason)
 }
 
-// BeforeUpstream reports whether an attempt that ended not-run for this reason
-// ended before an upstream saw it.
+// BeforeUpstream reports whether an attempt that ended as not-run for this
+// reason ended before an upstream received it.
 func BeforeUpstream(r call.Reason) bool {
 	switch r {
 	case call.ReasonConnect, call.ReasonQueueFull, call.ReasonQueueWait, call.ReasonLevel,
@@ -193,7 +202,7 @@
 }
 
 // hopeless reports whether the reason lies in the call itself, so that every
-// target would say the same.
+// target would refuse it for the same reason.
 func hopeless(r call.Reason) bool {
 	switch r {
 	case call.ReasonDeadline, call.ReasonCancelled, call.ReasonLevelBelow,
@@ -206,7 +215,7 @@
 	return false
 }
 
-// overload reports whether the reason is a refusal by policy.
+// overload reports whether the reason is a refusal by overload control.
 func overload(r call.Reason) bool {
 	switch r {
 	case call.ReasonLevel, call.ReasonQueueFull, call.ReasonQueueWait, call.ReasonUpstreamShed, call.ReasonBusy, call.ReasonPeerFull:
--- a/retry/errors.go
+++ b/retry/errors.go
@@ -1,9 +1,9 @@
 package retry
 
-// ConfigError tells which setting can't be used, and why.
+// ConfigError reports a setting that can't be used, and the values it accepts.
 type ConfigError struct {
 	Field string
-	// Want says what the setting should have been.
+	// Want describes the accepted values.
 	Want string
 }
 
--- a/retry/ration.go
+++ b/retry/ration.go
@@ -8,51 +8,56 @@
 	"pollengauge.dev/call"
 )
 
-// Tuning of a Ration.
+// Parameters of Ration.
 const (
-	// rationTick is how often the shares are set, a fraction of the time in which
-	// a fault of a service shows.
+	// rationTick is the interval at which the granted shares are updated. It is
+	// a fraction of the time in which a fault of a service becomes visible.
 	rationTick = 100 * time.Millisecond
-	// rationWeight is the weight of one tick in what is wanted: half a second
-	// counts, which evens out the arrivals of a tick.
+	// rationWeight is the weight of one tick in the moving average of demand.
+	// The average covers about half a second, which evens out the random
+	// arrivals of a single tick.
 	rationWeight = 0.2
-	// rationHorizon is the time over which what is left is handed out. A longer one
-	// keeps that much unspent at all times, with a shorter one the first to ask in
-	// a tick get it.
+	// rationHorizon is the time over which the available retries are handed
+	// out. With a longer horizon that many retries stay unspent at all times;
+	// with a shorter one the first requests in a tick get them all.
 	rationHorizon = DefaultCarry / 5
-	// maxRemaining is the most calls that are told apart.
+	// maxRemaining is the largest number of remaining calls that is
+	// distinguished; larger numbers count as this one.
 	maxRemaining = 8
 
 	priorities   = int(call.MaxPriority) + 1
 	rationPlaces = maxRemaining * priorities
 )
 
-// Benefit is what a retry is worth: the request that it helps to complete.
+// Benefit describes the value of a retry by the request that it helps to
+// complete.
 type Benefit struct {
 	Priority call.Priority
-	// Remaining is how many calls the run that makes the call still needs, this
-	// one included. Below 1 counts as 1.
+	// Remaining is the number of calls that the calling run still needs,
+	// including this one. Values below 1 count as 1.
 	Remaining int
 }
 
-// place orders benefits: those that need the fewest calls first, and of these the
-// more important ones.
+// place returns the rank of a benefit: runs that need the fewest calls come
+// first, and among these the ones of higher priority.
 func (b Benefit) place() int {
 	remaining := min(max(b.Remaining, 1), maxRemaining)
 	priority := min(int(b.Priority), priorities-1)
 	return (remaining-1)*priorities + priorities - 1 - priority
 }
 
-// Ration says who gets the retries of one service when more are wanted than its
-// budget earns.
+// Ration decides which requests get the retries of one service when more are
+// requested than its budget earns.
 //
-// Load pattern: a service that every request needs several times refuses half of
-// all calls. With one retry for five calls, given to whoever asks first, nearly
-// every request loses one call of four and each retry is wasted with it. A retry
-// of the last call completes a request, one of the first of four completes one in
-// four at best. So the retries go to the runs with the fewest calls left.
+// It is made for services that every request calls several times, at a time
+// when they refuse half of all calls. With one retry for five calls, given to
+// the first that request it, nearly every request loses one call of four, and
+// each of its earlier retries is wasted. A retry of the last call completes a
+// request; a retry of the first of four calls completes one request in four at
+// best. So the retries go to the runs with the fewest calls left.
 //
-// It only chooses: the Bound bounds. All methods may be called concurrently.
+// A Ration only chooses among requests; its Bound limits the number of retries.
+// All methods may be called concurrently.
 type Ration struct {
 	bound Bound
 
@@ -61,14 +66,16 @@
 	wanted [rationPlaces]rationDemand
 }
 
-// rationDemand is what one place asks for, and the share of it that is granted.
+// rationDemand is the demand for retries at one rank, and the share of it that
+// is granted.
 type rationDemand struct {
-	// asked counts the tick under way, usual is the average of a tick.
+	// asked counts the requests in the current tick, usual is their average per
+	// tick.
 	asked, usual float64
 	granted      float64
 }
 
-// NewRation returns a Ration of what a bound allows.
+// NewRation returns a Ration that hands out the retries that bound allows.
 func NewRation(bound Bound) *Ration {
 	r := &Ration{bound: bound}
 	for i := range r.wanted {
@@ -77,8 +84,8 @@
 	return r
 }
 
-// Admit tells whether a retry with this benefit is among those that the budget
-// reaches for. draw is a random number from 0 to 1, exclusive.
+// Admit reports whether a retry with this benefit is among those that the
+// budget suffices for. draw is a random number in [0, 1).
 func (r *Ration) Admit(b Benefit, draw float64, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,13 +100,14 @@
 	return draw < wanted.granted
 }
 
-// settle ends the ticks that have passed and sets the shares for the next one. The
-// lock is held.
+// settle closes the ticks that have passed and sets the granted shares for the
+// next one. The caller holds r.mu.
 func (r *Ration) settle(now time.Time) {
 	ticks := int(now.Sub(r.until)/rationTick) + 1
 	r.until = r.until.Add(time.Duration(ticks) * rationTick)
 	left := float64(r.bound.Left(now)) * float64(rationTick) / float64(rationHorizon)
-	// What was asked came in the first of these ticks; in the others nothing did.
+	// All counted requests came in the first of these ticks; the others had
+	// none.
 	quiet := math.Pow(1-rationWeight, float64(ticks-1))
 	for i := range r.wanted {
 		w := &r.wanted[i]
--- a/retry/ration_test.go
+++ b/retry/ration_test.go
@@ -10,30 +10,31 @@
 	"pollengauge.dev/call"
 )
 
-// shedding is a load: runs that each make calls in turn to a service that refuses a
-// share of all arrivals at random.
+// shedding is a simulated load: runs that each make several calls in turn to a
+// service that refuses a share of all arrivals at random.
 type shedding struct {
 	calls   int
 	refused float64
-	// rate is runs a second, over the seconds that the load lasts.
+	// rate is the number of runs started per second, seconds the duration of
+	// the load.
 	rate, seconds int
-	// ratio is what a first call earns, and again how often one call may be
-	// repeated.
+	// ratio is the number of retries that a first call earns, again the maximum
+	// number of retries of one call.
 	ratio float64
 	again int
-	// choose picks among retries by what is left; without it the first to ask gets
-	// them.
+	// choose enables the Ration; without it retries go to the first calls that
+	// request them.
 	choose bool
 }
 
-// sheddingRun is one run under way.
+// sheddingRun is one run in progress.
 type sheddingRun struct {
 	done, repeated int
 	priority       call.Priority
 }
 
-// play returns how many runs had all their calls, and how many retries were made.
-// All runs take a step each 20 ms.
+// play simulates the load and returns how many runs completed all their calls
+// and how many retries were made. All runs advance by one step every 20 ms.
 func (s shedding) play(seed uint64) (completed, retries int) {
 	const step = 20 * time.Millisecond
 	random := rand.New(rand.NewPCG(seed, 1))
@@ -74,11 +75,12 @@
 	return completed, retries
 }
 
-// A deep service refuses half of all arrivals, and each request needs four or eight
-// of its calls in turn. Retries go to whoever asks first: most are spent on first
-// calls of runs that fail at a later one. Given to the runs with the fewest calls
-// left, the same budget must complete clearly more, at every depth and share refused
-// that it can't pay for.
+// A service far downstream refuses half of all arrivals, and each request needs
+// four or eight calls to it in turn. When retries go to the first calls that
+// request them, most are spent on early calls of runs that fail at a later
+// call. When the same budget goes to the runs with the fewest calls left,
+// clearly more runs must complete, for each number of calls and each refused
+// share that the budget can't cover.
 func TestScarceRetriesCompleteMoreRuns(t *testing.T) {
 	c := qt.New(t)
 	for _, calls := range []int{4, 8} {
@@ -93,20 +95,22 @@
 				n, r = with.play(seed)
 				chosen, chosenRetries = chosen+n, chosenRetries+r
 			}
-			c.Logf("%d calls, %.2f refused: %d of 30000 completed by %d retries, chosen: %d by %d",
+			c.Logf("%d calls per run, %.2f refused: %d of 30000 runs completed with %d retries; with Ration %d with %d retries",
 				calls, refused, first, firstRetries, chosen, chosenRetries)
 			if refused > load.ratio+0.1 {
 				c.Check(float64(chosen) >= 1.2*float64(first), qt.IsTrue)
 				continue
 			}
-			// Nearly all can be paid for, and choosing must cost nothing.
+			// The budget covers nearly all retries, so choosing among them must
+			// cost nothing.
 			c.Check(float64(chosen) >= 0.99*float64(first), qt.IsTrue)
 		}
 	}
 }
 
-// While the budget has enough for all, nobody may be left without: a single refusal
-// of a healthy service must be mended whichever call meets it.
+// While the budget covers all requested retries, each must be granted: an
+// occasional refusal by a healthy service must be retried whichever call of a
+// run it hits.
 func TestPlentifulRetriesAreForAll(t *testing.T) {
 	c := qt.New(t)
 	bucket := NewBucket(BucketConfig{Ratio: 0.2, Start: start})
@@ -124,12 +128,12 @@
 			refused++
 		}
 	}
-	// The first one comes before anything has been earned.
+	// The first refusal comes before any retry has been earned.
 	c.Check(refused <= 2, qt.IsTrue, qt.Commentf("%d of 250 refused", refused))
 }
 
-// Of two runs with as many calls left, the more important one goes first; a run
-// with fewer left goes before either.
+// Runs with fewer calls left must rank first; among runs with equally many,
+// those of higher priority must rank first.
 func TestBenefitsAreOrdered(t *testing.T) {
 	c := qt.New(t)
 	order := []Benefit{
@@ -144,10 +148,11 @@
 	c.Check(Benefit{Priority: 0, Remaining: 1000}.place() < rationPlaces, qt.IsTrue)
 }
 
-// A service sheds for some seconds, and is sound again for minutes. When another
-// fault begins, the first retries are for runs at their first call. They are denied
-// in favour of retries that nobody has wanted for minutes, and these runs fail though
-// the budget is full.
+// A service sheds load for some seconds and is then healthy for minutes. When
+// another fault begins, the first retries requested are for runs at their first
+// call. They must be granted. The fault guarded against: they were denied in
+// favour of demand that was minutes old, and their runs failed although the
+// budget was full.
 func TestWhatWasWantedLongAgoCountsNoMore(t *testing.T) {
 	c := qt.New(t)
 	bucket := NewBucket(BucketConfig{Ratio: 0.2, Start: start})
@@ -160,7 +165,7 @@
 		}
 		now = now.Add(rationTick)
 	}
-	const earns = 300 // for 30 retries in a tick, fewer than were wanted near the end
+	const earns = 300 // they earn 30 retries per tick, fewer than the 40 that were requested for near
 	now = now.Add(5 * time.Minute)
 	for range earns {
 		bucket.OnFirst(now)
--- a/retry/repeats.go
+++ b/retry/repeats.go
@@ -8,7 +8,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Defaults of a RepeatsConfig.
+// Defaults for RepeatsConfig.
 const (
 	DefaultRepeatsWindow  = time.Minute
 	DefaultRepeatsEntries = 1 << 16
@@ -17,35 +17,36 @@
 const (
 	repeatsShards = 16
 	repeatsWays   = 8
-	// maxRepeatsEntries bounds the table to 256 MiB.
+	// maxRepeatsEntries limits the table to 256 MiB.
 	maxRepeatsEntries = 1 << 24
 )
 
-// RepeatsConfig sets a Repeats.
+// RepeatsConfig configures Repeats.
 type RepeatsConfig struct {
 	// Window is how long a request is remembered after it was last seen. It
-	// should outlast the callers' own retry waits. Default one minute.
+	// should be longer than the callers' own delays between retries. Default
+	// one minute.
 	Window time.Duration
-	// Entries is how many requests are remembered, at 16 bytes each. When
-	// more arrive in a window the oldest are forgotten, and their repeats
-	// count as first; Budget still bounds the retries. Default 65536, which
-	// is about a thousand requests a second for a minute.
+	// Entries is the number of requests that are remembered, at 16 bytes each.
+	// When more arrive in a window, the oldest are evicted, and their repeats
+	// count as first requests; Budget still bounds the retries. Default 65536,
+	// which is about a thousand requests a second for a minute.
 	Entries int
-	// Seed keys the hash, so that a caller can't aim at one bucket. Each node
-	// should have its own random one.
+	// Seed keys the hash, so that a caller can't choose ids that collide in one
+	// set. Each node should have a random seed of its own.
 	Seed uint64
-	// Start is as in BudgetConfig.
+	// Start is the time at which the node started, as in BudgetConfig.
 	Start time.Time
 }
 
 // Repeats recognises requests that callers send again, by idempotency key or
-// request id. Without it each of a client's own retries would bring a fresh
-// credit, and a surge of them would multiply below.
+// request id. Without it each retry by a client would start with a new credit,
+// and a burst of client retries would multiply downstream.
 //
-// It is a table of fixed size: sets of eight entries, each with the id's
-// 64-bit hash, the time last seen and a count. Two ids with the same hash,
-// which 65536 entries meet about once in 10^10 tables, cost the second one
-// its credit and nothing else.
+// It is a set-associative table of fixed size: sets of eight entries, each with
+// the id's 64-bit hash, the time when it was last seen and a count. If two ids
+// have the same hash, the second one only loses its credit; among 65536 entries
+// this happens in about one of 10^10 tables.
 type Repeats struct {
 	window time.Duration
 	start  time.Time
@@ -63,7 +64,8 @@
 
 type repeatsEntry struct {
 	hash uint64
-	// seen is in milliseconds since the start; 0 is an empty entry.
+	// seen is the time when the id was last seen, in milliseconds since the
+	// start; 0 marks an empty entry.
 	seen  uint32
 	count uint32
 }
@@ -89,8 +91,8 @@
 	return r
 }
 
-// Seen notes the id and returns how often it was seen before in the window:
-// 0 for a first sight.
+// Seen records the id and returns how often it was seen before in the window: 0
+// for the first time.
 func (r *Repeats) Seen(id string, now time.Time) int {
 	hash := xxh3.HashStringSeed(id, r.seed)
 	shard := &r.shards[hash%repeatsShards]
@@ -110,20 +112,22 @@
 	return int(entry.count)
 }
 
-// stamp turns a time into milliseconds that wrap after 49 days. An entry that
-// old would look new again; but 0 is kept for empty entries.
+// stamp converts a time to milliseconds that wrap around after 49 days, so an
+// entry of that age would look new again. The value 0 is reserved for empty
+// entries.
 func (r *Repeats) stamp(now time.Time) uint32 {
 	return max(uint32(now.Sub(r.start).Milliseconds()), 1)
 }
 
-// expired compares by difference, which holds across the wrap.
+// expired reports whether the entry is older than the window. It compares by
+// difference, which stays correct when the milliseconds wrap around.
 func (r *Repeats) expired(entry *repeatsEntry, at uint32) bool {
 	age := int32(at - entry.seen)
 	return int64(age) > r.window.Milliseconds()
 }
 
-// find returns the entry of hash, or the one to replace: an empty one, else
-// the one unseen for longest.
+// find returns the entry of hash, or else the entry to replace: an empty one,
+// or the one that was seen least recently.
 func (s *repeatsSet) find(hash uint64, at uint32) *repeatsEntry {
 	victim := &s[0]
 	for i := range s {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -14,9 +14,9 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// The hop above takes over what Left reported. An answer from below that
-// comes later, or twice, or a peer that claims more than it was lent, must
-// not let the request try once more than its credit.
+// After Left, the reported credit belongs to the calling hop. An answer from
+// downstream that arrives later or twice, or a peer that returns more than it
+// was lent, must not give the request more attempts than its credit.
 func TestLateRepeatedAndForgedReturnsMintNothing(t *testing.T) {
 	c := qt.New(t)
 	credit := NewCredit(3)
@@ -33,9 +33,9 @@
 	c.Assert(NewCredit(-1).Take(5), qt.Equals, 0)
 }
 
-// A caller may only see a second attempt when the first was proved not to
-// have run, or running twice does no harm; and only from the hop next to the
-// failure, while time, targets, credit and budget are left.
+// A retry may be made only if the first attempt was proved not to have run, or
+// if running the call twice does no harm. It may be made only by the hop next
+// to the failure, and only while time, targets, credit and budget are left.
 func TestDecide(t *testing.T) {
 	c := qt.New(t)
 	base := Decision{
@@ -77,10 +77,11 @@
 	c.Assert(credit.Left(), qt.Equals, 1)
 }
 
-// Callers come and go, everything fails, and time passes in any steps. No
-// retry may be allowed that takes the window's retries over their share of
-// first attempts, or the surge that made them fail would feed itself; and
-// none refused that keeps to it.
+// Simulates traffic that starts and stops while all calls fail and time
+// advances in steps of any size. Budget must not allow a retry that takes the
+// window's retries over their share of first attempts, because retries would
+// then amplify the surge that made the calls fail. It must not refuse a retry
+// that stays within the share.
 func TestBudgetHoldsAtEachRetry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := BudgetConfig{
@@ -130,9 +131,9 @@
 	return n
 }
 
-// A client sends one request again and again among many others. Each repeat
-// must be seen as one, or it brings fresh credit; a first request must never
-// be taken for a repeat, or it loses its credit for nothing.
+// A client sends the same request repeatedly among many others. Each repeat
+// must be recognised, or it would start with a new credit; a first request must
+// never be mistaken for a repeat, or it would lose its credit.
 func TestRepeatsAgreeWithAnExactTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		repeats := NewRepeats(RepeatsConfig{Window: time.Second, Entries: 4096, Start: start})
@@ -157,9 +158,10 @@
 	})
 }
 
-// Ten thousand callers are refused within one second. If their hints agreed
-// they would come back as one wave; the busiest second after must hold a
-// small part of them, the smaller the more are refused.
+// Ten thousand callers are refused within one second. If they all received
+// similar hints, they would come back in one burst. The busiest second
+// afterwards must hold a small part of them, and a smaller one the more
+// requests are refused.
 func TestAfterThinsOutACrowd(t *testing.T) {
 	c := qt.New(t)
 	r := rand.New(rand.NewPCG(5, 6))
@@ -215,10 +217,10 @@
 	}
 }
 
-// A surge is over, and those refused in it come back beside the usual load. A
-// profile that puts recovery first must get them over a far longer time than
-// one that puts goodput first; without overload the two must not differ, or a
-// status check refused by chance would stay away for long.
+// After a surge, the refused callers come back beside the usual load. A profile
+// that prefers recovery time must spread them over a far longer time than one
+// that prefers goodput. Without overload the two profiles must not differ, or a
+// status check that was refused by chance would wait needlessly long.
 func TestAfterSpreadsForRecovery(t *testing.T) {
 	c := qt.New(t)
 	latest := func(share, recovery float64) (hint time.Duration) {
@@ -235,10 +237,10 @@
 	c.Check(latest(0.5, math.NaN()), qt.Equals, 3*time.Second)
 }
 
-// A node refuses a call before its upstream sees it. Another target may be
-// tried although credit and budget are used up, since no upstream has had work
-// from it; but not for ever, not after the upstream had its say, and not where
-// all targets refuse.
+// A node refuses a call before its upstream receives it. Another target may be
+// tried even when credit and budget are used up, since no upstream has had any
+// work from the call. The number of such free attempts is bounded, and none is
+// made after an upstream handled the call or when most targets refuse.
 func TestRetriesBeforeAnyUpstreamAreFree(t *testing.T) {
 	c := qt.New(t)
 	base := Decision{
@@ -266,9 +268,10 @@
 	c.Check(Decide(thrice), qt.Equals, Verdict{Retry: true, Why: WhyRetry})
 }
 
-// Most targets of a service refuse. With free slots it says nothing of their load,
-// and the next one is as likely to take the call as any; with their slots in use, one
-// more attempt is one more refusal.
+// Most targets of a service refuse. A refusal by a target with free slots
+// doesn't indicate load, and the next target is as likely to accept the call as
+// any other. When targets refuse because their slots are in use, one more
+// attempt is likely to be one more refusal.
 func TestRefusalsInSpiteOfRoomAreNoOverload(t *testing.T) {
 	c := qt.New(t)
 	in := Decision{
--- a/retry/tree_test.go
+++ b/retry/tree_test.go
@@ -10,33 +10,37 @@
 	"pgregory.net/rapid"
 )
 
-// scheme is a way to bound retries along a chain.
+// scheme is a rule that bounds retries along a chain of calls.
 type scheme struct {
 	name string
-	// copied gives each call below the whole credit that the visit has.
+	// copied gives each downstream call the whole credit of the visit.
 	copied bool
-	// perHop, when above 0, is the attempts that every hop makes of every
-	// failure, without any credit.
+	// perHop, when above 0, is the number of attempts that every hop makes for
+	// every failed call, without regard to credit.
 	perHop int
 }
 
-// graph is one request on its way: services call others below them, and
-// attempts fail with the given chances.
+// graph simulates one request: services call others downstream, and attempts
+// fail with the given probabilities.
 type graph struct {
 	scheme scheme
-	// width is the calls each visit makes, widths those near the root.
+	// width is the number of calls that each visit makes; widths overrides it
+	// for the first levels from the root.
 	width  int
 	widths []int
 	depth  int
-	// parallel calls of one visit run at once.
+	// parallel makes the calls of one visit run concurrently.
 	parallel bool
-	// refuse, lose and late are the chances that an attempt isn't run, that
-	// its answer is lost, and that a lost answer comes after the visit ended.
+	// refuse, lose and late are the probabilities that an attempt isn't run,
+	// that its answer is lost, and that a lost answer arrives after the visit
+	// ended.
 	refuse, lose, late float64
 
-	// bottomOnly keeps the failures to calls on the lowest services.
+	// bottomOnly limits failures to calls on the services at the bottom of the
+	// graph.
 	bottomOnly bool
-	// runaway ends a scheme that would never end, 0 for none.
+	// runaway is the number of retries after which the simulation makes no
+	// more, for schemes that would not terminate; 0 means no limit.
 	runaway int64
 
 	seed    atomic.Uint64
@@ -47,14 +51,14 @@
 
 type answer struct {
 	ok bool
-	// deeper is true when the failure was below the answering hop.
+	// deeper is true when the failure happened downstream of the answering hop.
 	deeper bool
 	left   int
 }
 
 func (g *graph) random() *rand.Rand { return rand.New(rand.NewPCG(g.seed.Add(1), 7)) }
 
-// visit handles a call and makes those below it.
+// visit handles a call and makes its downstream calls.
 func (g *graph) visit(depth, credit int) answer {
 	own := NewCredit(credit)
 	var failed atomic.Bool
@@ -80,7 +84,7 @@
 	return max(g.width, 1)
 }
 
-// callBelow makes one call, with the retries that the scheme allows.
+// callBelow makes one downstream call, with the retries that the scheme allows.
 func (g *graph) callBelow(depth int, own *Credit, failed *atomic.Bool) {
 	g.firsts.Add(1)
 	for attempt := 1; ; attempt++ {
@@ -108,7 +112,8 @@
 	return own.Take(1) == 1
 }
 
-// attempt is one try over a network that refuses and loses.
+// attempt makes one attempt over a network that refuses calls and loses
+// answers.
 func (g *graph) attempt(depth int, own *Credit) answer {
 	rnd := g.random()
 	lent := own.Available()
@@ -138,10 +143,10 @@
 	}
 }
 
-// A request fans out over services up to fifteen deep. Attempts are refused,
-// answers get lost or come after the visit that waited for them has ended,
-// calls run at once. What callers must never see is that the extra attempts
-// of the whole request add up to more than the credit it started with.
+// A request fans out over services up to fifteen levels deep. Attempts are
+// refused, answers are lost or arrive after the waiting visit has ended, and
+// calls run concurrently. The extra attempts of the whole request must never
+// exceed the credit that it started with.
 func TestCreditBoundsAnyCallGraph(t *testing.T) { rapid.Check(t, checkCallGraph) }
 
 func FuzzCreditBoundsAnyCallGraph(f *testing.F) { f.Fuzz(rapid.MakeFuzz(checkCallGraph)) }
@@ -164,8 +169,9 @@
 	}
 }
 
-// What the design note says of other schemes: how far they multiply when
-// every call on the bottom services is refused.
+// Compares how far other schemes, described in the design note, multiply the
+// attempts when every call on the services at the bottom of the graph is
+// refused.
 func TestSchemesCompared(t *testing.T) {
 	c := qt.New(t)
 	schemes := []scheme{{name: "split"}, {name: "copied", copied: true}, {name: "3 per hop", perHop: 3}}
