--- a/routing/choice.go
+++ b/routing/choice.go
@@ -5,33 +5,35 @@
 	"slices"
 )
 
-// choice is one Pick at work.
+// choice is the state of one Pick.
 type choice struct {
 	view    *view
 	config  *Config
 	exclude []string
-	// typical is the median latency of the service in microseconds.
+	// typical is the median latency of the service's targets, in microseconds.
 	typical int64
 	rnd     uint64
 	at      int64
 	probe   bool
-	// profile is the ProfileKey of the call, and left its time in microseconds;
-	// 0 if not told.
+	// profile is the ProfileKey of the call. left is the time until the call's
+	// deadline in microseconds, 0 if unknown.
 	profile uint32
 	left    int64
-	// alone is true when the latest best had one usable target only, so that
-	// slow start had no peer to turn to.
+	// alone is true when the latest call of best found only one usable target,
+	// so that slow start had no peer to move calls to.
 	alone bool
 }
 
-// choose goes outwards by distance. It leaves the zone with the chance by which
-// the pressure on the zone's candidate exceeds that on the region's, or for a
-// much quicker target; it leaves the region only when that has none. When all are left out, it takes one of
-// those rather than none.
+// choose tries the targets in the order of their distance. A call leaves the
+// zone with a probability equal to the pressure on the zone's candidate minus
+// the pressure on the region's candidate, or for a much faster target. It
+// leaves the region only when the region has no usable target. When all targets
+// are ejected, choose takes an ejected one rather than none.
 //
-// The difference counts, not the pressure at home alone: where all zones are
-// equally full, calls would only change places. At 87 % of all slots 26 % left
-// their zone by the pressure at home, 19 % by the difference
+// The probability depends on the difference, not on the pressure in the own
+// zone alone, because calls would only be exchanged between zones that are
+// equally full. At 87 % of all slots in use, 26 % of the calls left their zone
+// by the pressure in the own zone, 19 % by the difference
 // (TestEquallyFullZonesKeepTheirCalls).
 func (c *choice) choose() (picked *member, probe bool) {
 	local, probe := c.best(c.view.zone, false)
@@ -56,7 +58,7 @@
 	case near != nil && (local == nil || drawn < pressure-c.pressure(near, true)):
 		return near, false
 	case near != nil && pressure == thousand && c.cheaper(local, near) == near:
-		// All are full: the shorter queue counts, wherever it is.
+		// All targets are full, so the shorter queue is chosen, wherever it is.
 		return near, false
 	case local != nil:
 		return local, false
@@ -72,12 +74,12 @@
 	return c.best(c.view.leaving, true)
 }
 
-// chance returns a random number of thousandths, never the whole.
+// chance returns a random number in [0, 1000).
 func (c *choice) chance() int64 { return int64(c.next() % thousand) }
 
-// best draws two usable targets of a tier and returns the cheaper one, or a
-// target that is due for a probe. With ejected set, it draws from those that
-// are left out as well.
+// best draws two usable targets of a tier and returns the cheaper one, or
+// returns an ejected target that is due for a probe. With ejected set, it draws
+// from ejected targets too.
 func (c *choice) best(tier []*member, ejected bool) (picked *member, probe bool) {
 	var usable uint64
 	for i, candidate := range tier {
@@ -106,9 +108,10 @@
 		return tier[first]
 	}
 	a, b := tier[first], tier[c.draw(usable)]
-	// A target in slow start has nothing in flight, so by cost it would win
-	// each draw that it is in. It doesn't take over from a warmer one, and
-	// gets its share of the calls that drew it first.
+	// A target in slow start has few calls in flight, so by cost alone it would
+	// win every draw in which it takes part. It therefore doesn't displace a
+	// target that is further in its slow start, and gets its share only of the
+	// calls that drew it first.
 	share, other := a.measure.share(c.at, c.config), b.measure.share(c.at, c.config)
 	if other >= share && c.cheaper(a, b) == b {
 		return b
@@ -119,7 +122,8 @@
 	return a
 }
 
-// claimProbe lets one call through to a target that is left out.
+// claimProbe reports whether this call may probe an ejected target. It allows
+// one call per probe interval.
 func (c *choice) claimProbe(m *measure) bool {
 	if !c.probe {
 		return false
@@ -135,7 +139,7 @@
 	return slices.Contains(c.exclude, candidate.target.ID)
 }
 
-// draw returns the place of a random set bit.
+// draw returns the index of a random bit that is set.
 func (c *choice) draw(set uint64) int {
 	skip := int(c.next() % uint64(bits.OnesCount64(set)))
 	for range skip {
--- a/routing/config.go
+++ b/routing/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of a Config, in the units of its fields.
+// Defaults for Config, in the units of its fields.
 const (
 	DefaultSubset      = 12
 	DefaultSpillLoad   = 800
@@ -17,54 +17,58 @@
 	DefaultDrainMemory = 10 * time.Second
 )
 
-// MaxSubset is the most targets of one service that a node may use: the
-// choice keeps a bit for each in one word.
+// MaxSubset is the maximum number of targets of one service that a node may
+// use: a choice represents the set of usable targets as bits of one 64-bit word.
 const MaxSubset = 64
 
-// Config sets a Router. Zero fields get the default.
+// Config configures a Router. Zero fields get the default.
 type Config struct {
-	// Node is the id of this node. It decides which share of a large service
-	// the node uses, so it must differ between nodes.
+	// Node is the id of this node. It determines which subset of a large
+	// service the node uses, so it must differ between nodes.
 	Node string
-	// Zone and Region are where this node runs.
+	// Zone and Region are the location of this node.
 	Zone   string
 	Region string
-	// Subset is how many targets of one service the node uses. More balance
-	// the load better and survive more failures; each costs connections on
-	// both sides. Half are of the node's own zone, the rest is dealt over the
-	// other zones of the region. Default 12, at most MaxSubset.
+	// Subset is the number of targets of one service that the node uses. More
+	// targets balance the load better and survive more failures; each costs
+	// connections on both sides. Half of the subset comes from the node's own
+	// zone, and the rest is distributed over the other zones of the region.
+	// Default 12, at most MaxSubset.
 	Subset int
-	// SpillLoad is the load, in thousandths of a target's slots, from which
-	// calls begin to leave the zone; 100 above it all do. Lower spends
-	// cross-zone latency sooner; higher refuses more in the zone before calls
-	// leave it. Default 800.
+	// SpillLoad is the load, in thousandths of a target's slots, above which
+	// calls begin to leave the zone; at 100 more, all of them do. A lower value
+	// accepts cross-zone latency sooner; a higher value refuses more calls in
+	// the zone before calls leave it. Default 800.
 	SpillLoad int
-	// SlowStart is how long a new or returning target takes to get its full
-	// share. Longer is kinder to a cold cache and slower to use a new VM.
-	// Default 10 s.
+	// SlowStart is the time that a new or returning target takes to reach its
+	// full share of calls. A longer time gives a cold cache more time to fill
+	// and delays the use of a new VM. Default 10 s.
 	SlowStart time.Duration
-	// EjectBase and EjectMax bound how long a target is left out: the base
-	// the first time, doubled each time it fails again. Long ones spare more
-	// calls, short ones bring a healed target back sooner. Defaults 2 s, 30 s.
+	// EjectBase and EjectMax bound the duration of an ejection: EjectBase the
+	// first time, doubled with each further ejection up to EjectMax. Longer
+	// ejections expose fewer calls to a failing target, shorter ones return a
+	// recovered target to use sooner. Defaults 2 s and 30 s.
 	EjectBase time.Duration
 	EjectMax  time.Duration
-	// Probe is the least time between two calls that are sent to a target
-	// while it is left out. Each may fail. Default 500 ms.
+	// Probe is the minimum interval between two calls that probe an ejected
+	// target. Each of these calls may fail. Default 500 ms.
 	Probe time.Duration
-	// Outlier is how many times the median latency of its peers makes a
-	// target an outlier. Default 3.
+	// Outlier is the factor by which a target's latency must exceed the median
+	// of its peers for the target to count as an outlier. Default 3.
 	Outlier float64
-	// DrainMemory is how long a refusal for draining keeps a target out
-	// although the members still list it. It should outlast the time that
-	// news takes to spread. Default 10 s.
+	// DrainMemory is how long a target that refused a call because it drains
+	// gets no calls, even if the member list still shows it as available. It
+	// should be longer than the time in which a membership update reaches all
+	// nodes. Default 10 s.
 	DrainMemory time.Duration
-	// LastResort has a draining member picked where no other is left. It is for
-	// members that refuse by themselves, as not run, what they no longer take:
-	// one that restarts in turn with its peers still serves for a while.
+	// LastResort allows Pick to return a draining member when no other target
+	// is left. It is for members that themselves refuse, as not-run, the calls
+	// that they no longer accept: during a rolling restart a draining member
+	// still serves calls for a while.
 	LastResort bool
-	// Start is the time at which the node started. Times are measured from
-	// it, by the monotonic clock where the values have one. Zero means the
-	// Unix epoch.
+	// Start is the time at which the node started. Times are measured from it,
+	// by the monotonic clock where the values have one. Zero means the Unix
+	// epoch.
 	Start time.Time
 }
 
--- a/routing/cost.go
+++ b/routing/cost.go
@@ -1,30 +1,32 @@
 package routing
 
 const (
-	// failedWeight and refusedWeight are how much dearer a target gets when
-	// all its recent calls failed or were refused.
+	// failedWeight and refusedWeight are the amounts added to a target's cost
+	// factor when all its recent calls failed or were refused.
 	failedWeight  = 20
 	refusedWeight = 10
-	// avoidShare is the refused share, in thousandths, at which all calls
-	// leave the zone, and spillRange is how far above SpillLoad the load is
-	// when they all do.
+	// avoidShare is the refused share, in thousandths, at which all calls leave
+	// the zone. spillRange is the excess over SpillLoad, in thousandths, at
+	// which all calls leave it.
 	avoidShare = 500
 	spillRange = 100
-	// margin is how much cheaper the second draw must be. Without it noise in
-	// the averages alone would send all calls of a quiet service to one target.
+	// margin is the cost ratio below which the second target drawn replaces the
+	// first. Without it, noise in the averages alone would send all calls of a
+	// quiet service to one target.
 	margin = 0.8
-	// unmeasured is the latency, in microseconds, of a target whose peers
-	// have not been measured either.
+	// unmeasured is the latency, in microseconds, assumed for a target when
+	// neither it nor its peers have been measured.
 	unmeasured = 1000
 )
 
-// pressure is the chance, in thousandths, that a call should go elsewhere: as
-// the load goes from SpillLoad to full, as refusals and failures become
-// usual, and, with cold set, as long as slow start lasts.
+// pressure returns the probability, in thousandths, that a call should go to
+// another zone. It rises as the load goes from SpillLoad to full and as the
+// shares of refusals and failures grow and, with cold set, is raised during
+// slow start.
 //
-// A chance, not a threshold: with a threshold all nodes of a zone leave it
-// together and come back together, and when the whole region is nearly full
-// that refuses twice as many calls.
+// A probability is used instead of a threshold because with a threshold all
+// nodes of a zone leave it together and come back together, which refuses twice
+// as many calls when the whole region is nearly full.
 func (c *choice) pressure(candidate *member, cold bool) int64 {
 	m := candidate.measure
 	over := (c.load(candidate) - int64(c.config.SpillLoad)) * thousand / spillRange
@@ -37,7 +39,7 @@
 	return min(max(pressure, 0), thousand)
 }
 
-// cheaper returns a, unless b is clearly cheaper; either may be nil.
+// cheaper returns a, unless b is clearly cheaper. Either may be nil.
 func (c *choice) cheaper(a, b *member) *member {
 	switch {
 	case a == nil:
@@ -50,9 +52,9 @@
 	return a
 }
 
-// load returns the higher of what this node has in flight and what the
-// target reports, in thousandths of its slots. The report lags or misleads,
-// so it can only turn calls away.
+// load returns the higher of the target's load from this node's calls in flight
+// and the load that the target reports, in thousandths of its slots. The report
+// may be late or wrong, so it is only used to send fewer calls to the target.
 func (c *choice) load(candidate *member) int64 {
 	own := candidate.measure.inFlight.Load() * thousand / slots(candidate)
 	return max(own, candidate.measure.load.load(c.at, decayMillis))
@@ -60,9 +62,9 @@
 
 func slots(candidate *member) int64 { return int64(max(candidate.target.Slots, 1)) }
 
-// cost is the time that a call is likely to take: the measured latency times
-// the calls already there for each slot, dearer by recent failures and
-// refusals and by the reported load.
+// cost returns the expected duration of a call: the measured latency times the
+// calls in flight for each slot, increased by recent failures and refusals and
+// by the reported load.
 func (c *choice) cost(candidate *member) float64 {
 	m := candidate.measure
 	latency := m.decayedLatency(c.typical, c.at)
--- a/routing/decaying.go
+++ b/routing/decaying.go
@@ -2,9 +2,9 @@
 
 import "sync/atomic"
 
-// decaying is a number that decays linearly to 0 over an interval, in one
-// atomic word: a failure must lose its weight by time alone, because a target
-// that gets no calls can't disprove it.
+// decaying is a number that decays linearly to 0 over an interval, stored in
+// one atomic word. A failure must lose its weight by time alone, because a
+// target that gets no calls can't show that it has recovered.
 type decaying struct {
 	word atomic.Uint64
 }
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,13 +1,14 @@
-// Package routing chooses the target of each call from what this node itself
-// measures.
+// Package routing chooses the target of each call from measurements that this
+// node makes with its own calls.
 //
-// A Router holds a subset of the members of each service, prefers the node's
-// own availability zone, spills to the other zones of the region when its own
-// is full or refusing, or much slower than a call has time for, and leaves the
-// region last. Within a zone it draws two targets at random and takes the one
-// with the lower cost. A target that fails, or is far slower than its peers, is left out for a short time and
-// probed; never more than half of a service at once, because when all look
-// bad the cause is not the target.
+// A Router holds a subset of the members of each service and prefers the node's
+// own availability zone. Calls spill to the other zones of the region when the
+// own zone is full or refusing, or when it is much slower than the time left for
+// the call allows; other regions are the last resort. Within a zone the Router
+// draws two targets at random and takes the one with the lower cost. A target
+// that fails, or is far slower than its peers, is ejected for a short time and
+// probed. At most half of a service is ejected at once, because when most
+// targets look bad the cause is probably not the targets.
 //
 //	router := routing.NewRouter(routing.Config{Node: id, Zone: zone, Region: region})
 //	router.SetTargets(members)
@@ -15,10 +16,12 @@
 //	// send the call to picked.Target
 //	picked.Done(routing.Feedback{Outcome: outcome, Reason: reason, Latency: took}, now)
 //
-// Reported load and level are hints: they can turn calls away from a target,
-// never towards one that this node measures as worse.
+// The load and the admission level that targets report are hints: they can turn
+// calls away from a target, but never towards a target that this node measures
+// as worse.
 //
 // All methods may be called concurrently. Pick takes no lock and allocates
-// nothing. Done locks only the target that it is about. The package does no
-// I/O; time and randomness come in as values.
+// nothing. Done locks only the state of its target, and of its service while it
+// ejects a target. The package does no I/O; times and random numbers are passed
+// in as values.
 package routing
--- a/routing/drain_test.go
+++ b/routing/drain_test.go
@@ -8,11 +8,11 @@
 	"pollengauge.dev/call"
 )
 
-// A node refuses a call since it drains. The drain is cancelled, which the
-// node announces, while callers have not even heard of the drain. It was left
-// out for ten seconds all the same; when the others drained in that time,
-// callers got no-target beside a node that takes work. An announcement from
-// before the refusal must not bring it back.
+// A node refuses a call because it drains. The drain is cancelled and the node
+// announces that, but its callers never received the announcement of the drain.
+// They avoided the node for ten seconds all the same, and got no-target when
+// the other members drained meanwhile. The new announcement must bring the node
+// back; an announcement from before the refusal must not.
 func TestCancelledDrainIsTakenBackByTheMembersWord(t *testing.T) {
 	c := qt.New(t)
 	only := target("t1", "a")
@@ -48,9 +48,10 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// The nodes of a service restart in turn, and for a moment all that are left
-// drain. With LastResort a call goes to one of them, which refuses by itself what
-// it no longer takes; one that has refused for that reason is not asked again.
+// During a rolling restart, all remaining members of a service drain for a
+// moment. With LastResort a call goes to one of them, which itself refuses the
+// calls that it no longer accepts. A member that refused because it drains must
+// not be picked again.
 func TestDrainingMembersAreTheLastResort(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -80,9 +81,10 @@
 	c.Check(err, qt.IsNotNil)
 }
 
-// One member of one service changes what it tells. The other services must keep
-// their view: to build all of them for each change of each member would cost more
-// than the calls. The changed one must show at once.
+// When one member of one service changes its announcement, the views of the
+// other services must stay: rebuilding all of them for each change of each
+// member would cost more than the calls. The change itself must be visible at
+// once.
 func TestChangeOfOneServiceLeavesTheOthersViews(t *testing.T) {
 	c := qt.New(t)
 	targets := []Target{target("t1", "a"), target("t2", "b"), target("u1", "a")}
--- a/routing/eject.go
+++ b/routing/eject.go
@@ -7,42 +7,43 @@
 )
 
 const (
-	// detectMillis is the least time between two comparisons of the targets
-	// of a service.
+	// detectMillis is the minimum interval between two comparisons of the
+	// targets of a service.
 	detectMillis = 500
-	// outlierFloor is the lead over the median, in microseconds, below which
-	// a slow target is no outlier: three times a quarter of a millisecond is
-	// no reason to eject.
+	// outlierFloor is the excess over the median, in microseconds, up to which
+	// a slow target is not an outlier: a latency of three times a quarter of a
+	// millisecond is no reason to eject.
 	outlierFloor = 5000
-	// failedShare is the failed share, in thousandths, from which a target
-	// is taken for bad.
+	// failedShare is the share of failed calls, in thousandths, from which a
+	// target counts as failing.
 	failedShare = 300
-	// outlierRounds is how many comparisons in a row must find a target slow. When
-	// a shared dependency slows down, some averages rise before others, and
-	// for a moment the first looks like an outlier.
+	// outlierRounds is the number of consecutive comparisons that must find a
+	// target slow. When a shared dependency slows down, some averages rise
+	// before others, and for a moment the first one looks like an outlier.
 	outlierRounds = 3
 )
 
-// service is the lasting state of one service: it stays while at least one
-// of its targets does.
+// service is the state of one service. It outlives membership changes as long
+// as the service has at least one member.
 type service struct {
 	view atomic.Pointer[view]
-	// nextDetection is when targets may next be compared, in milliseconds.
+	// nextDetection is the earliest time of the next comparison of targets, in
+	// milliseconds.
 	nextDetection atomic.Int64
 	// typical is the median latency of this region's targets as of the last
 	// comparison, in microseconds.
 	typical atomic.Int64
-	// mu is held while targets are ejected, so that the share that is out is
-	// counted and changed in one step.
+	// mu is held while a target is ejected, so that counting the ejected
+	// targets and ejecting another one is one atomic step.
 	mu sync.Mutex
 }
 
-// eject leaves the target out, unless half of the service is out already.
+// eject ejects the target, unless half of the service is already ejected.
 //
-// Ejecting is a guess that the fault is the target's. When more than half
-// look bad, the cause is more likely this node's own network, or a shared
-// dependency; leaving them all out would turn a slow service into none, and
-// pile the load on the last one.
+// An ejection assumes that the fault is the target's. When more than half of
+// the targets fail, the cause is more likely this node's own network or a
+// shared dependency; ejecting them all would make a slow service unavailable,
+// and move the whole load to the last target.
 func (s *service) eject(m *measure, at int64, config *Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,8 +60,8 @@
 	m.beginEjection(at, config)
 }
 
-// beginEjection leaves m out for a time that doubles with each ejection and halves with
-// each EjectMax without one.
+// beginEjection ejects m for a duration that doubles with each ejection and
+// halves with each period of EjectMax without one.
 func (m *measure) beginEjection(at int64, config *Config) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -76,13 +77,13 @@
 	m.consecutiveFailures = 0
 	m.nextProbe.Store(at + config.Probe.Milliseconds())
 	m.ejectedUntil.Store(at + length)
-	// When the time is over the target ramps up like a new one, so that a
-	// VM that has only just recovered isn't overloaded at once.
+	// After the ejection the target goes through slow start like a new one, so
+	// that a VM that has only just recovered isn't overloaded at once.
 	m.slowStartAt.Store(at + length)
 }
 
-// readmit ends an ejection after a good probe. What was measured before
-// comes from the time when the target was failing.
+// readmit ends an ejection after a successful probe. It replaces the earlier
+// measurements, because they date from the time when the target was failing.
 func (m *measure) readmit(f Feedback, at int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,9 +96,9 @@
 	m.slowStartAt.Store(at)
 }
 
-// detectOutliers compares the targets of the service with each other and
-// ejects the outliers. It runs at most once each detectMillis, in the Done that
-// is first.
+// detectOutliers compares the targets of the service with each other and ejects
+// the outliers. It runs at most once per detectMillis, in the first call of
+// Done after that time.
 func (s *service) detectOutliers(at int64, config *Config) {
 	next := s.nextDetection.Load()
 	if at < next && next-at <= detectMillis {
@@ -112,8 +113,8 @@
 	s.ejectOutliers(v.away, at, config)
 }
 
-// ejectOutliers compares targets at a like distance: those of another region
-// are slower by the network alone.
+// ejectOutliers compares targets at a similar distance, because targets of
+// another region are slower by the network latency alone.
 func (s *service) ejectOutliers(peers []*member, at int64, config *Config) {
 	latency := medianLatency(peers, at)
 	for _, peer := range peers {
@@ -127,8 +128,8 @@
 	}
 }
 
-// countSlowRound counts the comparisons in a row that found m slow, and
-// returns true when they are enough.
+// countSlowRound counts the consecutive comparisons that found m slow, and
+// reports whether they reach outlierRounds.
 func (m *measure) countSlowRound(slow bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -143,8 +144,9 @@
 	return median > 0 && latency-median > outlierFloor && float64(latency) > config.Outlier*float64(median)
 }
 
-// medianLatency is the lower median of the peers that were measured lately.
-// One that was not would bring in the latency of another time.
+// medianLatency returns the lower median latency of the peers that were
+// measured recently. Older measurements are left out because they describe the
+// latency of another time.
 func medianLatency(peers []*member, at int64) int64 {
 	var values [MaxSubset]int64
 	n := 0
--- a/routing/errors.go
+++ b/routing/errors.go
@@ -1,9 +1,9 @@
 package routing
 
-// ConfigError tells which setting can't be used, and why.
+// ConfigError reports a setting that can't be used, and the values it accepts.
 type ConfigError struct {
 	Field string
-	// Want says what the setting should have been.
+	// Want describes the accepted values.
 	Want string
 }
 
@@ -12,20 +12,21 @@
 	return "routing: " + e.Field + ": want " + e.Want
 }
 
-// NoTargetReason says why there is no target.
+// NoTargetReason is the reason why a service has no usable target.
 type NoTargetReason string
 
-// The reasons of a NoTargetError.
+// Values of NoTargetReason.
 const (
 	// NoTargetNone: no member offers the service.
 	NoTargetNone NoTargetReason = "none"
-	// NoTargetDraining: every member that offers it is leaving.
+	// NoTargetDraining: every member that offers the service is draining.
 	NoTargetDraining NoTargetReason = "all-draining"
-	// NoTargetExcluded: the caller has tried every target already.
+	// NoTargetExcluded: every remaining target was tried already for this call.
 	NoTargetExcluded NoTargetReason = "all-excluded"
 )
 
-// NoTargetError is returned by Pick. Nothing was sent, so the call is not-run.
+// NoTargetError is returned by Pick and Place when no target can be chosen.
+// Nothing was sent, so the outcome of the call is not-run.
 type NoTargetError struct {
 	Service string
 	Reason  NoTargetReason
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -20,19 +20,21 @@
 	return Feedback{Outcome: call.Complete, Latency: latency}
 }
 
-// fleet lets routers call targets in virtual time. By default a target takes
-// 20 ms on average, refuses when its slots are full and reports its load.
+// fleet simulates routers that call targets in virtual time. By default a
+// target takes 20 ms on average, refuses calls when its slots are full and
+// reports its load.
 type fleet struct {
 	routers []*Router
 	answer  func(Target) Feedback
 	now     time.Time
 	rnd     *rand.Rand
-	// picked, if set, is told of each choice and the zone of its caller.
+	// picked, if set, is called for each chosen target with the zone of the
+	// caller.
 	picked  func(zone string, t Target)
 	busy    map[string]int
 	calls   map[string]int
 	refused int
-	// due holds the ends of calls by the millisecond.
+	// due holds the callbacks that end calls, by millisecond.
 	due map[int64][]func()
 }
 
@@ -53,8 +55,8 @@
 	}
 }
 
-// run makes rate calls a second at random times by random routers, and
-// returns the calls of each target.
+// run makes rate calls per second at random times by random routers, and
+// returns the number of calls to each target.
 func (f *fleet) run(c *qt.C, d time.Duration, rate float64) map[string]int {
 	f.calls, f.refused = make(map[string]int), 0
 	next := f.now
@@ -101,9 +103,10 @@
 	return good(time.Duration(f.rnd.ExpFloat64() * float64(20*time.Millisecond)))
 }
 
-// All callers sit in one zone whose target can carry two thirds of them; the
-// other zones are idle. Refusals must stay few: the excess goes to the other
-// zones, without the whole zone swinging out and back on late load reports.
+// All callers are in one zone whose target can serve two thirds of their load;
+// the other zones are idle. Few calls may be refused: the excess must go to the
+// other zones, and the zone's callers must not oscillate between leaving and
+// returning because load reports are late.
 func TestOverfullZoneSpillsSmoothly(t *testing.T) {
 	c := qt.New(t)
 	f := newFleet(30, []string{"a"}, 0, threeZones)
@@ -114,8 +117,9 @@
 	c.Assert(calls["t1"] > 37500, qt.IsTrue)
 }
 
-// All zones are equally full, up to where calls begin to leave theirs. Swapping
-// calls between them helps nobody: it only costs bytes between zones.
+// All zones are equally full, up to the load at which calls begin to leave
+// their zone. Exchanging calls between the zones doesn't help and only costs
+// traffic between zones, so few calls may leave.
 func TestEquallyFullZonesKeepTheirCalls(t *testing.T) {
 	c := qt.New(t)
 	for _, load := range []struct{ rate, mostCrossed float64 }{{12000, 0.08}, {13000, 0.22}, {13800, 0.37}} {
@@ -137,9 +141,10 @@
 	}
 }
 
-// Each caller knows a share of a large service only. Some targets are in
-// more shares than others; the load must still be near even, the shares have
-// some of each zone, and a member that leaves must not move the others.
+// Each caller uses only a subset of a large service. Some targets are in more
+// subsets than others; the load must still be nearly even, each subset must
+// include every zone, and removing a member must not change the subsets that
+// don't contain it.
 func TestSubsetBalancesAndBoundsConnections(t *testing.T) {
 	c := qt.New(t)
 	for _, size := range []int{22, 100} {
@@ -150,7 +155,7 @@
 	}
 }
 
-// BenchmarkSubset gives the figures of the design note.
+// BenchmarkSubset measures the figures in the design note.
 func BenchmarkSubset(b *testing.B) {
 	for _, shape := range [][2]int{{22, 6}, {22, 12}, {22, 24}, {100, 6}, {100, 12}, {100, 24}, {300, 6}, {300, 12}, {300, 24}} {
 		b.Run(fmt.Sprintf("members=%d/subset=%d", shape[0], shape[1]), func(b *testing.B) {
@@ -168,7 +173,7 @@
 	loadSkew    float64
 }
 
-// subsetShape lets 560 callers in three zones load a service to 60 %.
+// subsetShape simulates 560 callers in three zones that load a service to 60 %.
 func subsetShape(c *qt.C, size, subset int, d time.Duration) subsetResult {
 	zones := []string{"a", "b", "c"}
 	var targets []Target
--- a/routing/measure.go
+++ b/routing/measure.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// thousand is the whole in shares and loads.
+	// thousand represents 100 % in shares and loads.
 	thousand = 1000
-	// shareGain and latencyGain are how much one attempt moves an average,
-	// as a divisor.
+	// shareGain and latencyGain are the divisors of the moving averages: each
+	// attempt moves the average by 1/gain of the difference.
 	shareGain   = 8
 	latencyGain = 8
-	// maxConsecutiveFailures eject a target at once. One is chance, and three calls
-	// are few enough to lose.
+	// maxConsecutiveFailures is the number of consecutive failures that eject a
+	// target at once. A single failure may be chance, and three are few enough
+	// calls to lose.
 	maxConsecutiveFailures = 3
-	// decayMillis is how long, in milliseconds, a failure or refusal counts
-	// at most without a new one.
+	// decayMillis is the time, in milliseconds, after which a failure or
+	// refusal no longer counts unless another one follows.
 	decayMillis = 5000
 )
 
-// measure is what this node knows of one target by its own calls. It outlives
-// snapshots: a member list that changes elsewhere must not forget it.
+// measure holds what this node has measured of one target by its own calls. It
+// outlives views: a change of the member list elsewhere must not discard it.
 //
-// Pick reads the atomics. Done writes them under mu, except inFlight.
+// Pick reads the atomic fields. Done writes them under mu, except inFlight.
 type measure struct {
 	service *service
-	// slowStartAt is when slow start began, in milliseconds; 0 until the first Pick
-	// of the target.
+	// slowStartAt is the time when slow start began, in milliseconds; 0 until
+	// the target is first picked.
 	slowStartAt atomic.Int64
 
 	inFlight atomic.Int64
-	// latency is the moving average in microseconds, 0 when not measured, and
-	// latencyAt the time of its last sample in milliseconds.
+	// latency is the moving average in microseconds, 0 when not measured.
+	// latencyAt is the time of its last sample in milliseconds.
 	latency   atomic.Int64
 	latencyAt atomic.Int64
 	refused   decaying
@@ -43,27 +44,27 @@
 	load      decaying
 	level     atomic.Int32
 
-	// ejectedUntil, drainedUntil and nextProbe are in milliseconds.
+	// ejectedUntil, drainedUntil and nextProbe are times in milliseconds.
 	ejectedUntil atomic.Int64
 	drainedUntil atomic.Int64
 	nextProbe    atomic.Int64
-	// takesWork is the member's latest announcement without a drain, and
-	// drainRefused the latest one known here when a call was sent that the
-	// target refused because it drains; both are revisions.
+	// takesWork is the revision of the latest announcement in which the member
+	// did not drain. drainRefused is the latest revision that this node knew
+	// when it sent a call that the target refused because it drains.
 	takesWork    atomic.Uint64
 	drainRefused atomic.Uint64
 
 	mu sync.Mutex
-	// consecutiveFailures and slowRounds decide whether to eject; ejections
-	// and lastEjection, in milliseconds, for how long.
+	// consecutiveFailures and slowRounds determine whether to eject the target,
+	// ejections and lastEjection (in milliseconds) for how long.
 	consecutiveFailures int
 	slowRounds          int
 	ejections           int
 	lastEjection        int64
 }
 
-// add counts the result of one attempt, sent at a revision of the member, and
-// returns true when the target should be ejected at once.
+// add records the result of one attempt that was sent when the member had the
+// given revision, and reports whether the target should be ejected at once.
 func (m *measure) add(f Feedback, revision uint64, at int64, config *Config) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -112,9 +113,9 @@
 	m.latency.Store(max(old+(sample-old)/latencyGain, 1))
 }
 
-// decayedLatency returns the average in microseconds, which moves to typical
-// without new samples. Otherwise a target that was slow once, then got no
-// calls for being slow, would count as slow for ever.
+// decayedLatency returns the average in microseconds, which approaches typical
+// while there are no new samples. Otherwise a target that was slow once, and
+// got no calls because of it, would count as slow for ever.
 func (m *measure) decayedLatency(typical, at int64) int64 {
 	latency := m.latency.Load()
 	if latency == 0 || typical == 0 {
@@ -124,15 +125,16 @@
 	return latency + (typical-latency)*age/decayMillis
 }
 
-// addSample takes one sample of 0 or thousand into a decaying share.
+// addSample adds one sample, 0 or thousand, to a decaying share.
 func (m *measure) addSample(share *decaying, sample, at int64) {
 	old := share.load(at, decayMillis)
 	share.store(old+(sample-old)/shareGain, at)
 }
 
-// ejectedFor returns how long the target is still left out, in milliseconds.
-// A time further away than any ejection comes from a clock that was set back;
-// believing it would leave the target out for as long as the step.
+// ejectedFor returns the remaining time of the target's ejection, in
+// milliseconds. An end that is further away than the longest ejection comes
+// from a clock that was set back and is ignored; it would eject the target for
+// as long as the clock's step.
 func (m *measure) ejectedFor(at int64, config *Config) int64 {
 	left := m.ejectedUntil.Load() - at
 	if left <= 0 || left > config.EjectMax.Milliseconds() {
@@ -141,20 +143,22 @@
 	return left
 }
 
-// announced takes in the member's own word on whether it takes work.
+// announced records the member's announcement if it does not drain.
 func (m *measure) announced(t Target) {
 	if !t.Draining {
 		m.takesWork.Store(max(m.takesWork.Load(), t.Revision))
 	}
 }
 
-// drained reports whether the target's refusal still counts.
+// drained reports whether the target's refusal because of a drain still
+// applies.
 //
-// The failure: a drain was cancelled, and callers still left the node out for
-// all of DrainMemory; if the others drained meanwhile they got no-target. What
-// the member announced after the call was sent is newer than the refusal. If
-// it is not, because the node began to drain again in between, that costs one
-// more refusal, which then holds.
+// An announcement without a drain that the member made after the call was sent
+// is newer than the refusal and cancels it. Otherwise, after a cancelled drain,
+// callers would avoid the node for all of DrainMemory; if the other members
+// drained meanwhile, the callers would get no-target. If the node began to
+// drain again between its announcement and the refusal, that costs one more
+// refused call, whose refusal then applies.
 func (m *measure) drained(at int64, config *Config) bool {
 	if m.takesWork.Load() > m.drainRefused.Load() {
 		return false
@@ -163,7 +167,7 @@
 	return left > 0 && left <= config.DrainMemory.Milliseconds()
 }
 
-// share returns what slow start lets through, in thousandths.
+// share returns the share of calls that slow start admits, in thousandths.
 func (m *measure) share(at int64, config *Config) int64 {
 	const first = thousand / 10
 	whole := config.SlowStart.Milliseconds()
@@ -185,8 +189,9 @@
 	}
 }
 
-// release takes a call off the in-flight count and returns what remains. A
-// second Done for one Pick must not make the target look idle for ever.
+// release decrements the in-flight count and returns the new count. It never
+// goes below 0, so a second Done for one Pick can't make the target look idle
+// for ever.
 func (m *measure) release() int64 {
 	for {
 		old := m.inFlight.Load()
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -4,40 +4,39 @@
 	"time"
 )
 
-// Picked is a target with a place in its in-flight count, which Done gives
-// back.
+// Picked is a chosen target. The call counts as in flight on it until Done.
 type Picked struct {
 	Target Target
-	// Probe is true when the target is left out and this call tests it.
+	// Probe is true when the target is ejected and this call probes it.
 	Probe bool
 
 	measure *measure
 	router  *Router
 }
 
-// Call is what a choice depends on.
+// Call describes the call to choose a target for.
 type Call struct {
 	Service string
-	// Exclude has the IDs already tried for this call.
+	// Exclude holds the IDs of the targets already tried for this call.
 	Exclude []string
-	// Steady is set for a call that must not test a doubtful target, such as a
-	// filing that can't be repeated.
+	// Steady is true for a call that must not probe an ejected target, such as
+	// a filing that can't be repeated.
 	Steady bool
 	// Profile is the ProfileKey of the call's profile, and Left the time until
-	// its deadline. Without them work times count for nothing.
+	// its deadline. Without them work times are ignored.
 	Profile uint32
 	Left    time.Duration
 }
 
-// Pick chooses a target. exclude has the IDs already tried for this call; rnd
+// Pick chooses a target. exclude holds the IDs already tried for this call; rnd
 // is any random number. The error is a *NoTargetError.
 //
-// Each Picked needs exactly one Done.
+// Done must be called exactly once for each Picked.
 func (r *Router) Pick(service string, exclude []string, rnd uint64, now time.Time) (Picked, error) {
 	return r.Place(Call{Service: service, Exclude: exclude}, rnd, now)
 }
 
-// Place is Pick for a call that is told in full.
+// Place is like Pick, with all properties of the call given.
 func (r *Router) Place(call Call, rnd uint64, now time.Time) (Picked, error) {
 	s := (*r.services.Load())[call.Service]
 	if s == nil {
@@ -64,8 +63,8 @@
 	return Picked{Target: candidate.target, Probe: probed, measure: candidate.measure, router: r}, nil
 }
 
-// Done gives back the in-flight place and counts what the call showed. It
-// returns how many calls of this node the target still has.
+// Done ends the call's count as in flight and records its result. It returns
+// the number of calls that this node still has in flight on the target.
 func (p Picked) Done(f Feedback, now time.Time) int {
 	if p.measure == nil {
 		return 0
@@ -84,7 +83,7 @@
 	return int(left)
 }
 
-// recovered reports whether a probe's latency is no outlier.
+// recovered reports whether the latency of a probe is not an outlier.
 func (m *measure) recovered(took time.Duration, at int64, config *Config) bool {
 	peers := m.service.view.Load().peersOf(m)
 	return !outlier(took.Microseconds(), medianLatency(peers, at), config)
--- a/routing/quicker.go
+++ b/routing/quicker.go
@@ -1,28 +1,30 @@
 package routing
 
-// A call leaves its zone for a quicker upstream by the part of its time that it
-// saves there, in thousandths of the time that it has left: none below
-// quickerFrom, nearly all from quickerFull.
+// A call leaves its zone for a faster upstream with a probability that depends
+// on the work time it would save there, in thousandths of the time until its
+// deadline: 0 up to quickerFrom, rising to quickerMost near quickerFull.
 //
-// The failure: upstreams of a service differ in speed by two to three, and one
-// zone has the slow ones. Calls near their deadline ended there unfinished while
-// quick upstreams in the next zone had free slots. A saving of under a fortieth
-// of the time left rarely decides whether a call ends in time, and each call
-// that leaves costs bytes between zones. On a calm day of 14,450 requests 50
-// failed without this, 25 with the bounds at 50 and 100, 15 with these.
+// This is for services whose upstreams differ in speed by a factor of two to
+// three, when one zone has the slow ones. Without it, calls near their deadline
+// ran out of time in that zone while fast upstreams in the next zone had free
+// slots. A saving of less than a fortieth of the time left rarely decides
+// whether a call meets its deadline, and each call that leaves costs traffic
+// between zones. On a calm day of 14,450 requests, 50 failed without this rule,
+// 25 with the bounds at 50 and 100, and 15 with the bounds used here.
 const (
 	quickerFrom = 25
 	quickerFull = 60
-	// quickerMost leaves some calls in the zone, by which an upstream that has
-	// become quicker again is noticed.
+	// quickerMost is the maximum probability, in thousandths. The calls that
+	// stay in the zone detect an upstream there that has become faster again.
 	quickerMost = 950
 )
 
-// quicker returns a target of the region's other zones at which the call is
-// likely to end so much sooner than at local that it should leave its zone, or
-// nil. Targets that are under pressure or in slow start are not taken for quick.
-// Where the zone has several usable targets the calls stay: their cost by latency
-// finds the quicker of them without a byte between zones.
+// quicker returns a target in the region's other zones for which the call
+// should leave its zone because it is likely to finish there so much sooner
+// than at local, or nil. Targets under pressure or in slow start are less
+// likely to be considered. If the zone has several usable targets, the call
+// stays: the choice by cost already prefers the faster of them, without traffic
+// between zones.
 func (c *choice) quicker(local *member) *member {
 	home := local.target.WorkTimes.of(c.profile)
 	if home == 0 || c.left <= 0 || !c.alone {
@@ -39,7 +41,8 @@
 	return quickest
 }
 
-// quickest returns the region's target with the shortest work time under limit.
+// quickest returns the target in the region's other zones with the shortest
+// work time below limit.
 func (c *choice) quickest(limit int64) (quickest *member) {
 	for _, candidate := range c.view.region {
 		took := candidate.target.WorkTimes.of(c.profile)
@@ -51,9 +54,9 @@
 	return quickest
 }
 
-// quiet tells whether a target can take a call that has no need to go there. The
-// more pressure, the rarer: were it a threshold, all callers would turn to the
-// quickest target and away from it together.
+// quiet reports whether a target can take a call that has no need to go there.
+// The probability falls with the pressure on the target: with a threshold, all
+// callers would move to the fastest target and away from it together.
 func (c *choice) quiet(candidate *member) bool {
 	m := candidate.measure
 	if c.excluded(candidate) || m.drained(c.at, c.config) || m.ejectedFor(c.at, c.config) > 0 {
--- a/routing/quicker_test.go
+++ b/routing/quicker_test.go
@@ -12,8 +12,9 @@
 
 const bookingProfile = "booking"
 
-// speeds are three upstreams of one service that differ as those of one type of
-// VM do in practice: the slow one takes 1.7 times as long, the quick one 0.7.
+// speeds returns three upstreams of one service whose speeds differ as much as
+// those of VMs of one type do in practice: the slow one takes 1.7 times as long
+// as the usual one, the quick one 0.7 times.
 func speeds(slots int) []Target {
 	targets := []Target{target("slow", "a"), target("usual", "b"), target("quick", "c")}
 	for i, factor := range []float64{1 / 0.6, 1, 1 / 1.4} {
@@ -23,8 +24,9 @@
 	return targets
 }
 
-// work draws how long a booking takes at a target: log-normal around 120 ms by
-// its speed, one in a hundred five times as long.
+// work draws the duration of a booking at a target: log-normal around 120 ms
+// scaled by the target's speed, and five times as long for one call in a
+// hundred.
 func work(t Target, rnd *rand.Rand) time.Duration {
 	mean := float64(t.WorkTimes[0].Micros)
 	took := mean * math.Exp(0.8*rnd.NormFloat64()-0.32)
@@ -34,8 +36,9 @@
 	return time.Duration(min(took, mean*7)) * time.Microsecond
 }
 
-// place makes calls by a router in zone a, a few at a time, and returns the
-// share that took longer than the time they had and the calls of each target.
+// place makes calls by a router in zone a, a few in flight at a time, and
+// returns the share that missed the deadline and the number of calls to each
+// target.
 func place(c *qt.C, targets []Target, left time.Duration, profile string, calls int) (late float64, placed map[string]int) {
 	r := NewRouter(Config{Node: "n", Zone: "a", Region: "hu", Start: start})
 	r.SetTargets(targets)
@@ -57,9 +60,10 @@
 	return float64(tooLate) / float64(calls), placed
 }
 
-// Bookings that can't be repeated have 800 ms, and the upstream in their zone is
-// the slow one: callers saw one in fifty run out of time there, while a quick
-// upstream in the next zone was idle. Calls that have time to spare stay.
+// Bookings that can't be repeated have 800 ms, and the upstream in their zone
+// is the slow one. One in fifty missed the deadline there while a fast upstream
+// in the next zone was idle. Calls with enough time left must stay in their
+// zone.
 func TestCallsNearTheirDeadlineGoToAQuickerUpstream(t *testing.T) {
 	c := qt.New(t)
 	const calls, deadline = 20_000, 800 * time.Millisecond
@@ -73,8 +77,9 @@
 	c.Check(placed, qt.DeepEquals, map[string]int{"slow": calls})
 }
 
-// The zone has two upstreams, one of them slow. Calls that left it for a quick one
-// elsewhere would cost bytes between zones that a choice within the zone does not.
+// The zone has two upstreams, one of them slow. Calls must not leave the zone
+// for a faster upstream elsewhere: that costs traffic between zones, which a
+// choice within the zone does not.
 func TestCallsStayWhereTheZoneHasAChoice(t *testing.T) {
 	c := qt.New(t)
 	targets := speeds(100)
@@ -84,8 +89,8 @@
 	c.Check(placed["usual"] > placed["slow"], qt.IsTrue)
 }
 
-// The quick upstream fills up. Were calls still sent there for its speed, they
-// would be refused although their own zone has room.
+// The fast upstream in the other zone fills up. If calls were still sent there
+// for its speed, they would be refused although their own zone has capacity.
 func TestQuickUpstreamUnderPressureIsLeftAlone(t *testing.T) {
 	c := qt.New(t)
 	targets := speeds(100)
@@ -112,9 +117,10 @@
 	c.Check(placed["slow"] > 1800, qt.IsTrue)
 }
 
-// A mean wavers with each call. Told at each, 560 members would flood each other
-// with what changes nothing; told never, a node that turned slow would keep its
-// calls. Profiles are told by how often they are called.
+// A mean varies with each call. If it were announced at each change, 560
+// members would flood each other with messages that have no effect; if it were
+// never announced, a node that turned slow would keep its calls. The most
+// frequently called profiles must be announced.
 func TestWorkTimesAreToldWhenTheyChange(t *testing.T) {
 	c := qt.New(t)
 	var w WorkMeter
@@ -141,7 +147,7 @@
 	for range 300 {
 		second()
 	}
-	c.Logf("told %d times in 300 s without a change", told)
+	c.Logf("announced %d times in 300 s without a change", told)
 	c.Check(told <= 12, qt.IsTrue)
 	slow, told = 4, 0
 	for range 6 {
--- a/routing/router.go
+++ b/routing/router.go
@@ -13,30 +13,31 @@
 type Router struct {
 	config   Config
 	services atomic.Pointer[map[string]*service]
-	// mu is held by SetTargets alone.
+	// mu serializes calls of SetTargets; nothing else locks it.
 	mu sync.Mutex
-	// fresh is set until the first SetTargets: what a node finds when it
-	// starts isn't new to the others and needs no slow start.
+	// fresh is true until the first SetTargets. The members that a node finds
+	// when it starts are not new to the other nodes and need no slow start.
 	fresh bool
-	// now is the latest time that a Pick or Done brought, in milliseconds.
+	// now is the time passed to the latest Pick or Done, in milliseconds.
 	now atomic.Int64
 }
 
 // NewRouter returns a Router without targets. Settings out of range get their
-// default; Config.Validate tells of them.
+// default; Config.Validate reports them.
 func NewRouter(config Config) *Router {
 	r := &Router{config: config.withDefaults(), fresh: true}
 	r.services.Store(&map[string]*service{})
 	return r
 }
 
-// millis returns the time since the start, at least 1.
+// millis returns the time since the start in milliseconds, at least 1.
 func (r *Router) millis(now time.Time) int64 {
 	return max(now.Sub(r.config.Start).Milliseconds(), 1)
 }
 
-// tick is millis, and keeps the time for those methods that are not given it.
-// It writes at most once a millisecond, since processors contend for the word.
+// tick returns millis(now) and stores it for methods that have no time
+// argument. It writes at most once a millisecond, because processors contend
+// for the word.
 func (r *Router) tick(now time.Time) int64 {
 	at := r.millis(now)
 	if r.now.Load() != at {
@@ -45,11 +46,11 @@
 	return at
 }
 
-// SetTargets replaces the members of all services. What was measured stays
-// with each target that stays, by ID. Targets without ID or service are left
-// out, and of two with one ID and service the first counts.
+// SetTargets replaces the members of all services. Measurements are retained
+// for each target, by ID, that is still a member. Targets without ID or service
+// are ignored, as are duplicates of an ID and service after the first.
 //
-// Calls in flight on a target that goes away end as usual.
+// Calls in flight on a target that is removed finish as usual.
 func (r *Router) SetTargets(targets []Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,8 +92,8 @@
 	return grouped
 }
 
-// update gives s a new view. It holds s.mu, so that no ejection is decided
-// on the old one.
+// update replaces the view of s. It holds s.mu, so that no ejection is decided
+// on the old view.
 func (r *Router) update(s *service, targets []Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +113,8 @@
 	}
 	v := buildView(members, &r.config)
 	if v.ejected(at, &r.config)*2 > len(v.active) {
-		// The healthy half left: better a bad target than none.
+		// The targets that were not ejected are gone. Calling an ejected target
+		// is better than calling none.
 		v.endEjections()
 	}
 	s.view.Store(v)
@@ -126,8 +128,8 @@
 	return m
 }
 
-// Snapshot returns the state of each member of a service as of the latest
-// Pick or Done, for display.
+// Snapshot returns the state of each member of a service as of the latest Pick
+// or Done, for display.
 func (r *Router) Snapshot(service string) []TargetState {
 	s := (*r.services.Load())[service]
 	if s == nil {
@@ -169,8 +171,8 @@
 	return names
 }
 
-// Candidates returns how many targets Pick could still choose from: those
-// not in exclude that don't drain.
+// Candidates returns the number of targets that Pick could still choose from:
+// those that are not in exclude and don't drain.
 func (r *Router) Candidates(service string, exclude []string, now time.Time) int {
 	s := (*r.services.Load())[service]
 	if s == nil {
@@ -180,8 +182,8 @@
 }
 
 // Refusing returns the share of recent attempts that the targets of a service
-// in this region refused for overload, in thousandths. It tells one hot
-// target from a service that is full.
+// in this region refused for overload, in thousandths. It distinguishes one
+// overloaded target from a service that is full.
 func (r *Router) Refusing(service string, now time.Time) int {
 	s := (*r.services.Load())[service]
 	if s == nil {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -23,8 +23,8 @@
 
 const perSecond = 500
 
-// oneCaller is a fleet of one router in zone a; feedback is t1's, or all
-// targets' when it is for everyone.
+// oneCaller returns a fleet of one router in zone a. feedback is the answer of
+// t1, or of all targets if everyone is true; the other targets answer well.
 func oneCaller(targets []Target, feedback *Feedback, everyone bool) *fleet {
 	f := newFleet(1, []string{"a"}, 0, targets)
 	f.answer = func(t Target) Feedback {
@@ -36,10 +36,11 @@
 	return f
 }
 
-// Callers of one target of three wait 300 ms instead of 10. The target first
-// gets its share, then its average stands out and it is left out but for
-// probes; when it heals, a good probe brings it back and it ramps up. Without
-// the probe it would stay out, without the ejection every third call is slow.
+// One target of three takes 300 ms instead of 10. It gets its share until its
+// average stands out; then it must be ejected and receive only probes. When it
+// recovers, a successful probe must end the ejection, followed by slow start.
+// Without probes it would stay ejected, and without ejection every third call
+// would be slow.
 func TestSlowTargetIsLeftOutProbedAndComesBack(t *testing.T) {
 	c := qt.New(t)
 	answer := good(300 * time.Millisecond)
@@ -48,17 +49,18 @@
 	calls := f.run(c, 22*time.Second, perSecond)
 	c.Logf("slow: %v", calls)
 	c.Assert(calls["t1"] < 500 && calls["t1"] >= 10, qt.IsTrue)
-	// By now it is left out for 16 s. It must not need them to come back.
+	// By now it is ejected for 16 s at a time. It must return to use sooner.
 	answer = good(10 * time.Millisecond)
 	f.run(c, 11*time.Second, perSecond)
 	calls = f.run(c, 2*time.Second, perSecond)
-	c.Logf("healed: %v", calls)
+	c.Logf("recovered: %v", calls)
 	c.Assert(calls["t1"] > 250, qt.IsTrue)
 }
 
-// One target of a quiet service takes two and a half times as long for a
-// while: too little to be left out, enough that the others win each draw.
-// Callers must get to use it again, though no call shows that it is well.
+// One target of a quiet service takes two and a half times as long for a while:
+// not slow enough to be ejected, but slow enough that the others win each draw.
+// After it recovers it must be used again, although no call has measured the
+// recovery.
 func TestOnceSlowTargetIsUsedAgain(t *testing.T) {
 	c := qt.New(t)
 	answer := good(25 * time.Millisecond)
@@ -71,9 +73,9 @@
 	c.Assert(calls["t1"] > 100, qt.IsTrue)
 }
 
-// A dependency that all targets share slows down, then every connection
-// fails. Callers get slow answers, then errors, from all alike. Leaving any
-// out would only pile their load on the rest, so calls stay spread.
+// A dependency that all targets share slows down, then every connection fails.
+// Callers get slow answers, then errors, from all targets alike. Ejecting any
+// target would only move its load to the others, so the calls must stay spread.
 func TestAllBadLeavesAllInUse(t *testing.T) {
 	c := qt.New(t)
 	for _, bad := range []Feedback{good(400 * time.Millisecond), refusedConnect} {
@@ -87,9 +89,10 @@
 	}
 }
 
-// The own zone is full, then refuses, then is unreachable, then the region
-// is gone but for another one far away. Callers must be served in each case:
-// nearby while there is room, across zones when not, far away at last.
+// The caller's zone is full, then refuses, then is unreachable; finally only
+// another, distant region is left. Calls must be served in each case: in the
+// zone while it has capacity, otherwise in the region's other zones, and in the
+// other region only as a last resort.
 func TestSpillGoesOutwards(t *testing.T) {
 	c := qt.New(t)
 	far := Target{ID: "far", Service: "filing", Zone: "x", Region: "us", Slots: 100}
@@ -117,21 +120,21 @@
 	c.Assert(f.run(c, time.Second, perSecond)["far"] > 0, qt.IsTrue)
 }
 
-// One node can't reach t1, another can. The callers of the first must not
-// lose calls to t1, those of the second must not lose a third of their room.
+// One node can't reach t1, another node can. The first must lose few calls to
+// t1; the second must not lose a third of its capacity.
 func TestAsymmetricFailure(t *testing.T) {
 	c := qt.New(t)
 	cut, reached := refusedConnect, good(10*time.Millisecond)
 	cutCalls := oneCaller(oneZone, &cut, false).run(c, 20*time.Second, perSecond)
 	calls := oneCaller(oneZone, &reached, false).run(c, 20*time.Second, perSecond)
-	c.Logf("cut off: %v, reached: %v", cutCalls, calls)
+	c.Logf("with t1 unreachable: %v, with t1 reachable: %v", cutCalls, calls)
 	c.Assert(cutCalls["t1"] < 80, qt.IsTrue)
 	c.Assert(calls["t1"] > 2800, qt.IsTrue)
 }
 
-// One target of three refuses at once, or fails two calls in five. It ends
-// calls faster than its peers, so by latency and calls in flight it would
-// look the best and draw the callers in.
+// One target of three refuses calls immediately, or fails two calls in five. It
+// ends calls faster than its peers, so by latency and calls in flight alone it
+// would look best and attract most calls.
 func TestFastFailuresAttractNoCalls(t *testing.T) {
 	c := qt.New(t)
 	refusing := Feedback{Outcome: call.NotRun, Reason: call.ReasonQueueFull, Latency: time.Millisecond}
@@ -150,9 +153,9 @@
 	}
 }
 
-// A VM is replaced: its successor has a new ID and a cold cache. Callers
-// must not meet it with a full share at once, nor with what was measured of
-// its predecessor, also when it is the only one in the zone.
+// A VM is replaced by one with a new ID and a cold cache. The new target must
+// not get a full share of calls at once, even when it is the only one in its
+// zone, and must not inherit the measurements of its predecessor.
 func TestRestartedMemberRampsUp(t *testing.T) {
 	c := qt.New(t)
 	for _, before := range [][]Target{oneZone, threeZones} {
@@ -169,10 +172,10 @@
 	}
 }
 
-// The members change, targets fail, drain and come back in any order while
-// calls are made. Whatever happens: a target that drains or was tried is
-// never picked, a call fails only when no target is left, the in-flight
-// counts are right, and no more than half are left out.
+// Members change, and targets fail, drain and come back in any order while
+// calls are made. In every sequence: a target that drains or was already tried
+// is never picked, Pick fails only when no target is left, the in-flight counts
+// are correct, and at most half of the targets are ejected.
 func TestAnySequenceKeepsThePromises(t *testing.T) {
 	rapid.Check(t, checkAnySequence)
 }
@@ -271,19 +274,20 @@
 				}
 			}
 			check(inFlight == counted, "wrong in-flight count")
-			check(out*2 <= active, "more than half left out")
+			check(out*2 <= active, "more than half ejected")
 		},
 	})
 }
 
-// holds reports whether the router still has the state that p counts in.
+// holds reports whether the router still has the measure in which p is counted
+// as in flight.
 func (r *Router) holds(p Picked) bool {
 	s := (*r.services.Load())["filing"]
 	return s != nil && slices.ContainsFunc(s.view.Load().members, func(m *member) bool { return m.measure == p.measure })
 }
 
-// The members change all the time while many calls are made and end. No
-// call may be lost or race; run with -race.
+// The members change continuously while many calls are made and end. No
+// in-flight count may be lost and no data race may occur; run with -race.
 func TestChurnDuringPicks(t *testing.T) {
 	c := qt.New(t)
 	r := NewRouter(Config{Node: "n1", Zone: "a", Region: "hu", Start: start})
--- a/routing/settargets_bench_test.go
+++ b/routing/settargets_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkSetTargets is what the change of one member costs each node.
+// BenchmarkSetTargets measures what the change of one member costs each node.
 func BenchmarkSetTargets(b *testing.B) {
 	for _, size := range []int{86, 560} {
 		b.Run(fmt.Sprint("members=", size), func(b *testing.B) {
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -7,12 +7,12 @@
 	"github.com/zeebo/xxh3"
 )
 
-// awayPart is the part of the subset, as a divisor, that other regions get
-// while this one has targets. They are the last resort, and each holds
-// connections open over a long way.
+// awayPart is the divisor for the part of the subset that is taken from other
+// regions while this region has targets. Those targets are a last resort, and
+// each holds long-distance connections open.
 const awayPart = 4
 
-// buildView sorts members by distance and takes the node's subset.
+// buildView groups members by distance and selects the node's subset.
 func buildView(members []*member, config *Config) *view {
 	v := &view{members: members}
 	byZone := make(map[string][]*member)
@@ -41,9 +41,9 @@
 	return v
 }
 
-// subsetHome deals the subset over the zones of the region: half to the
-// node's own zone, the rest in turn to the others. What one zone can't fill
-// goes to those that can.
+// subsetHome selects the subset in this region: half from the node's own zone,
+// the rest in turn from the other zones. If a zone has too few members, others
+// fill its part.
 func subsetHome(byZone map[string][]*member, config *Config) (own, others []*member) {
 	zones := make([]string, 0, len(byZone))
 	for zone := range byZone {
@@ -65,7 +65,7 @@
 	return own, others
 }
 
-// deal takes n members, one of each zone in turn.
+// deal takes n members, one from each zone in turn.
 func deal(zones []string, byZone map[string][]*member, n int) []*member {
 	var dealt []*member
 	for round := 0; len(dealt) < n; round++ {
@@ -82,9 +82,9 @@
 	return dealt
 }
 
-// nearest returns the n members with the highest rendezvous score for node.
-// Each node gets its own share, and a member that comes or goes changes only
-// the shares that it is in: connections to all others stay.
+// nearest returns the n members with the highest rendezvous hash score for
+// node. Each node gets its own subset. A member that is added or removed
+// changes only the subsets that contain it, so all other connections stay.
 func nearest(members []*member, n int, node string) []*member {
 	type scored struct {
 		member *member
--- a/routing/target.go
+++ b/routing/target.go
@@ -8,7 +8,7 @@
 
 // Target is one member that offers a service.
 type Target struct {
-	// ID names one incarnation: a restarted VM has another.
+	// ID identifies one incarnation: a restarted VM has another ID.
 	ID string
 	// Service is the service that the target offers.
 	Service string
@@ -17,44 +17,46 @@
 	// Zone and Region are where the target runs.
 	Zone   string
 	Region string
-	// Slots is how many calls at once the upstream announced that it serves;
-	// 0 counts as 1.
+	// Slots is the number of concurrent calls that the upstream announced it
+	// can serve; 0 counts as 1.
 	Slots int
 	// Draining targets get no new calls.
 	Draining bool
-	// Revision rises with each announcement of the member. A higher one that
-	// does not drain ends what an earlier refusal said. 0 is never higher.
+	// Revision increases with each announcement of the member. An announcement
+	// without a drain and with a higher revision cancels an earlier refusal
+	// because of a drain. 0 is never higher.
 	Revision uint64
-	// WorkTimes are how long the target's upstream works on a call.
+	// WorkTimes is how long the target's upstream works on calls, by profile.
 	WorkTimes WorkTimes
-	// Local is true for this node's own upstream. It is only passed on.
+	// Local is true for this node's own upstream. The router only passes it on.
 	Local bool
 }
 
-// Feedback is what one attempt showed.
+// Feedback is the result of one attempt.
 type Feedback struct {
 	Outcome call.Outcome
 	Reason  call.Reason
-	// Deeper is true when the reason came from a hop below the target. The
-	// target answered, so it isn't held against it.
+	// Deeper is true when the reason came from a hop downstream of the target.
+	// The target itself answered, so the result doesn't count against it.
 	Deeper bool
-	// Latency is from sending the call to the end of its answer.
+	// Latency is the time from sending the call to the end of its answer.
 	Latency time.Duration
-	// Load is the target's own report, in thousandths of its limit. 0 means
-	// that there was none.
+	// Load is the load reported by the target, in thousandths of its limit. 0
+	// means that it reported none.
 	Load int
 	// Level is the admission level in force that the target reported.
 	Level call.Level
 }
 
-// verdict is what a Feedback says about the target itself.
+// verdict is the conclusion about the target itself from a Feedback.
 type verdict uint8
 
 const (
-	// verdictNeutral says nothing: the caller left, or the fault is below.
+	// verdictNeutral: no conclusion, since the caller went away or the fault is
+	// downstream.
 	verdictNeutral verdict = iota
 	verdictGood
-	// verdictRefused: the target works, but has no room.
+	// verdictRefused: the target works, but has no capacity.
 	verdictRefused
 	// verdictFailed: the target can't be reached or doesn't answer.
 	verdictFailed
@@ -92,22 +94,24 @@
 	Target
 	// InSubset is false for members that this node doesn't use.
 	InSubset bool
-	// InFlight is this node's calls on the target.
+	// InFlight is the number of this node's calls in flight on the target.
 	InFlight int
 	// Latency is the moving average, 0 when not measured yet.
 	Latency time.Duration
-	// Refused and Failed are recent shares in thousandths, decayed by age.
+	// Refused and Failed are the shares of recent calls that were refused or
+	// failed, in thousandths, decayed by age.
 	Refused int
 	Failed  int
 	// Load is the reported load in thousandths, decayed by age.
 	Load int
 	// Level is the latest admission level that the target reported.
 	Level call.Level
-	// Share is what slow start lets through, in thousandths.
+	// Share is the share of calls that slow start admits, in thousandths.
 	Share int
-	// Ejected is how long the target is still left out, 0 when it is not.
+	// Ejected is the remaining time of the target's ejection, 0 when it is not
+	// ejected.
 	Ejected time.Duration
-	// Leaving is true for a target that drains, by the members' word or its
-	// own refusal.
+	// Leaving is true for a target that drains, according to the member list or
+	// to its own refusal.
 	Leaving bool
 }
--- a/routing/view.go
+++ b/routing/view.go
@@ -2,33 +2,36 @@
 
 import "slices"
 
-// member is a target with its measured state, as of one snapshot.
+// member is a target in a view, with its measurements.
 type member struct {
 	target  Target
 	measure *measure
 }
 
-// view is an immutable snapshot of one service. Its three lists hold the
-// subset that this node uses; draining members are in none of them.
+// view is an immutable snapshot of one service. Its lists zone, region and away
+// hold the subset that this node uses; draining members are in none of the
+// three.
 type view struct {
-	// zone, region and away are the targets by distance: the node's own
-	// zone, the other zones of its region, other regions.
+	// zone, region and away are the targets by distance: in the node's own
+	// zone, in the other zones of its region, and in other regions.
 	zone   []*member
 	region []*member
 	away   []*member
-	// home is zone and region together, active all three.
+	// home is zone and region together; active is all three.
 	home []*member
-	// leaving are the draining members, at most MaxSubset.
+	// leaving holds the draining members if Config.LastResort is set, at most
+	// MaxSubset.
 	leaving []*member
 	active  []*member
-	// members are all that were announced, for Snapshot and for the reason
-	// when there is no target.
+	// members holds all announced members, for Snapshot and for the reason when
+	// there is no target.
 	members []*member
 }
 
-// shows reports whether the view was built of just these targets. Most changes
-// of the members are about one service: at 560 members in 25 services one takes
-// 0.28 ms, 0.37 ms with the views of all services built anew (BenchmarkSetTargets).
+// shows reports whether the view was built from exactly these targets. Most
+// membership changes affect one service: with 560 members in 25 services, a
+// change takes 0.28 ms, and 0.37 ms when the views of all services are rebuilt
+// (BenchmarkSetTargets).
 func (v *view) shows(targets []Target) bool {
 	return slices.EqualFunc(v.members, targets, func(m *member, t Target) bool { return m.target == t })
 }
@@ -42,7 +45,7 @@
 	return false
 }
 
-// peersOf returns the targets at a like distance.
+// peersOf returns the targets at a similar distance to m.
 func (v *view) peersOf(m *measure) []*member {
 	for _, candidate := range v.away {
 		if candidate.measure == m {
@@ -52,7 +55,7 @@
 	return v.home
 }
 
-// usable counts the targets that aren't in exclude and don't drain.
+// usable counts the targets that are not in exclude and don't drain.
 func (v *view) usable(exclude []string, at int64, config *Config) int {
 	n := 0
 	for _, candidate := range v.active {
@@ -63,7 +66,7 @@
 	return n
 }
 
-// ejected counts the targets that are left out.
+// ejected counts the ejected targets.
 func (v *view) ejected(at int64, config *Config) int {
 	n := 0
 	for _, candidate := range v.active {
@@ -74,7 +77,7 @@
 	return n
 }
 
-// allBad reports whether every target that isn't left out fails too.
+// allBad reports whether every target that isn't ejected fails too.
 func (v *view) allBad(at int64, config *Config) bool {
 	for _, candidate := range v.active {
 		m := candidate.measure
@@ -85,14 +88,14 @@
 	return true
 }
 
-// endEjections puts every target back in use.
+// endEjections returns every ejected target to use.
 func (v *view) endEjections() {
 	for _, candidate := range v.active {
 		candidate.measure.ejectedUntil.Store(0)
 	}
 }
 
-// noTarget says why nothing can be picked.
+// noTarget returns the reason why no target can be picked.
 func (v *view) noTarget(at int64, config *Config) NoTargetReason {
 	if len(v.members) == 0 {
 		return NoTargetNone
--- a/routing/worktime.go
+++ b/routing/worktime.go
@@ -9,59 +9,66 @@
 	"time"
 )
 
-// MaxWorkTimes is for how many profiles a target tells how long it works. An
-// upstream serves few; what is rare among its calls moves little.
+// MaxWorkTimes is the number of profiles for which a target announces its work
+// time. An upstream serves few profiles, and the rare ones have little effect.
 const MaxWorkTimes = 4
 
 const (
-	// workSamples is the weight of past calls in the mean work time: the mean of
-	// so many wavers by some 4 % where single calls differ as in a log-normal
-	// distribution with a deviation of 0.8. One that turns four times as slow is
-	// news after 18 calls.
+	// workSamples is the weight of past calls in the mean work time. If call
+	// durations follow a log-normal distribution with a deviation of 0.8, a
+	// mean of so many calls varies by about 4 %. After an upstream turns four
+	// times as slow, the change exceeds workNews after 18 calls.
 	workSamples = 256
-	// workWarm is how many calls a mean needs before it is told. It then wavers
-	// by a quarter, which is less than upstreams differ.
+	// workWarm is the number of calls that a mean needs before it is announced.
+	// It then varies by a quarter, which is less than the differences between
+	// upstreams.
 	workWarm = 16
-	// workNews is by what part a mean must have changed to be told again, well
-	// above its wavering: each time costs a message to every member.
+	// workNews is the relative change of a mean that causes a new announcement.
+	// It is well above the mean's random variation, because each announcement
+	// costs a message to every member.
 	workNews = 0.2
-	// workPause is the least time between two tellings. 560 members that all
-	// change at once then make some 100 changes a second. A profile that is told
-	// for the first time waits for firstPause only: until then its calls are
-	// placed blindly.
+	// workPause is the minimum interval between two announcements. If 560
+	// members all change at once, this limits them to about 100 announcements a
+	// second. A profile that is announced for the first time only waits for
+	// firstPause, because until then its calls are placed without regard to
+	// work times.
 	workPause  = 5 * time.Second
 	firstPause = 1500 * time.Millisecond
-	// workProfiles bounds the profiles that are measured, as a Set does.
+	// workProfiles bounds the number of measured profiles, at the value of
+	// config.MaxProfiles.
 	workProfiles = 256
-	// workRateDecay is what remains of a profile's rate after one look.
+	// workRateDecay is the factor that a profile's call rate retains at each
+	// update.
 	workRateDecay = 0.9
-	// workRateLeast is the rate under which a profile is forgotten.
+	// workRateLeast is the rate below which a profile is forgotten.
 	workRateLeast = 0.01
-	// workKept is how much a profile's rate counts if it is told already, so
-	// that two of like rates don't take turns.
+	// workKept is the factor by which the rate of an already announced profile
+	// is raised when profiles are ranked, so that two profiles with similar
+	// rates don't alternate.
 	workKept = 2
 )
 
-// WorkTime is how long an upstream works on a call of one profile on average.
-// The time in which it waits for calls of its own is left out: that is the time
-// of others.
+// WorkTime is the mean time that an upstream works on a call of one profile.
+// The time in which it waits for its own downstream calls is left out, because
+// other upstreams spend it.
 type WorkTime struct {
-	// Profile is the ProfileKey of the profile's name, 0 for no entry.
+	// Profile is the ProfileKey of the profile's name, 0 for an empty entry.
 	Profile uint32
 	Micros  uint32
 }
 
-// WorkTimes are those of one target.
+// WorkTimes holds the work times of one target.
 type WorkTimes [MaxWorkTimes]WorkTime
 
-// ProfileKey is a short form of a profile's name that all nodes share.
+// ProfileKey returns the hash of a profile's name that identifies it on all
+// nodes.
 func ProfileKey(name string) uint32 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
 	return max(hash.Sum32(), 1)
 }
 
-// of returns the microseconds for a profile, 0 if they aren't known.
+// of returns the work time of a profile in microseconds, 0 if it isn't known.
 func (w *WorkTimes) of(profile uint32) int64 {
 	for _, one := range w {
 		if one.Profile == profile && profile != 0 {
@@ -71,8 +78,8 @@
 	return 0
 }
 
-// WorkMeter measures how long an upstream works on the calls of each profile.
-// The zero value is ready.
+// WorkMeter measures how long an upstream works on the calls of each profile,
+// and decides when to announce it. The zero value is ready to use.
 type WorkMeter struct {
 	mu       sync.Mutex
 	profiles map[uint32]*workMean
@@ -83,12 +90,13 @@
 type workMean struct {
 	micros  float64
 	samples int
-	// recent counts the calls since the last look, rate the looks before.
+	// recent counts the calls since the last call of News. rate is the decayed
+	// count of the calls before.
 	recent int
 	rate   float64
 }
 
-// Add takes in one call.
+// Add records the work time of one call.
 func (w *WorkMeter) Add(profile string, took time.Duration) {
 	key := ProfileKey(profile)
 	w.mu.Lock()
@@ -109,15 +117,15 @@
 	mean.micros += (float64(took.Microseconds()) - mean.micros) / float64(mean.samples)
 }
 
-// Reset forgets what was measured: another upstream has come.
+// Reset discards the measurements, because another upstream has taken over.
 func (w *WorkMeter) Reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	clear(w.profiles)
 }
 
-// News returns the work times of the busiest profiles, and whether the others
-// should be told of them. It is to be called about once a second.
+// News returns the work times of the busiest profiles, and whether they must be
+// announced to the other members. It should be called about once a second.
 func (w *WorkMeter) News(now time.Time) (WorkTimes, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -131,7 +139,8 @@
 	return next, true
 }
 
-// pause is how long after the last telling next may be told.
+// pause returns the minimum interval between the last announcement and the
+// announcement of next.
 func (w *WorkMeter) pause(next WorkTimes) time.Duration {
 	for _, one := range next {
 		if one.Profile != 0 && w.told.of(one.Profile) == 0 {
@@ -141,7 +150,7 @@
 	return workPause
 }
 
-// age lets the rates of profiles that are no longer called run out.
+// age decays the call rates and removes profiles that are no longer called.
 func (w *WorkMeter) age() {
 	for key, mean := range w.profiles {
 		mean.rate = mean.rate*workRateDecay + float64(mean.recent)
@@ -152,7 +161,8 @@
 	}
 }
 
-// busiest returns the means of the profiles with the highest rates, by key.
+// busiest returns the means of the profiles with the highest rates, sorted by
+// key.
 func (w *WorkMeter) busiest() WorkTimes {
 	keys := make([]uint32, 0, len(w.profiles))
 	for key, mean := range w.profiles {
@@ -179,7 +189,8 @@
 	return rate
 }
 
-// differ tells whether one of the next times is news.
+// differ reports whether one of the next times differs enough from the
+// announced ones to be announced.
 func differ(told, next WorkTimes) bool {
 	for _, one := range next {
 		before := told.of(one.Profile)
