--- a/retry/after.go
+++ b/retry/after.go
@@ -72,11 +72,11 @@
 
 // overloadFactor returns 1/(1-share), at most 100.
 func overloadFactor(share float64) float64 {
-	const most = 0.99
+	const maxShare = 0.99
 	if math.IsNaN(share) {
 		return 1
 	}
-	return 1 / (1 - min(max(share, 0), most))
+	return 1 / (1 - min(max(share, 0), maxShare))
 }
 
 // recoveryFactor returns a factor from 1, when goodput is preferred, to
@@ -103,10 +103,10 @@
 // second, and down otherwise. This preserves the mean and does not concentrate
 // many callers in one second.
 func WholeSeconds(d time.Duration, r *rand.Rand) int {
-	whole := int(d / time.Second)
+	seconds := int(d / time.Second)
 	fraction := float64(d%time.Second) / float64(time.Second)
 	if r.Float64() < fraction {
-		whole++
+		seconds++
 	}
-	return max(whole, 1)
+	return max(seconds, 1)
 }
--- a/retry/bucket.go
+++ b/retry/bucket.go
@@ -67,26 +67,26 @@
 // One whole retry never expires, so that a node which calls only rarely can
 // retry too.
 type Bucket struct {
-	config BucketConfig
-	slice  time.Duration
+	config      BucketConfig
+	sliceLength time.Duration
 
-	mu     sync.Mutex
-	tokens float64
-	recent [carrySlots]sliceCount
+	mu           sync.Mutex
+	tokens       float64
+	recentFirsts [carrySlots]sliceCount
 }
 
 // NewBucket returns an empty Bucket. Settings out of range get their default;
 // Validate reports them.
 func NewBucket(config BucketConfig) *Bucket {
 	config = config.withDefaults()
-	return &Bucket{config: config, slice: config.Carry / carrySlices}
+	return &Bucket{config: config, sliceLength: config.Carry / carrySlices}
 }
 
 // OnFirst counts a first attempt.
 func (b *Bucket) OnFirst(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	add(b.recent[:], b.epoch(now))
+	increment(b.recentFirsts[:], b.epoch(now))
 	b.tokens += b.config.Ratio
 	b.expire(now)
 }
@@ -97,7 +97,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expire(now)
-	if b.tokens < 1-roundingSlack {
+	if b.tokens < 1-roundingTolerance {
 		return false
 	}
 	b.tokens--
@@ -109,20 +109,20 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expire(now)
-	return int(b.tokens + roundingSlack)
+	return int(b.tokens + roundingTolerance)
 }
 
-// roundingSlack compensates for rounding errors in sums of a ratio that has no
-// exact binary form: ten times 0.1 must be one whole retry.
-const roundingSlack = 1e-9
+// roundingTolerance compensates for rounding errors in sums of a ratio that has
+// no exact binary form: ten times 0.1 must be one whole retry.
+const roundingTolerance = 1e-9
 
 // expire removes the retries that were earned more than Carry ago. The caller
 // holds b.mu.
 func (b *Bucket) expire(now time.Time) {
-	kept := b.config.Ratio * float64(sum(b.recent[:], b.epoch(now)))
-	b.tokens = min(b.tokens, max(kept, 1))
+	unexpired := b.config.Ratio * float64(sumWindow(b.recentFirsts[:], b.epoch(now)))
+	b.tokens = min(b.tokens, max(unexpired, 1))
 }
 
 func (b *Bucket) epoch(now time.Time) int64 {
-	return int64(now.Sub(b.config.Start) / b.slice)
+	return int64(now.Sub(b.config.Start) / b.sliceLength)
 }
--- a/retry/bucket_test.go
+++ b/retry/bucket_test.go
@@ -15,11 +15,11 @@
 	retry bool
 }
 
-// overspent describes the first time span that breaks the bound, or returns ""
-// if none does. The retries of all nodes in a span may be at most ratio times
-// the first attempts made in the span and during carry (and a tenth) before it,
-// plus one for each incarnation of a node.
-func overspent(events []event, ratio float64, carry time.Duration, lives int) string {
+// firstOverspentSpan describes the first time span that breaks the bound, or
+// returns "" if none does. The retries of all nodes in a span may be at most
+// ratio times the first attempts made in the span and during carry (and a
+// tenth) before it, plus one for each incarnation of a node.
+func firstOverspentSpan(events []event, ratio float64, carry time.Duration, incarnations int) string {
 	for i, begin := range events {
 		retries, firsts := 0, 0
 		for j, e := range events {
@@ -29,7 +29,7 @@
 			case !e.retry && e.at.After(begin.at.Add(-carry*(carrySlices+1)/carrySlices)):
 				firsts++
 			}
-			if float64(retries) > ratio*float64(firsts)+float64(lives)+1e-6 {
+			if float64(retries) > ratio*float64(firsts)+float64(incarnations)+1e-6 {
 				return fmt.Sprintf("%d retries for %d first attempts from %v to %v", retries, firsts, begin.at.Sub(start), e.at.Sub(start))
 			}
 		}
@@ -45,11 +45,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(0, 0.5).Draw(t, "ratio")
 		nodes := make([]*Bucket, rapid.IntRange(1, 5).Draw(t, "nodes"))
-		fresh := func() *Bucket { return NewBucket(BucketConfig{Ratio: ratio, Start: start}) }
+		newNode := func() *Bucket { return NewBucket(BucketConfig{Ratio: ratio, Start: start}) }
 		for i := range nodes {
-			nodes[i] = fresh()
+			nodes[i] = newNode()
 		}
-		lives := len(nodes)
+		incarnations := len(nodes)
 		now := start
 		var events []event
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -69,11 +69,11 @@
 			case 2:
 				now = now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 			default:
-				nodes[i] = fresh()
-				lives++
+				nodes[i] = newNode()
+				incarnations++
 			}
 		}
-		if over := overspent(events, ratio, DefaultCarry, lives); over != "" {
+		if over := firstOverspentSpan(events, ratio, DefaultCarry, incarnations); over != "" {
 			t.Fatal(over)
 		}
 	})
@@ -85,17 +85,18 @@
 	make func() Bound
 }
 
-// hoarder never expires what it earned; spender doesn't deduct the retries that
-// it allows; inventor starts with retries that no first attempt has earned.
+// neverExpiring never expires what it earned; neverDeducting doesn't deduct the
+// retries that it allows; startingUnearned starts with retries that no first
+// attempt has earned.
 type (
-	hoarder  struct{ Bucket }
-	spender  struct{ *Bucket }
-	inventor struct{ *Bucket }
+	neverExpiring    struct{ Bucket }
+	neverDeducting   struct{ *Bucket }
+	startingUnearned struct{ *Bucket }
 )
 
-func (h *hoarder) OnFirst(now time.Time) { h.tokens += h.config.Ratio }
+func (h *neverExpiring) OnFirst(now time.Time) { h.tokens += h.config.Ratio }
 
-func (h *hoarder) Allow(time.Time) bool {
+func (h *neverExpiring) Allow(time.Time) bool {
 	if h.tokens < 1 {
 		return false
 	}
@@ -103,7 +104,7 @@
 	return true
 }
 
-func (s spender) Allow(now time.Time) bool { return s.Left(now) > 0 }
+func (s neverDeducting) Allow(now time.Time) bool { return s.Left(now) > 0 }
 
 // Plays every sequence of seven steps for two nodes. Each step is some first
 // calls or some requested retries at one node, the passing of half a carry, or
@@ -113,25 +114,25 @@
 	c := qt.New(t)
 	const ratio = 0.5
 	config := BucketConfig{Ratio: ratio, Start: start}
-	whole := func() Bound { return NewBucket(config) }
-	c.Check(worstSequence(whole), qt.Equals, "")
+	correct := func() Bound { return NewBucket(config) }
+	c.Check(firstOverspentSequence(correct), qt.Equals, "")
 	for _, mutant := range []boundMutant{
-		{"nothing expires", func() Bound { return &hoarder{Bucket: Bucket{config: config}} }},
-		{"allowed retries are not deducted", func() Bound { return spender{NewBucket(config)} }},
+		{"nothing expires", func() Bound { return &neverExpiring{Bucket: Bucket{config: config}} }},
+		{"allowed retries are not deducted", func() Bound { return neverDeducting{NewBucket(config)} }},
 		{"a new bucket starts with unearned retries", func() Bound {
 			b := NewBucket(config)
 			b.tokens = 3
-			b.recent[0] = sliceCount{epoch: 0, count: 6}
-			return inventor{b}
+			b.recentFirsts[0] = sliceCount{epoch: 0, count: 6}
+			return startingUnearned{b}
 		}},
 	} {
-		c.Check(worstSequence(mutant.make), qt.Not(qt.Equals), "", qt.Commentf("%s", mutant.name))
+		c.Check(firstOverspentSequence(mutant.make), qt.Not(qt.Equals), "", qt.Commentf("%s", mutant.name))
 	}
 }
 
-// worstSequence plays all sequences and describes the first span that breaks
-// the bound.
-func worstSequence(fresh func() Bound) string {
+// firstOverspentSequence plays all sequences and describes the first span that
+// breaks the bound.
+func firstOverspentSequence(newBound func() Bound) string {
 	const (
 		steps = 7
 		kinds = 6
@@ -141,17 +142,17 @@
 		total *= kinds
 	}
 	for sequence := range total {
-		if over := playSequence(sequence, steps, kinds, fresh); over != "" {
+		if over := playSequence(sequence, steps, kinds, newBound); over != "" {
 			return over
 		}
 	}
 	return ""
 }
 
-func playSequence(sequence, steps, kinds int, fresh func() Bound) string {
+func playSequence(sequence, steps, kinds int, newBound func() Bound) string {
 	const calls = 4
-	nodes := [2]Bound{fresh(), fresh()}
-	lives := len(nodes)
+	nodes := [2]Bound{newBound(), newBound()}
+	incarnations := len(nodes)
 	now := start
 	var events []event
 	for range steps {
@@ -172,17 +173,17 @@
 		case 4:
 			now = now.Add(DefaultCarry / 2)
 		default:
-			nodes[0] = fresh()
-			lives++
+			nodes[0] = newBound()
+			incarnations++
 		}
 	}
-	return overspent(events, 0.5, DefaultCarry, lives)
+	return firstOverspentSpan(events, 0.5, DefaultCarry, incarnations)
 }
 
 // A node that makes a call every few seconds must have one retry available. A
 // busy node must have all retries that it earns, and lose them soon after its
 // calls stop.
-func TestBucketsGiveWhatIsEarned(t *testing.T) {
+func TestBucketsAllowEarnedRetries(t *testing.T) {
 	c := qt.New(t)
 	quiet := NewBucket(BucketConfig{Ratio: 0.2, Start: start})
 	for i := range 5 {
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -83,9 +83,9 @@
 // First attempts, which are many, are counted in shards drawn at random.
 // Retries, which are few, take one lock, so the bound is exact.
 type Budget struct {
-	config BudgetConfig
-	slice  time.Duration
-	shards [budgetShards]budgetShard
+	config      BudgetConfig
+	sliceLength time.Duration
+	shards      [budgetShards]budgetShard
 
 	mu      sync.Mutex
 	retries [budgetSlots]sliceCount
@@ -108,11 +108,11 @@
 // reports them.
 func NewBudget(config BudgetConfig) *Budget {
 	config = config.withDefaults()
-	return &Budget{config: config, slice: config.Window / budgetSlices}
+	return &Budget{config: config, sliceLength: config.Window / budgetSlices}
 }
 
 func (b *Budget) epoch(now time.Time) int64 {
-	return int64(now.Sub(b.config.Start) / b.slice)
+	return int64(now.Sub(b.config.Start) / b.sliceLength)
 }
 
 // OnFirst counts a first attempt.
@@ -120,7 +120,7 @@
 	epoch := b.epoch(now)
 	shard := &b.shards[rand.Uint32()%budgetShards]
 	shard.mu.Lock()
-	add(shard.firsts[:], epoch)
+	increment(shard.firsts[:], epoch)
 	shard.mu.Unlock()
 }
 
@@ -130,22 +130,22 @@
 	firsts := b.sumFirsts(epoch)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if float64(sum(b.retries[:], epoch)+1) > b.bound(firsts) {
+	if float64(sumWindow(b.retries[:], epoch)+1) > b.maxRetries(firsts) {
 		return false
 	}
-	add(b.retries[:], epoch)
+	increment(b.retries[:], epoch)
 	return true
 }
 
 // Left returns how many retries may be made now.
 func (b *Budget) Left(now time.Time) int {
 	state := b.State(now)
-	return max(int(b.bound(state.Firsts))-int(state.Retries), 0)
+	return max(int(b.maxRetries(state.Firsts))-int(state.Retries), 0)
 }
 
-// bound returns the maximum number of retries in a window with the given number
-// of first attempts.
-func (b *Budget) bound(firsts int64) float64 {
+// maxRetries returns the maximum number of retries in a window with the given
+// number of first attempts.
+func (b *Budget) maxRetries(firsts int64) float64 {
 	return b.config.Ratio*float64(firsts) + float64(b.config.Burst)
 }
 
@@ -163,7 +163,7 @@
 	firsts := b.sumFirsts(epoch)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return BudgetState{Firsts: firsts, Retries: sum(b.retries[:], epoch)}
+	return BudgetState{Firsts: firsts, Retries: sumWindow(b.retries[:], epoch)}
 }
 
 func (b *Budget) sumFirsts(epoch int64) int64 {
@@ -171,25 +171,26 @@
 	for i := range b.shards {
 		shard := &b.shards[i]
 		shard.mu.Lock()
-		firsts += sum(shard.firsts[:], epoch)
+		firsts += sumWindow(shard.firsts[:], epoch)
 		shard.mu.Unlock()
 	}
 	return firsts
 }
 
-// add increments the slot of epoch. If the slot already holds a later epoch,
-// because two callers read the clock in one order and took the lock in the
-// other, the event is counted in that later epoch.
-func add(slots []sliceCount, epoch int64) {
-	slot := &slots[slotOf(epoch, len(slots))]
+// increment increments the slot of epoch. If the slot already holds a later
+// epoch, because two callers read the clock in one order and took the lock in
+// the other, the event is counted in that later epoch.
+func increment(slots []sliceCount, epoch int64) {
+	slot := &slots[slotIndex(epoch, len(slots))]
 	if slot.epoch < epoch {
 		*slot = sliceCount{epoch: epoch}
 	}
 	slot.count++
 }
 
-// sum returns the total of the slots that lie in the window ending with epoch.
-func sum(slots []sliceCount, epoch int64) int64 {
+// sumWindow returns the total of the slots that lie in the window ending with
+// epoch.
+func sumWindow(slots []sliceCount, epoch int64) int64 {
 	var total int64
 	for i := range slots {
 		if slots[i].epoch > epoch-int64(len(slots)) {
@@ -199,7 +200,7 @@
 	return total
 }
 
-func slotOf(epoch int64, slots int) int64 {
+func slotIndex(epoch int64, slots int) int64 {
 	n := int64(slots)
 	return (epoch%n + n) % n
 }
--- a/retry/credit.go
+++ b/retry/credit.go
@@ -112,8 +112,8 @@
 		if old&closedBit != 0 {
 			return
 		}
-		out := old >> lentShift & lentMask
-		settled := min(uint64(lent), out)
+		lentOut := old >> lentShift & lentMask
+		settled := min(uint64(lent), lentOut)
 		back := min(uint64(max(left, 0)), settled)
 		if c.state.CompareAndSwap(old, old-settled<<lentShift+back) {
 			return
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -20,9 +20,9 @@
 	WhyComplete Why = "complete"
 	// WhyMayHaveRun: the call may have run and isn't idempotent.
 	WhyMayHaveRun Why = "may-have-run"
-	// WhyDeeper: the failure happened further downstream, and the hop next to
-	// it could retry already.
-	WhyDeeper Why = "deeper"
+	// WhyDownstream: the failure happened further downstream, and the hop next
+	// to it could retry already.
+	WhyDownstream Why = "deeper"
 	// WhyHeld: the request is held in quarantine. Upstreams crashed while
 	// running it, and no other upstream may be exposed to it.
 	WhyHeld Why = "held"
@@ -71,10 +71,9 @@
 	// Held is true when the request is in quarantine: so many upstreams have
 	// crashed while running it that no other upstream may receive it.
 	Held bool
-	// Free is true when the attempt never reached an upstream, so that another
-	// one may be made without using credit or budget: no upstream has had any
-	// work from it. FreeMade is the number of such free attempts already made
-	// for the call.
+	// Free allows a retry without credit or budget if the attempt ended before
+	// an upstream received it, because no upstream has had any work from it.
+	// FreeMade is the number of such free attempts already made for the call.
 	Free     bool
 	FreeMade int
 	// Credit is the visit's remaining credit. Budget is true when the node's
@@ -116,24 +115,24 @@
 	case in.Hop != "" && in.Hop != in.Service:
 		// Without this check each hop on the way up to the root would retry the
 		// same failure, and the attempts would multiply.
-		return Verdict{Why: WhyDeeper}
+		return Verdict{Why: WhyDownstream}
 	case in.Held:
 		return Verdict{Why: WhyHeld}
-	case hopeless(in.Reason):
+	case refusedByAllTargets(in.Reason):
 		return Verdict{Why: WhyHopeless}
-	case overload(in.Reason) && in.Refusing >= OverloadThousandths:
+	case isOverloadRefusal(in.Reason) && in.Refusing >= OverloadThousandths:
 		return Verdict{Why: WhyOverload}
 	case in.DeadlineLeft <= in.AttemptTime || in.DeadlineLeft <= 0:
 		return Verdict{Why: WhyDeadline}
 	case in.TargetsLeft <= 0:
 		return Verdict{Why: WhyNoTarget}
-	case in.free():
+	case in.isFree():
 		return Verdict{Retry: true, Why: WhyRetry, Free: true}
 	case in.Credit <= 0:
 		return Verdict{Why: WhyNoCredit}
 	case !in.Budget:
 		return Verdict{Why: WhyBudget}
-	case overload(in.Reason) && in.Free && in.FreeMade >= MaxFree:
+	case isOverloadRefusal(in.Reason) && in.Free && in.FreeMade >= MaxFreeAttempts:
 		return Verdict{Why: WhyOverload}
 	}
 	return Verdict{Retry: true, Why: WhyRetry}
@@ -181,13 +180,14 @@
 	return verdict
 }
 
-// MaxFree is the maximum number of free attempts of one call. It is common that
-// one target of three is full; when two are, the third is still likely to have
-// capacity. A call that was refused three times is refused everywhere.
-const MaxFree = 2
+// MaxFreeAttempts is the maximum number of free attempts of one call. It is
+// common that one target of three is full; when two are, the third is still
+// likely to have capacity. A call that was refused three times is refused
+// everywhere.
+const MaxFreeAttempts = 2
 
-func (in Decision) free() bool {
-	return in.Free && in.Outcome == call.NotRun && in.FreeMade < MaxFree && BeforeUpstream(in.Reason)
+func (in Decision) isFree() bool {
+	return in.Free && in.Outcome == call.NotRun && in.FreeMade < MaxFreeAttempts && BeforeUpstream(in.Reason)
 }
 
 // BeforeUpstream reports whether an attempt that ended as not-run for this
@@ -201,9 +201,9 @@
 	return false
 }
 
-// hopeless reports whether the reason lies in the call itself, so that every
-// target would refuse it for the same reason.
-func hopeless(r call.Reason) bool {
+// refusedByAllTargets reports whether the reason lies in the call itself, so
+// that every target would refuse it for the same reason.
+func refusedByAllTargets(r call.Reason) bool {
 	switch r {
 	case call.ReasonDeadline, call.ReasonCancelled, call.ReasonLevelBelow,
 		call.ReasonVisitClosed, call.ReasonKeyExpired, call.ReasonKeyRequired,
@@ -215,8 +215,9 @@
 	return false
 }
 
-// overload reports whether the reason is a refusal by overload control.
-func overload(r call.Reason) bool {
+// isOverloadRefusal reports whether the reason is a refusal by overload
+// control.
+func isOverloadRefusal(r call.Reason) bool {
 	switch r {
 	case call.ReasonLevel, call.ReasonQueueFull, call.ReasonQueueWait, call.ReasonUpstreamShed, call.ReasonBusy, call.ReasonPeerFull:
 		return true
--- a/retry/ration.go
+++ b/retry/ration.go
@@ -13,10 +13,10 @@
 	// rationTick is the interval at which the granted shares are updated. It is
 	// a fraction of the time in which a fault of a service becomes visible.
 	rationTick = 100 * time.Millisecond
-	// rationWeight is the weight of one tick in the moving average of demand.
-	// The average covers about half a second, which evens out the random
-	// arrivals of a single tick.
-	rationWeight = 0.2
+	// rationSmoothing is the weight of one tick in the moving average of
+	// demand. The average covers about half a second, which evens out the
+	// random arrivals of a single tick.
+	rationSmoothing = 0.2
 	// rationHorizon is the time over which the available retries are handed
 	// out. With a longer horizon that many retries stay unspent at all times;
 	// with a shorter one the first requests in a tick get them all.
@@ -25,8 +25,8 @@
 	// distinguished; larger numbers count as this one.
 	maxRemaining = 8
 
-	priorities   = int(call.MaxPriority) + 1
-	rationPlaces = maxRemaining * priorities
+	priorities  = int(call.MaxPriority) + 1
+	rationRanks = maxRemaining * priorities
 )
 
 // Benefit describes the value of a retry by the request that it helps to
@@ -38,9 +38,9 @@
 	Remaining int
 }
 
-// place returns the rank of a benefit: runs that need the fewest calls come
+// rank returns the rank of a benefit: runs that need the fewest calls come
 // first, and among these the ones of higher priority.
-func (b Benefit) place() int {
+func (b Benefit) rank() int {
 	remaining := min(max(b.Remaining, 1), maxRemaining)
 	priority := min(int(b.Priority), priorities-1)
 	return (remaining-1)*priorities + priorities - 1 - priority
@@ -61,25 +61,25 @@
 type Ration struct {
 	bound Bound
 
-	mu     sync.Mutex
-	until  time.Time
-	wanted [rationPlaces]rationDemand
+	mu      sync.Mutex
+	tickEnd time.Time
+	demand  [rationRanks]rationDemand
 }
 
 // rationDemand is the demand for retries at one rank, and the share of it that
 // is granted.
 type rationDemand struct {
-	// asked counts the requests in the current tick, usual is their average per
-	// tick.
-	asked, usual float64
-	granted      float64
+	// requested counts the requests in the current tick, average is the moving
+	// average of requests per tick.
+	requested, average float64
+	grantedShare       float64
 }
 
 // NewRation returns a Ration that hands out the retries that bound allows.
 func NewRation(bound Bound) *Ration {
 	r := &Ration{bound: bound}
-	for i := range r.wanted {
-		r.wanted[i].granted = 1
+	for i := range r.demand {
+		r.demand[i].grantedShare = 1
 	}
 	return r
 }
@@ -89,35 +89,35 @@
 func (r *Ration) Admit(b Benefit, draw float64, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.until.IsZero() {
-		r.until = now.Add(rationTick)
+	if r.tickEnd.IsZero() {
+		r.tickEnd = now.Add(rationTick)
 	}
-	if !now.Before(r.until) {
-		r.settle(now)
+	if !now.Before(r.tickEnd) {
+		r.closeTicks(now)
 	}
-	wanted := &r.wanted[b.place()]
-	wanted.asked++
-	return draw < wanted.granted
+	demand := &r.demand[b.rank()]
+	demand.requested++
+	return draw < demand.grantedShare
 }
 
-// settle closes the ticks that have passed and sets the granted shares for the
-// next one. The caller holds r.mu.
-func (r *Ration) settle(now time.Time) {
-	ticks := int(now.Sub(r.until)/rationTick) + 1
-	r.until = r.until.Add(time.Duration(ticks) * rationTick)
-	left := float64(r.bound.Left(now)) * float64(rationTick) / float64(rationHorizon)
+// closeTicks closes the ticks that have passed and sets the granted shares for
+// the next one. The caller holds r.mu.
+func (r *Ration) closeTicks(now time.Time) {
+	ticks := int(now.Sub(r.tickEnd)/rationTick) + 1
+	r.tickEnd = r.tickEnd.Add(time.Duration(ticks) * rationTick)
+	available := float64(r.bound.Left(now)) * float64(rationTick) / float64(rationHorizon)
 	// All counted requests came in the first of these ticks; the others had
 	// none.
-	quiet := math.Pow(1-rationWeight, float64(ticks-1))
-	for i := range r.wanted {
-		w := &r.wanted[i]
-		w.usual += rationWeight * (w.asked - w.usual)
-		w.usual *= quiet
-		w.asked = 0
-		w.granted = 1
-		if w.usual > left {
-			w.granted = left / w.usual
+	idleDecay := math.Pow(1-rationSmoothing, float64(ticks-1))
+	for i := range r.demand {
+		w := &r.demand[i]
+		w.average += rationSmoothing * (w.requested - w.average)
+		w.average *= idleDecay
+		w.requested = 0
+		w.grantedShare = 1
+		if w.average > available {
+			w.grantedShare = available / w.average
 		}
-		left -= w.usual * w.granted
+		available -= w.average * w.grantedShare
 	}
 }
--- a/retry/ration_test.go
+++ b/retry/ration_test.go
@@ -10,21 +10,21 @@
 	"pollengauge.dev/call"
 )
 
-// shedding is a simulated load: runs that each make several calls in turn to a
-// service that refuses a share of all arrivals at random.
-type shedding struct {
+// sheddingLoad is a simulated load: runs that each make several calls in turn
+// to a service that refuses a share of all arrivals at random.
+type sheddingLoad struct {
 	calls   int
 	refused float64
 	// rate is the number of runs started per second, seconds the duration of
 	// the load.
 	rate, seconds int
-	// ratio is the number of retries that a first call earns, again the maximum
-	// number of retries of one call.
-	ratio float64
-	again int
-	// choose enables the Ration; without it retries go to the first calls that
-	// request them.
-	choose bool
+	// ratio is the number of retries that a first call earns, maxRetriesPerCall
+	// the maximum number of retries of one call.
+	ratio             float64
+	maxRetriesPerCall int
+	// useRation enables the Ration; without it retries go to the first calls
+	// that request them.
+	useRation bool
 }
 
 // sheddingRun is one run in progress.
@@ -33,9 +33,10 @@
 	priority       call.Priority
 }
 
-// play simulates the load and returns how many runs completed all their calls
-// and how many retries were made. All runs advance by one step every 20 ms.
-func (s shedding) play(seed uint64) (completed, retries int) {
+// simulate simulates the load and returns how many runs completed all their
+// calls and how many retries were made. All runs advance by one step every 20
+// ms.
+func (s sheddingLoad) simulate(seed uint64) (completed, retries int) {
 	const step = 20 * time.Millisecond
 	random := rand.New(rand.NewPCG(seed, 1))
 	bucket := NewBucket(BucketConfig{Ratio: s.ratio, Start: start})
@@ -46,7 +47,7 @@
 		for range s.rate * int(step) / int(time.Second) {
 			runs = append(runs, &sheddingRun{priority: 13})
 		}
-		var open []*sheddingRun
+		var unfinished []*sheddingRun
 		for _, run := range runs {
 			if run.repeated == 0 {
 				bucket.OnFirst(now)
@@ -58,18 +59,18 @@
 					completed++
 					continue
 				}
-				open = append(open, run)
+				unfinished = append(unfinished, run)
 				continue
 			}
 			benefit := Benefit{Priority: run.priority, Remaining: s.calls - run.done}
-			chosen := !s.choose || ration.Admit(benefit, random.Float64(), now)
-			if run.repeated < s.again && chosen && bucket.Allow(now) {
+			chosen := !s.useRation || ration.Admit(benefit, random.Float64(), now)
+			if run.repeated < s.maxRetriesPerCall && chosen && bucket.Allow(now) {
 				retries++
 				run.repeated++
-				open = append(open, run)
+				unfinished = append(unfinished, run)
 			}
 		}
-		runs = open
+		runs = unfinished
 		now = now.Add(step)
 	}
 	return completed, retries
@@ -85,14 +86,14 @@
 	c := qt.New(t)
 	for _, calls := range []int{4, 8} {
 		for _, refused := range []float64{0.2, 0.55, 0.8} {
-			load := shedding{calls: calls, refused: refused, rate: 500, seconds: 20, ratio: 0.18, again: 1}
+			load := sheddingLoad{calls: calls, refused: refused, rate: 500, seconds: 20, ratio: 0.18, maxRetriesPerCall: 1}
 			var first, chosen, firstRetries, chosenRetries int
 			for seed := range uint64(3) {
-				n, r := load.play(seed)
+				n, r := load.simulate(seed)
 				first, firstRetries = first+n, firstRetries+r
 				with := load
-				with.choose = true
-				n, r = with.play(seed)
+				with.useRation = true
+				n, r = with.simulate(seed)
 				chosen, chosenRetries = chosen+n, chosenRetries+r
 			}
 			c.Logf("%d calls per run, %.2f refused: %d of 30000 runs completed with %d retries; with Ration %d with %d retries",
@@ -111,7 +112,7 @@
 // While the budget covers all requested retries, each must be granted: an
 // occasional refusal by a healthy service must be retried whichever call of a
 // run it hits.
-func TestPlentifulRetriesAreForAll(t *testing.T) {
+func TestSufficientBudgetGrantsAllRetries(t *testing.T) {
 	c := qt.New(t)
 	bucket := NewBucket(BucketConfig{Ratio: 0.2, Start: start})
 	ration := NewRation(bucket)
@@ -142,10 +143,10 @@
 		{Priority: 15, Remaining: maxRemaining + 5}, {Priority: 1, Remaining: maxRemaining},
 	}
 	for i := range order[1:] {
-		c.Check(order[i].place() < order[i+1].place(), qt.IsTrue, qt.Commentf("%v before %v", order[i], order[i+1]))
+		c.Check(order[i].rank() < order[i+1].rank(), qt.IsTrue, qt.Commentf("%v before %v", order[i], order[i+1]))
 	}
-	c.Check(order[0].place() >= 0, qt.IsTrue)
-	c.Check(Benefit{Priority: 0, Remaining: 1000}.place() < rationPlaces, qt.IsTrue)
+	c.Check(order[0].rank() >= 0, qt.IsTrue)
+	c.Check(Benefit{Priority: 0, Remaining: 1000}.rank() < rationRanks, qt.IsTrue)
 }
 
 // A service sheds load for some seconds and is then healthy for minutes. When
@@ -153,7 +154,7 @@
 // call. They must be granted. The fault guarded against: they were denied in
 // favour of demand that was minutes old, and their runs failed although the
 // budget was full.
-func TestWhatWasWantedLongAgoCountsNoMore(t *testing.T) {
+func TestOldDemandIsForgotten(t *testing.T) {
 	c := qt.New(t)
 	bucket := NewBucket(BucketConfig{Ratio: 0.2, Start: start})
 	ration := NewRation(bucket)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -17,7 +17,7 @@
 // After Left, the reported credit belongs to the calling hop. An answer from
 // downstream that arrives later or twice, or a peer that returns more than it
 // was lent, must not give the request more attempts than its credit.
-func TestLateRepeatedAndForgedReturnsMintNothing(t *testing.T) {
+func TestLateRepeatedAndForgedReturnsAddNoCredit(t *testing.T) {
 	c := qt.New(t)
 	credit := NewCredit(3)
 	lent := credit.Lend()
@@ -46,7 +46,7 @@
 		WhyRetry:      func(in *Decision) { in.Reason, in.Hop = call.ReasonQueueFull, "filing" },
 		WhyComplete:   func(in *Decision) { in.Outcome = call.Complete },
 		WhyMayHaveRun: func(in *Decision) { in.Outcome, in.Reason = call.Unknown, call.ReasonLost },
-		WhyDeeper:     func(in *Decision) { in.Hop = "billing" },
+		WhyDownstream: func(in *Decision) { in.Hop = "billing" },
 		WhyHopeless:   func(in *Decision) { in.Reason = call.ReasonLevelBelow },
 		WhyOverload:   func(in *Decision) { in.Reason, in.Refusing = call.ReasonLevel, OverloadThousandths },
 		WhyDeadline:   func(in *Decision) { in.AttemptTime = time.Second },
@@ -162,7 +162,7 @@
 // similar hints, they would come back in one burst. The busiest second
 // afterwards must hold a small part of them, and a smaller one the more
 // requests are refused.
-func TestAfterThinsOutACrowd(t *testing.T) {
+func TestAfterSpreadsRefusedCallers(t *testing.T) {
 	c := qt.New(t)
 	r := rand.New(rand.NewPCG(5, 6))
 	const callers = 10000
@@ -249,7 +249,7 @@
 	}
 	c.Check(Decide(base), qt.Equals, Verdict{Retry: true, Free: true, Why: WhyRetry})
 	for want, change := range map[Why]func(*Decision){
-		WhyNoCredit:   func(in *Decision) { in.FreeMade = MaxFree },
+		WhyNoCredit:   func(in *Decision) { in.FreeMade = MaxFreeAttempts },
 		WhyMayHaveRun: func(in *Decision) { in.Outcome = call.Unknown },
 		WhyOverload:   func(in *Decision) { in.Refusing = OverloadThousandths },
 		WhyNoTarget:   func(in *Decision) { in.TargetsLeft = 0 },
@@ -262,7 +262,7 @@
 	shed.Reason = call.ReasonUpstreamShed
 	c.Check(Decide(shed), qt.Equals, Verdict{Why: WhyNoCredit})
 	thrice := base
-	thrice.FreeMade, thrice.Credit, thrice.Budget = MaxFree, 1, true
+	thrice.FreeMade, thrice.Credit, thrice.Budget = MaxFreeAttempts, 1, true
 	c.Check(Decide(thrice), qt.Equals, Verdict{Why: WhyOverload})
 	thrice.Reason = call.ReasonConnect
 	c.Check(Decide(thrice), qt.Equals, Verdict{Retry: true, Why: WhyRetry})
@@ -272,7 +272,7 @@
 // doesn't indicate load, and the next target is as likely to accept the call as
 // any other. When targets refuse because their slots are in use, one more
 // attempt is likely to be one more refusal.
-func TestRefusalsInSpiteOfRoomAreNoOverload(t *testing.T) {
+func TestRefusalsWithFreeSlotsAreNoOverload(t *testing.T) {
 	c := qt.New(t)
 	in := Decision{
 		Outcome: call.NotRun, Reason: call.ReasonUpstreamRefused, Hop: "index", Service: "index",
--- a/retry/tree_test.go
+++ b/retry/tree_test.go
@@ -39,9 +39,9 @@
 	// bottomOnly limits failures to calls on the services at the bottom of the
 	// graph.
 	bottomOnly bool
-	// runaway is the number of retries after which the simulation makes no
+	// maxExtras is the number of retries after which the simulation makes no
 	// more, for schemes that would not terminate; 0 means no limit.
-	runaway int64
+	maxExtras int64
 
 	seed    atomic.Uint64
 	firsts  atomic.Int64
@@ -51,9 +51,10 @@
 
 type answer struct {
 	ok bool
-	// deeper is true when the failure happened downstream of the answering hop.
-	deeper bool
-	left   int
+	// downstream is true when the failure happened downstream of the answering
+	// hop.
+	downstream bool
+	left       int
 }
 
 func (g *graph) random() *rand.Rand { return rand.New(rand.NewPCG(g.seed.Add(1), 7)) }
@@ -65,13 +66,13 @@
 	var calls sync.WaitGroup
 	for range g.callsAt(depth) {
 		if g.parallel {
-			calls.Go(func() { g.callBelow(depth, own, &failed) })
+			calls.Go(func() { g.callDownstream(depth, own, &failed) })
 			continue
 		}
-		g.callBelow(depth, own, &failed)
+		g.callDownstream(depth, own, &failed)
 	}
 	calls.Wait()
-	return answer{ok: !failed.Load(), deeper: failed.Load(), left: own.Left()}
+	return answer{ok: !failed.Load(), downstream: failed.Load(), left: own.Left()}
 }
 
 func (g *graph) callsAt(depth int) int {
@@ -84,15 +85,16 @@
 	return max(g.width, 1)
 }
 
-// callBelow makes one downstream call, with the retries that the scheme allows.
-func (g *graph) callBelow(depth int, own *Credit, failed *atomic.Bool) {
+// callDownstream makes one downstream call, with the retries that the scheme
+// allows.
+func (g *graph) callDownstream(depth int, own *Credit, failed *atomic.Bool) {
 	g.firsts.Add(1)
 	for attempt := 1; ; attempt++ {
 		result := g.attempt(depth, own)
 		if result.ok {
 			return
 		}
-		if !g.again(attempt, result, own) {
+		if !g.shouldRetry(attempt, result, own) {
 			failed.Store(true)
 			return
 		}
@@ -100,13 +102,13 @@
 	}
 }
 
-func (g *graph) again(attempt int, result answer, own *Credit) bool {
+func (g *graph) shouldRetry(attempt int, result answer, own *Credit) bool {
 	switch {
-	case g.runaway > 0 && g.extras.Load() >= g.runaway:
+	case g.maxExtras > 0 && g.extras.Load() >= g.maxExtras:
 		return false
 	case g.scheme.perHop > 0:
 		return attempt < g.scheme.perHop
-	case result.deeper:
+	case result.downstream:
 		return false
 	}
 	return own.Take(1) == 1
@@ -123,21 +125,21 @@
 	chance := rnd.Float64()
 	fails := !g.bottomOnly || depth+1 == g.depth
 	if fails && chance < g.refuse {
-		g.giveBack(own, lent, lent)
+		g.returnCredit(own, lent, lent)
 		return answer{}
 	}
-	below := g.visit(depth+1, lent)
+	result := g.visit(depth+1, lent)
 	if fails && chance > 1-g.lose {
 		if rnd.Float64() < g.late {
-			g.pending.Go(func() { g.giveBack(own, lent, below.left) })
+			g.pending.Go(func() { g.returnCredit(own, lent, result.left) })
 		}
 		return answer{}
 	}
-	g.giveBack(own, lent, below.left)
-	return below
+	g.returnCredit(own, lent, result.left)
+	return result
 }
 
-func (g *graph) giveBack(own *Credit, lent, left int) {
+func (g *graph) returnCredit(own *Credit, lent, left int) {
 	if !g.scheme.copied {
 		own.Return(lent, left)
 	}
@@ -179,7 +181,7 @@
 	for _, width := range []int{1, 2} {
 		for _, depth := range []int{3, 6, 9, 12} {
 			for _, s := range schemes {
-				g := &graph{scheme: s, width: width, depth: depth, bottomOnly: true, refuse: 1, runaway: 100_000}
+				g := &graph{scheme: s, width: width, depth: depth, bottomOnly: true, refuse: 1, maxExtras: 100_000}
 				g.visit(0, 2)
 				c.Logf("fan-out %d depth %2d %-9s: %6d extra on %6d calls", width, depth, s.name, g.extras.Load(), g.firsts.Load())
 				most[s.name] = max(most[s.name], g.extras.Load())
