--- a/routing/config.go
+++ b/routing/config.go
@@ -18,7 +18,8 @@
 )
 
 // MaxSubset is the maximum number of targets of one service that a node may
-// use: a choice represents the set of usable targets as bits of one 64-bit word.
+// use: a choice represents the set of usable targets as bits of one 64-bit
+// word.
 const MaxSubset = 64
 
 // Config configures a Router. Zero fields get the default.
--- a/routing/cost.go
+++ b/routing/cost.go
@@ -5,18 +5,18 @@
 	// factor when all its recent calls failed or were refused.
 	failedWeight  = 20
 	refusedWeight = 10
-	// avoidShare is the refused share, in thousandths, at which all calls leave
-	// the zone. spillRange is the excess over SpillLoad, in thousandths, at
-	// which all calls leave it.
-	avoidShare = 500
-	spillRange = 100
-	// margin is the cost ratio below which the second target drawn replaces the
-	// first. Without it, noise in the averages alone would send all calls of a
-	// quiet service to one target.
-	margin = 0.8
-	// unmeasured is the latency, in microseconds, assumed for a target when
-	// neither it nor its peers have been measured.
-	unmeasured = 1000
+	// fullSpillRefusedShare is the refused share, in thousandths, at which all
+	// calls leave the zone. fullSpillExcess is the excess over SpillLoad, in
+	// thousandths, at which all calls leave it.
+	fullSpillRefusedShare = 500
+	fullSpillExcess       = 100
+	// replaceCostRatio is the cost ratio below which the second target drawn
+	// replaces the first. Without it, noise in the averages alone would send
+	// all calls of a quiet service to one target.
+	replaceCostRatio = 0.8
+	// defaultLatencyMicros is the latency assumed for a target when neither it
+	// nor its peers have been measured.
+	defaultLatencyMicros = 1000
 )
 
 // pressure returns the probability, in thousandths, that a call should go to
@@ -28,13 +28,13 @@
 // nodes of a zone leave it together and come back together, which refuses twice
 // as many calls when the whole region is nearly full.
 func (c *choice) pressure(candidate *member, cold bool) int64 {
-	m := candidate.measure
-	over := (c.load(candidate) - int64(c.config.SpillLoad)) * thousand / spillRange
-	refused := m.refused.load(c.at, decayMillis) * thousand / avoidShare
-	failed := m.failed.load(c.at, decayMillis) * thousand / failedShare
+	m := candidate.stats
+	over := (c.load(candidate) - int64(c.config.SpillLoad)) * thousand / fullSpillExcess
+	refused := m.refused.load(c.at, decayMillis) * thousand / fullSpillRefusedShare
+	failed := m.failed.load(c.at, decayMillis) * thousand / failingShare
 	pressure := max(over, refused, failed)
 	if cold {
-		pressure = max(pressure, thousand-m.share(c.at, c.config))
+		pressure = max(pressure, thousand-m.slowStartShare(c.at, c.config))
 	}
 	return min(max(pressure, 0), thousand)
 }
@@ -46,7 +46,7 @@
 		return b
 	case b == nil:
 		return a
-	case c.cost(b) < margin*c.cost(a):
+	case c.cost(b) < replaceCostRatio*c.cost(a):
 		return b
 	}
 	return a
@@ -56,8 +56,8 @@
 // and the load that the target reports, in thousandths of its slots. The report
 // may be late or wrong, so it is only used to send fewer calls to the target.
 func (c *choice) load(candidate *member) int64 {
-	own := candidate.measure.inFlight.Load() * thousand / slots(candidate)
-	return max(own, candidate.measure.load.load(c.at, decayMillis))
+	own := candidate.stats.inFlight.Load() * thousand / slots(candidate)
+	return max(own, candidate.stats.load.load(c.at, decayMillis))
 }
 
 func slots(candidate *member) int64 { return int64(max(candidate.target.Slots, 1)) }
@@ -66,10 +66,10 @@
 // calls in flight for each slot, increased by recent failures and refusals and
 // by the reported load.
 func (c *choice) cost(candidate *member) float64 {
-	m := candidate.measure
+	m := candidate.stats
 	latency := m.decayedLatency(c.typical, c.at)
 	if latency == 0 {
-		latency = unmeasured
+		latency = defaultLatencyMicros
 	}
 	queue := float64(m.inFlight.Load()+1) / float64(slots(candidate))
 	failed := float64(m.failed.load(c.at, decayMillis)) / thousand
--- a/routing/decaying.go
+++ b/routing/decaying.go
@@ -2,10 +2,10 @@
 
 import "sync/atomic"
 
-// decaying is a number that decays linearly to 0 over an interval, stored in
-// one atomic word. A failure must lose its weight by time alone, because a
+// decayingValue is a number that decays linearly to 0 over an interval, stored
+// in one atomic word. A failure must lose its weight by time alone, because a
 // target that gets no calls can't show that it has recovered.
-type decaying struct {
+type decayingValue struct {
 	word atomic.Uint64
 }
 
@@ -15,13 +15,13 @@
 )
 
 // store sets the value as of the time at, in milliseconds.
-func (f *decaying) store(value, at int64) {
+func (f *decayingValue) store(value, at int64) {
 	value = min(max(value, 0), decayingMax)
 	f.word.Store(uint64(max(at, 0))<<decayingBits | uint64(value))
 }
 
 // load returns the value at the time at, in milliseconds.
-func (f *decaying) load(at, interval int64) int64 {
+func (f *decayingValue) load(at, interval int64) int64 {
 	word := f.word.Load()
 	value := int64(word & decayingMax)
 	if value == 0 {
--- a/routing/drain_test.go
+++ b/routing/drain_test.go
@@ -13,7 +13,7 @@
 // They avoided the node for ten seconds all the same, and got no-target when
 // the other members drained meanwhile. The new announcement must bring the node
 // back; an announcement from before the refusal must not.
-func TestCancelledDrainIsTakenBackByTheMembersWord(t *testing.T) {
+func TestAnnouncementAfterCancelledDrainRestoresTarget(t *testing.T) {
 	c := qt.New(t)
 	only := target("t1", "a")
 	only.Revision = 4
--- a/routing/eject.go
+++ b/routing/eject.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// detectMillis is the minimum interval between two comparisons of the
-	// targets of a service.
-	detectMillis = 500
-	// outlierFloor is the excess over the median, in microseconds, up to which
-	// a slow target is not an outlier: a latency of three times a quarter of a
+	// detectIntervalMillis is the minimum interval between two comparisons of
+	// the targets of a service.
+	detectIntervalMillis = 500
+	// outlierMinExcessMicros is the excess over the median up to which a slow
+	// target is not an outlier: a latency of three times a quarter of a
 	// millisecond is no reason to eject.
-	outlierFloor = 5000
-	// failedShare is the share of failed calls, in thousandths, from which a
+	outlierMinExcessMicros = 5000
+	// failingShare is the share of failed calls, in thousandths, from which a
 	// target counts as failing.
-	failedShare = 300
+	failingShare = 300
 	// outlierRounds is the number of consecutive comparisons that must find a
 	// target slow. When a shared dependency slows down, some averages rise
 	// before others, and for a moment the first one looks like an outlier.
@@ -44,15 +44,15 @@
 // the targets fail, the cause is more likely this node's own network or a
 // shared dependency; ejecting them all would make a slow service unavailable,
 // and move the whole load to the last target.
-func (s *service) eject(m *measure, at int64, config *Config) {
+func (s *service) eject(m *targetStats, at int64, config *Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.view.Load()
 	if m.ejectedFor(at, config) > 0 || !v.contains(m) {
 		return
 	}
-	if (v.ejected(at, config)+1)*2 > len(v.active) {
-		if v.allBad(at, config) {
+	if (v.ejected(at, config)+1)*2 > len(v.subset) {
+		if v.allFailing(at, config) {
 			v.endEjections()
 		}
 		return
@@ -62,12 +62,12 @@
 
 // beginEjection ejects m for a duration that doubles with each ejection and
 // halves with each period of EjectMax without one.
-func (m *measure) beginEjection(at int64, config *Config) {
+func (m *targetStats) beginEjection(at int64, config *Config) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	limit := config.EjectMax.Milliseconds()
-	calm := (at - m.lastEjection) / limit
-	m.ejections = int(max(int64(m.ejections)-max(calm, 0), 0))
+	calmPeriods := (at - m.lastEjection) / limit
+	m.ejections = int(max(int64(m.ejections)-max(calmPeriods, 0), 0))
 	length := config.EjectBase.Milliseconds()
 	for range m.ejections {
 		length = min(length*2, limit)
@@ -84,7 +84,7 @@
 
 // readmit ends an ejection after a successful probe. It replaces the earlier
 // measurements, because they date from the time when the target was failing.
-func (m *measure) readmit(f Feedback, at int64) {
+func (m *targetStats) readmit(f Feedback, at int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.latency.Store(max(f.Latency.Microseconds(), 1))
@@ -97,20 +97,20 @@
 }
 
 // detectOutliers compares the targets of the service with each other and ejects
-// the outliers. It runs at most once per detectMillis, in the first call of
-// Done after that time.
+// the outliers. It runs at most once per detectIntervalMillis, in the first
+// call of Done after that time.
 func (s *service) detectOutliers(at int64, config *Config) {
 	next := s.nextDetection.Load()
-	if at < next && next-at <= detectMillis {
+	if at < next && next-at <= detectIntervalMillis {
 		return
 	}
-	if !s.nextDetection.CompareAndSwap(next, at+detectMillis) {
+	if !s.nextDetection.CompareAndSwap(next, at+detectIntervalMillis) {
 		return
 	}
 	v := s.view.Load()
-	s.typical.Store(medianLatency(v.home, at))
-	s.ejectOutliers(v.home, at, config)
-	s.ejectOutliers(v.away, at, config)
+	s.typical.Store(medianLatency(v.sameRegion, at))
+	s.ejectOutliers(v.sameRegion, at, config)
+	s.ejectOutliers(v.otherRegions, at, config)
 }
 
 // ejectOutliers compares targets at a similar distance, because targets of
@@ -118,11 +118,11 @@
 func (s *service) ejectOutliers(peers []*member, at int64, config *Config) {
 	latency := medianLatency(peers, at)
 	for _, peer := range peers {
-		m := peer.measure
+		m := peer.stats
 		if m.ejectedFor(at, config) > 0 {
 			continue
 		}
-		if m.countSlowRound(outlier(m.decayedLatency(latency, at), latency, config)) {
+		if m.countSlowRound(isOutlier(m.decayedLatency(latency, at), latency, config)) {
 			s.eject(m, at, config)
 		}
 	}
@@ -130,7 +130,7 @@
 
 // countSlowRound counts the consecutive comparisons that found m slow, and
 // reports whether they reach outlierRounds.
-func (m *measure) countSlowRound(slow bool) bool {
+func (m *targetStats) countSlowRound(slow bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.slowRounds++
@@ -140,8 +140,8 @@
 	return m.slowRounds >= outlierRounds
 }
 
-func outlier(latency, median int64, config *Config) bool {
-	return median > 0 && latency-median > outlierFloor && float64(latency) > config.Outlier*float64(median)
+func isOutlier(latency, median int64, config *Config) bool {
+	return median > 0 && latency-median > outlierMinExcessMicros && float64(latency) > config.Outlier*float64(median)
 }
 
 // medianLatency returns the lower median latency of the peers that were
@@ -151,7 +151,7 @@
 	var values [MaxSubset]int64
 	n := 0
 	for _, peer := range peers {
-		m := peer.measure
+		m := peer.stats
 		latency := m.latency.Load()
 		if latency > 0 && at-m.latencyAt.Load() < decayMillis {
 			values[n] = latency
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -28,19 +28,19 @@
 	answer  func(Target) Feedback
 	now     time.Time
 	rnd     *rand.Rand
-	// picked, if set, is called for each chosen target with the zone of the
+	// onPick, if set, is called for each chosen target with the zone of the
 	// caller.
-	picked  func(zone string, t Target)
-	busy    map[string]int
-	calls   map[string]int
-	refused int
-	// due holds the callbacks that end calls, by millisecond.
-	due map[int64][]func()
+	onPick   func(zone string, t Target)
+	inFlight map[string]int
+	calls    map[string]int
+	refused  int
+	// endCallbacks holds the callbacks that end calls, by millisecond.
+	endCallbacks map[int64][]func()
 }
 
 func newFleet(callers int, zones []string, subset int, targets []Target) *fleet {
-	f := &fleet{now: start, rnd: rand.New(rand.NewPCG(3, 4)), busy: make(map[string]int), due: make(map[int64][]func())}
-	f.answer = f.slots
+	f := &fleet{now: start, rnd: rand.New(rand.NewPCG(3, 4)), inFlight: make(map[string]int), endCallbacks: make(map[int64][]func())}
+	f.answer = f.answerBySlots
 	for i := range callers {
 		config := Config{Node: fmt.Sprint("caller", i), Zone: zones[i%len(zones)], Region: "hu", Start: start, Subset: subset}
 		f.routers = append(f.routers, NewRouter(config))
@@ -62,10 +62,10 @@
 	next := f.now
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(time.Millisecond) {
 		at := f.now.UnixMilli()
-		for _, done := range f.due[at] {
+		for _, done := range f.endCallbacks[at] {
 			done()
 		}
-		delete(f.due, at)
+		delete(f.endCallbacks, at)
 		for next.Before(f.now) {
 			next = next.Add(time.Duration(f.rnd.ExpFloat64() / rate * float64(time.Second)))
 			f.call(c)
@@ -79,24 +79,24 @@
 	picked, err := r.Pick("filing", nil, f.rnd.Uint64(), f.now)
 	c.Assert(err, qt.IsNil)
 	t := picked.Target
-	if f.picked != nil {
-		f.picked(r.config.Zone, t)
+	if f.onPick != nil {
+		f.onPick(r.config.Zone, t)
 	}
 	f.calls[t.ID]++
 	feedback := f.answer(t)
-	f.busy[t.ID]++
+	f.inFlight[t.ID]++
 	end := f.now.Add(max(feedback.Latency, time.Millisecond)).UnixMilli()
-	f.due[end] = append(f.due[end], func() {
-		f.busy[t.ID]--
+	f.endCallbacks[end] = append(f.endCallbacks[end], func() {
+		f.inFlight[t.ID]--
 		if feedback.Load == 0 {
-			feedback.Load = f.busy[t.ID] * thousand / t.Slots
+			feedback.Load = f.inFlight[t.ID] * thousand / t.Slots
 		}
 		picked.Done(feedback, f.now)
 	})
 }
 
-func (f *fleet) slots(t Target) Feedback {
-	if f.busy[t.ID] >= t.Slots {
+func (f *fleet) answerBySlots(t Target) Feedback {
+	if f.inFlight[t.ID] >= t.Slots {
 		f.refused++
 		return Feedback{Outcome: call.NotRun, Reason: call.ReasonQueueFull, Latency: time.Millisecond}
 	}
@@ -127,9 +127,9 @@
 		f := newFleet(30, []string{"a", "b", "c"}, 0, threeZones)
 		f.run(c, 5*time.Second, rate)
 		crossed := 0
-		home := map[string]string{"t1": "a", "t2": "b", "t3": "c"}
-		f.picked = func(zone string, t Target) {
-			if home[t.ID] != zone {
+		zoneOf := map[string]string{"t1": "a", "t2": "b", "t3": "c"}
+		f.onPick = func(zone string, t Target) {
+			if zoneOf[t.ID] != zone {
 				crossed++
 			}
 		}
@@ -148,10 +148,10 @@
 func TestSubsetBalancesAndBoundsConnections(t *testing.T) {
 	c := qt.New(t)
 	for _, size := range []int{22, 100} {
-		shape := subsetShape(c, size, DefaultSubset, 300*time.Millisecond)
-		c.Logf("members %d: %+v", size, shape)
-		c.Assert(shape.loadSkew < 1.5, qt.IsTrue)
-		c.Assert(shape.mostCallers < 560*DefaultSubset/size*3/2, qt.IsTrue)
+		result := measureSubset(c, size, DefaultSubset, 300*time.Millisecond)
+		c.Logf("members %d: %+v", size, result)
+		c.Assert(result.loadSkew < 1.5, qt.IsTrue)
+		c.Assert(result.mostCallers < 560*DefaultSubset/size*3/2, qt.IsTrue)
 	}
 }
 
@@ -160,7 +160,7 @@
 	for _, shape := range [][2]int{{22, 6}, {22, 12}, {22, 24}, {100, 6}, {100, 12}, {100, 24}, {300, 6}, {300, 12}, {300, 24}} {
 		b.Run(fmt.Sprintf("members=%d/subset=%d", shape[0], shape[1]), func(b *testing.B) {
 			for range b.N {
-				got := subsetShape(qt.New(b), shape[0], shape[1], time.Second)
+				got := measureSubset(qt.New(b), shape[0], shape[1], time.Second)
 				b.ReportMetric(float64(got.mostCallers), "callers-max")
 				b.ReportMetric(got.loadSkew, "load-max/mean")
 			}
@@ -173,8 +173,9 @@
 	loadSkew    float64
 }
 
-// subsetShape simulates 560 callers in three zones that load a service to 60 %.
-func subsetShape(c *qt.C, size, subset int, d time.Duration) subsetResult {
+// measureSubset simulates 560 callers in three zones that load a service to 60
+// %.
+func measureSubset(c *qt.C, size, subset int, d time.Duration) subsetResult {
 	zones := []string{"a", "b", "c"}
 	var targets []Target
 	for i := range size {
@@ -209,10 +210,10 @@
 	for _, n := range calls {
 		total += n
 	}
-	return subsetResult{most(callers), float64(most(calls)*size) / float64(total)}
+	return subsetResult{maxCount(callers), float64(maxCount(calls)*size) / float64(total)}
 }
 
-func most(counts map[string]int) int {
+func maxCount(counts map[string]int) int {
 	n := 0
 	for _, one := range counts {
 		n = max(n, one)
--- a/routing/measure.go
+++ b/routing/measure.go
@@ -11,10 +11,10 @@
 const (
 	// thousand represents 100 % in shares and loads.
 	thousand = 1000
-	// shareGain and latencyGain are the divisors of the moving averages: each
-	// attempt moves the average by 1/gain of the difference.
-	shareGain   = 8
-	latencyGain = 8
+	// shareDivisor and latencyDivisor are the divisors of the moving averages:
+	// each attempt moves the average by the difference divided by the divisor.
+	shareDivisor   = 8
+	latencyDivisor = 8
 	// maxConsecutiveFailures is the number of consecutive failures that eject a
 	// target at once. A single failure may be chance, and three are few enough
 	// calls to lose.
@@ -24,11 +24,11 @@
 	decayMillis = 5000
 )
 
-// measure holds what this node has measured of one target by its own calls. It
-// outlives views: a change of the member list elsewhere must not discard it.
+// targetStats holds what this node has measured of one target by its own calls.
+// It outlives views: a change of the member list elsewhere must not discard it.
 //
 // Pick reads the atomic fields. Done writes them under mu, except inFlight.
-type measure struct {
+type targetStats struct {
 	service *service
 	// slowStartAt is the time when slow start began, in milliseconds; 0 until
 	// the target is first picked.
@@ -39,20 +39,21 @@
 	// latencyAt is the time of its last sample in milliseconds.
 	latency   atomic.Int64
 	latencyAt atomic.Int64
-	refused   decaying
-	failed    decaying
-	load      decaying
+	refused   decayingValue
+	failed    decayingValue
+	load      decayingValue
 	level     atomic.Int32
 
 	// ejectedUntil, drainedUntil and nextProbe are times in milliseconds.
 	ejectedUntil atomic.Int64
 	drainedUntil atomic.Int64
 	nextProbe    atomic.Int64
-	// takesWork is the revision of the latest announcement in which the member
-	// did not drain. drainRefused is the latest revision that this node knew
-	// when it sent a call that the target refused because it drains.
-	takesWork    atomic.Uint64
-	drainRefused atomic.Uint64
+	// availableRevision is the revision of the latest announcement in which the
+	// member did not drain. drainRefusedRevision is the latest revision that
+	// this node knew when it sent a call that the target refused because it
+	// drains.
+	availableRevision    atomic.Uint64
+	drainRefusedRevision atomic.Uint64
 
 	mu sync.Mutex
 	// consecutiveFailures and slowRounds determine whether to eject the target,
@@ -63,9 +64,10 @@
 	lastEjection        int64
 }
 
-// add records the result of one attempt that was sent when the member had the
-// given revision, and reports whether the target should be ejected at once.
-func (m *measure) add(f Feedback, revision uint64, at int64, config *Config) bool {
+// addFeedback records the result of one attempt that was sent when the member
+// had the given revision, and reports whether the target should be ejected at
+// once.
+func (m *targetStats) addFeedback(f Feedback, revision uint64, at int64, config *Config) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	result := f.verdict()
@@ -87,22 +89,22 @@
 		m.consecutiveFailures++
 		if f.Reason == call.ReasonTimeout {
 			// The answer would have taken at least this long.
-			m.addLatency(max(f.Latency, m.latencyNow()), at)
+			m.addLatency(max(f.Latency, m.averageLatency()), at)
 		}
 		m.addSample(&m.failed, thousand, at)
 		return m.consecutiveFailures >= maxConsecutiveFailures
 	case verdictDraining:
-		m.drainRefused.Store(max(m.drainRefused.Load(), revision))
+		m.drainRefusedRevision.Store(max(m.drainRefusedRevision.Load(), revision))
 		m.drainedUntil.Store(at + config.DrainMemory.Milliseconds())
 	}
 	return false
 }
 
-func (m *measure) latencyNow() time.Duration {
+func (m *targetStats) averageLatency() time.Duration {
 	return time.Duration(m.latency.Load()) * time.Microsecond
 }
 
-func (m *measure) addLatency(took time.Duration, at int64) {
+func (m *targetStats) addLatency(took time.Duration, at int64) {
 	m.latencyAt.Store(at)
 	sample := max(took.Microseconds(), 1)
 	old := m.latency.Load()
@@ -110,13 +112,13 @@
 		m.latency.Store(sample)
 		return
 	}
-	m.latency.Store(max(old+(sample-old)/latencyGain, 1))
+	m.latency.Store(max(old+(sample-old)/latencyDivisor, 1))
 }
 
 // decayedLatency returns the average in microseconds, which approaches typical
 // while there are no new samples. Otherwise a target that was slow once, and
 // got no calls because of it, would count as slow for ever.
-func (m *measure) decayedLatency(typical, at int64) int64 {
+func (m *targetStats) decayedLatency(typical, at int64) int64 {
 	latency := m.latency.Load()
 	if latency == 0 || typical == 0 {
 		return max(latency, typical)
@@ -126,16 +128,16 @@
 }
 
 // addSample adds one sample, 0 or thousand, to a decaying share.
-func (m *measure) addSample(share *decaying, sample, at int64) {
+func (m *targetStats) addSample(share *decayingValue, sample, at int64) {
 	old := share.load(at, decayMillis)
-	share.store(old+(sample-old)/shareGain, at)
+	share.store(old+(sample-old)/shareDivisor, at)
 }
 
 // ejectedFor returns the remaining time of the target's ejection, in
 // milliseconds. An end that is further away than the longest ejection comes
 // from a clock that was set back and is ignored; it would eject the target for
 // as long as the clock's step.
-func (m *measure) ejectedFor(at int64, config *Config) int64 {
+func (m *targetStats) ejectedFor(at int64, config *Config) int64 {
 	left := m.ejectedUntil.Load() - at
 	if left <= 0 || left > config.EjectMax.Milliseconds() {
 		return 0
@@ -143,10 +145,11 @@
 	return left
 }
 
-// announced records the member's announcement if it does not drain.
-func (m *measure) announced(t Target) {
+// recordAnnouncement records the revision of an announcement if the member does
+// not drain.
+func (m *targetStats) recordAnnouncement(t Target) {
 	if !t.Draining {
-		m.takesWork.Store(max(m.takesWork.Load(), t.Revision))
+		m.availableRevision.Store(max(m.availableRevision.Load(), t.Revision))
 	}
 }
 
@@ -159,31 +162,32 @@
 // drained meanwhile, the callers would get no-target. If the node began to
 // drain again between its announcement and the refusal, that costs one more
 // refused call, whose refusal then applies.
-func (m *measure) drained(at int64, config *Config) bool {
-	if m.takesWork.Load() > m.drainRefused.Load() {
+func (m *targetStats) drained(at int64, config *Config) bool {
+	if m.availableRevision.Load() > m.drainRefusedRevision.Load() {
 		return false
 	}
 	left := m.drainedUntil.Load() - at
 	return left > 0 && left <= config.DrainMemory.Milliseconds()
 }
 
-// share returns the share of calls that slow start admits, in thousandths.
-func (m *measure) share(at int64, config *Config) int64 {
+// slowStartShare returns the share of calls that slow start admits, in
+// thousandths.
+func (m *targetStats) slowStartShare(at int64, config *Config) int64 {
 	const first = thousand / 10
-	whole := config.SlowStart.Milliseconds()
+	duration := config.SlowStart.Milliseconds()
 	slowStartAt := m.slowStartAt.Load()
 	if slowStartAt == 0 {
 		return first
 	}
 	age := at - slowStartAt
-	if age >= whole || age < 0 {
+	if age >= duration || age < 0 {
 		return thousand
 	}
-	return first + (thousand-first)*age/whole
+	return first + (thousand-first)*age/duration
 }
 
 // beginSlowStart starts slow start with the first call.
-func (m *measure) beginSlowStart(at int64) {
+func (m *targetStats) beginSlowStart(at int64) {
 	if m.slowStartAt.Load() == 0 {
 		m.slowStartAt.CompareAndSwap(0, at)
 	}
@@ -192,7 +196,7 @@
 // release decrements the in-flight count and returns the new count. It never
 // goes below 0, so a second Done for one Pick can't make the target look idle
 // for ever.
-func (m *measure) release() int64 {
+func (m *targetStats) release() int64 {
 	for {
 		old := m.inFlight.Load()
 		if old <= 0 {
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -10,8 +10,8 @@
 	// Probe is true when the target is ejected and this call probes it.
 	Probe bool
 
-	measure *measure
-	router  *Router
+	stats  *targetStats
+	router *Router
 }
 
 // Call describes the call to choose a target for.
@@ -42,37 +42,37 @@
 	if s == nil {
 		return Picked{}, &NoTargetError{Service: call.Service, Reason: NoTargetNone}
 	}
-	at := r.tick(now)
+	at := r.recordTime(now)
 	c := choice{
-		view:    s.view.Load(),
-		config:  &r.config,
-		exclude: call.Exclude,
-		typical: s.typical.Load(),
-		rnd:     rnd,
-		at:      at,
-		probe:   !call.Steady,
-		profile: call.Profile,
-		left:    call.Left.Microseconds(),
+		view:       s.view.Load(),
+		config:     &r.config,
+		exclude:    call.Exclude,
+		typical:    s.typical.Load(),
+		rnd:        rnd,
+		at:         at,
+		probe:      !call.Steady,
+		profile:    call.Profile,
+		leftMicros: call.Left.Microseconds(),
 	}
-	candidate, probed := c.choose()
+	candidate, probed := c.pickTarget()
 	if candidate == nil {
-		return Picked{}, &NoTargetError{Service: call.Service, Reason: c.view.noTarget(at, &r.config)}
+		return Picked{}, &NoTargetError{Service: call.Service, Reason: c.view.noTargetReason(at, &r.config)}
 	}
-	candidate.measure.inFlight.Add(1)
-	candidate.measure.beginSlowStart(at)
-	return Picked{Target: candidate.target, Probe: probed, measure: candidate.measure, router: r}, nil
+	candidate.stats.inFlight.Add(1)
+	candidate.stats.beginSlowStart(at)
+	return Picked{Target: candidate.target, Probe: probed, stats: candidate.stats, router: r}, nil
 }
 
 // Done ends the call's count as in flight and records its result. It returns
 // the number of calls that this node still has in flight on the target.
 func (p Picked) Done(f Feedback, now time.Time) int {
-	if p.measure == nil {
+	if p.stats == nil {
 		return 0
 	}
-	m, config := p.measure, &p.router.config
-	at := p.router.tick(now)
+	m, config := p.stats, &p.router.config
+	at := p.router.recordTime(now)
 	left := m.release()
-	failing := m.add(f, p.Target.Revision, at, config)
+	failing := m.addFeedback(f, p.Target.Revision, at, config)
 	switch {
 	case failing:
 		m.service.eject(m, at, config)
@@ -84,7 +84,7 @@
 }
 
 // recovered reports whether the latency of a probe is not an outlier.
-func (m *measure) recovered(took time.Duration, at int64, config *Config) bool {
+func (m *targetStats) recovered(took time.Duration, at int64, config *Config) bool {
 	peers := m.service.view.Load().peersOf(m)
-	return !outlier(took.Microseconds(), medianLatency(peers, at), config)
+	return !isOutlier(took.Microseconds(), medianLatency(peers, at), config)
 }
--- a/routing/quicker_test.go
+++ b/routing/quicker_test.go
@@ -12,10 +12,10 @@
 
 const bookingProfile = "booking"
 
-// speeds returns three upstreams of one service whose speeds differ as much as
-// those of VMs of one type do in practice: the slow one takes 1.7 times as long
-// as the usual one, the quick one 0.7 times.
-func speeds(slots int) []Target {
+// upstreamsByWorkTime returns three upstreams of one service whose speeds
+// differ as much as those of VMs of one type do in practice: the slow one takes
+// 1.7 times as long as the usual one, the quick one 0.7 times.
+func upstreamsByWorkTime(slots int) []Target {
 	targets := []Target{target("slow", "a"), target("usual", "b"), target("quick", "c")}
 	for i, factor := range []float64{1 / 0.6, 1, 1 / 1.4} {
 		targets[i].Slots = slots
@@ -24,10 +24,10 @@
 	return targets
 }
 
-// work draws the duration of a booking at a target: log-normal around 120 ms
-// scaled by the target's speed, and five times as long for one call in a
+// drawWorkTime draws the duration of a booking at a target: log-normal around
+// 120 ms scaled by the target's speed, and five times as long for one call in a
 // hundred.
-func work(t Target, rnd *rand.Rand) time.Duration {
+func drawWorkTime(t Target, rnd *rand.Rand) time.Duration {
 	mean := float64(t.WorkTimes[0].Micros)
 	took := mean * math.Exp(0.8*rnd.NormFloat64()-0.32)
 	if rnd.IntN(100) == 0 {
@@ -36,10 +36,10 @@
 	return time.Duration(min(took, mean*7)) * time.Microsecond
 }
 
-// place makes calls by a router in zone a, a few in flight at a time, and
+// placeCalls makes calls by a router in zone a, a few in flight at a time, and
 // returns the share that missed the deadline and the number of calls to each
 // target.
-func place(c *qt.C, targets []Target, left time.Duration, profile string, calls int) (late float64, placed map[string]int) {
+func placeCalls(c *qt.C, targets []Target, left time.Duration, profile string, calls int) (late float64, placed map[string]int) {
 	r := NewRouter(Config{Node: "n", Zone: "a", Region: "hu", Start: start})
 	r.SetTargets(targets)
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -50,7 +50,7 @@
 		now = now.Add(20 * time.Millisecond)
 		picked, err := r.Place(Call{Service: "filing", Steady: true, Profile: ProfileKey(profile), Left: left}, rnd.Uint64(), now)
 		c.Assert(err, qt.IsNil)
-		took := work(picked.Target, rnd)
+		took := drawWorkTime(picked.Target, rnd)
 		if took > left {
 			tooLate++
 		}
@@ -64,36 +64,36 @@
 // is the slow one. One in fifty missed the deadline there while a fast upstream
 // in the next zone was idle. Calls with enough time left must stay in their
 // zone.
-func TestCallsNearTheirDeadlineGoToAQuickerUpstream(t *testing.T) {
+func TestCallsNearTheirDeadlineGoToAFasterUpstream(t *testing.T) {
 	c := qt.New(t)
 	const calls, deadline = 20_000, 800 * time.Millisecond
-	blind, _ := place(c, speeds(100), deadline, "untold", calls)
-	late, placed := place(c, speeds(100), deadline, bookingProfile, calls)
-	c.Logf("late: %.4f without work times, %.4f with them; %v", blind, late, placed)
-	c.Check(blind > 0.02, qt.IsTrue)
-	c.Check(late < blind/3, qt.IsTrue)
+	lateUninformed, _ := placeCalls(c, upstreamsByWorkTime(100), deadline, "untold", calls)
+	late, placed := placeCalls(c, upstreamsByWorkTime(100), deadline, bookingProfile, calls)
+	c.Logf("late: %.4f without work times, %.4f with them; %v", lateUninformed, late, placed)
+	c.Check(lateUninformed > 0.02, qt.IsTrue)
+	c.Check(late < lateUninformed/3, qt.IsTrue)
 	c.Check(placed["slow"] > calls/100, qt.IsTrue)
-	_, placed = place(c, speeds(100), 10*time.Second, bookingProfile, calls)
+	_, placed = placeCalls(c, upstreamsByWorkTime(100), 10*time.Second, bookingProfile, calls)
 	c.Check(placed, qt.DeepEquals, map[string]int{"slow": calls})
 }
 
 // The zone has two upstreams, one of them slow. Calls must not leave the zone
 // for a faster upstream elsewhere: that costs traffic between zones, which a
 // choice within the zone does not.
-func TestCallsStayWhereTheZoneHasAChoice(t *testing.T) {
+func TestCallsStayInAZoneWithSeveralTargets(t *testing.T) {
 	c := qt.New(t)
-	targets := speeds(100)
+	targets := upstreamsByWorkTime(100)
 	targets[1].Zone = "a"
-	_, placed := place(c, targets, 800*time.Millisecond, bookingProfile, 2000)
+	_, placed := placeCalls(c, targets, 800*time.Millisecond, bookingProfile, 2000)
 	c.Check(placed["quick"], qt.Equals, 0)
 	c.Check(placed["usual"] > placed["slow"], qt.IsTrue)
 }
 
 // The fast upstream in the other zone fills up. If calls were still sent there
 // for its speed, they would be refused although their own zone has capacity.
-func TestQuickUpstreamUnderPressureIsLeftAlone(t *testing.T) {
+func TestFastUpstreamUnderPressureGetsFewCalls(t *testing.T) {
 	c := qt.New(t)
-	targets := speeds(100)
+	targets := upstreamsByWorkTime(100)
 	r := NewRouter(Config{Node: "n", Zone: "a", Region: "hu", Start: start})
 	r.SetTargets(targets)
 	now := start.Add(time.Minute)
@@ -121,44 +121,44 @@
 // members would flood each other with messages that have no effect; if it were
 // never announced, a node that turned slow would keep its calls. The most
 // frequently called profiles must be announced.
-func TestWorkTimesAreToldWhenTheyChange(t *testing.T) {
+func TestWorkTimesAreAnnouncedWhenTheyChange(t *testing.T) {
 	c := qt.New(t)
 	var w WorkMeter
 	rnd := rand.New(rand.NewPCG(3, 4))
 	now := start
 	slow := 1.0
-	told := 0
+	announcements := 0
 	second := func() (WorkTimes, bool) {
 		now = now.Add(time.Second)
 		for range 40 {
 			w.Add("busy", time.Duration(slow*100*math.Exp(0.8*rnd.NormFloat64()-0.32))*time.Millisecond)
 		}
-		times, news := w.News(now)
-		if news {
-			told++
+		times, announce := w.News(now)
+		if announce {
+			announcements++
 		}
-		return times, news
+		return times, announce
 	}
 	w.Add("rare", time.Second)
-	times, news := second()
-	c.Assert(news, qt.IsTrue)
-	c.Check(times.of(ProfileKey("rare")), qt.Equals, int64(0))
-	c.Check(times.of(ProfileKey("busy")) > 60_000, qt.IsTrue)
+	times, announce := second()
+	c.Assert(announce, qt.IsTrue)
+	c.Check(times.forProfile(ProfileKey("rare")), qt.Equals, int64(0))
+	c.Check(times.forProfile(ProfileKey("busy")) > 60_000, qt.IsTrue)
 	for range 300 {
 		second()
 	}
-	c.Logf("announced %d times in 300 s without a change", told)
-	c.Check(told <= 12, qt.IsTrue)
-	slow, told = 4, 0
+	c.Logf("announced %d times in 300 s without a change", announcements)
+	c.Check(announcements <= 12, qt.IsTrue)
+	slow, announcements = 4, 0
 	for range 6 {
 		times, _ = second()
 	}
-	c.Check(told >= 1, qt.IsTrue)
-	c.Check(times.of(ProfileKey("busy")) > 200_000, qt.IsTrue)
-	for i := range 2 * workProfiles {
+	c.Check(announcements >= 1, qt.IsTrue)
+	c.Check(times.forProfile(ProfileKey("busy")) > 200_000, qt.IsTrue)
+	for i := range 2 * maxMeasuredProfiles {
 		w.Add(fmt.Sprint("profile", i), time.Millisecond)
 	}
-	c.Check(len(w.profiles) <= workProfiles, qt.IsTrue)
+	c.Check(len(w.profiles) <= maxMeasuredProfiles, qt.IsTrue)
 	for range 200 {
 		now = now.Add(time.Second)
 		w.News(now)
--- a/routing/router.go
+++ b/routing/router.go
@@ -15,9 +15,9 @@
 	services atomic.Pointer[map[string]*service]
 	// mu serializes calls of SetTargets; nothing else locks it.
 	mu sync.Mutex
-	// fresh is true until the first SetTargets. The members that a node finds
+	// initial is true until the first SetTargets. The members that a node finds
 	// when it starts are not new to the other nodes and need no slow start.
-	fresh bool
+	initial bool
 	// now is the time passed to the latest Pick or Done, in milliseconds.
 	now atomic.Int64
 }
@@ -25,7 +25,7 @@
 // NewRouter returns a Router without targets. Settings out of range get their
 // default; Config.Validate reports them.
 func NewRouter(config Config) *Router {
-	r := &Router{config: config.withDefaults(), fresh: true}
+	r := &Router{config: config.withDefaults(), initial: true}
 	r.services.Store(&map[string]*service{})
 	return r
 }
@@ -35,10 +35,10 @@
 	return max(now.Sub(r.config.Start).Milliseconds(), 1)
 }
 
-// tick returns millis(now) and stores it for methods that have no time
+// recordTime returns millis(now) and stores it for methods that have no time
 // argument. It writes at most once a millisecond, because processors contend
 // for the word.
-func (r *Router) tick(now time.Time) int64 {
+func (r *Router) recordTime(now time.Time) int64 {
 	at := r.millis(now)
 	if r.now.Load() != at {
 		r.now.Store(at)
@@ -63,7 +63,7 @@
 			s = &service{}
 			s.view.Store(&view{})
 		}
-		if !s.view.Load().shows(list) {
+		if !s.view.Load().builtFrom(list) {
 			r.update(s, list)
 		}
 		next[name] = s
@@ -74,7 +74,7 @@
 		}
 	}
 	r.services.Store(&next)
-	r.fresh = false
+	r.initial = false
 }
 
 func group(targets []Target) map[string][]Target {
@@ -97,22 +97,22 @@
 func (r *Router) update(s *service, targets []Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := make(map[string]*measure)
+	known := make(map[string]*targetStats)
 	for _, candidate := range s.view.Load().members {
-		known[candidate.target.ID] = candidate.measure
+		known[candidate.target.ID] = candidate.stats
 	}
 	at := r.now.Load()
 	members := make([]*member, 0, len(targets))
 	for _, t := range targets {
 		m := known[t.ID]
 		if m == nil {
-			m = r.newMeasure(s)
+			m = r.newStats(s)
 		}
-		m.announced(t)
-		members = append(members, &member{target: t, measure: m})
+		m.recordAnnouncement(t)
+		members = append(members, &member{target: t, stats: m})
 	}
 	v := buildView(members, &r.config)
-	if v.ejected(at, &r.config)*2 > len(v.active) {
+	if v.ejected(at, &r.config)*2 > len(v.subset) {
 		// The targets that were not ejected are gone. Calling an ejected target
 		// is better than calling none.
 		v.endEjections()
@@ -120,9 +120,9 @@
 	s.view.Store(v)
 }
 
-func (r *Router) newMeasure(s *service) *measure {
-	m := &measure{service: s}
-	if r.fresh {
+func (r *Router) newStats(s *service) *targetStats {
+	m := &targetStats{service: s}
+	if r.initial {
 		m.slowStartAt.Store(math.MinInt64 / 2)
 	}
 	return m
@@ -145,17 +145,17 @@
 }
 
 func (r *Router) state(v *view, candidate *member, at int64) TargetState {
-	m := candidate.measure
+	m := candidate.stats
 	return TargetState{
 		Target:   candidate.target,
 		InSubset: v.contains(m),
 		InFlight: int(m.inFlight.Load()),
-		Latency:  m.latencyNow(),
+		Latency:  m.averageLatency(),
 		Refused:  int(m.refused.load(at, decayMillis)),
 		Failed:   int(m.failed.load(at, decayMillis)),
 		Load:     int(m.load.load(at, decayMillis)),
 		Level:    call.Level(m.level.Load()),
-		Share:    int(m.share(at, &r.config)),
+		Share:    int(m.slowStartShare(at, &r.config)),
 		Ejected:  time.Duration(m.ejectedFor(at, &r.config)) * time.Millisecond,
 		Leaving:  candidate.target.Draining || m.drained(at, &r.config),
 	}
@@ -190,13 +190,13 @@
 		return 0
 	}
 	v := s.view.Load()
-	if len(v.home) == 0 {
+	if len(v.sameRegion) == 0 {
 		return 0
 	}
 	at := r.millis(now)
 	var total int64
-	for _, candidate := range v.home {
-		total += candidate.measure.refused.load(at, decayMillis)
+	for _, candidate := range v.sameRegion {
+		total += candidate.stats.refused.load(at, decayMillis)
 	}
-	return int(total / int64(len(v.home)))
+	return int(total / int64(len(v.sameRegion)))
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -21,11 +21,12 @@
 	refusedConnect = Feedback{Outcome: call.NotRun, Reason: call.ReasonConnect, Latency: time.Millisecond}
 )
 
-const perSecond = 500
+const callsPerSecond = 500
 
-// oneCaller returns a fleet of one router in zone a. feedback is the answer of
-// t1, or of all targets if everyone is true; the other targets answer well.
-func oneCaller(targets []Target, feedback *Feedback, everyone bool) *fleet {
+// newOneCallerFleet returns a fleet of one router in zone a. feedback is the
+// answer of t1, or of all targets if everyone is true; the other targets answer
+// well.
+func newOneCallerFleet(targets []Target, feedback *Feedback, everyone bool) *fleet {
 	f := newFleet(1, []string{"a"}, 0, targets)
 	f.answer = func(t Target) Feedback {
 		if t.ID == "t1" || everyone {
@@ -41,18 +42,18 @@
 // recovers, a successful probe must end the ejection, followed by slow start.
 // Without probes it would stay ejected, and without ejection every third call
 // would be slow.
-func TestSlowTargetIsLeftOutProbedAndComesBack(t *testing.T) {
+func TestSlowTargetIsEjectedProbedAndReadmitted(t *testing.T) {
 	c := qt.New(t)
 	answer := good(300 * time.Millisecond)
-	f := oneCaller(oneZone, &answer, false)
-	f.run(c, time.Second, perSecond)
-	calls := f.run(c, 22*time.Second, perSecond)
+	f := newOneCallerFleet(oneZone, &answer, false)
+	f.run(c, time.Second, callsPerSecond)
+	calls := f.run(c, 22*time.Second, callsPerSecond)
 	c.Logf("slow: %v", calls)
 	c.Assert(calls["t1"] < 500 && calls["t1"] >= 10, qt.IsTrue)
 	// By now it is ejected for 16 s at a time. It must return to use sooner.
 	answer = good(10 * time.Millisecond)
-	f.run(c, 11*time.Second, perSecond)
-	calls = f.run(c, 2*time.Second, perSecond)
+	f.run(c, 11*time.Second, callsPerSecond)
+	calls = f.run(c, 2*time.Second, callsPerSecond)
 	c.Logf("recovered: %v", calls)
 	c.Assert(calls["t1"] > 250, qt.IsTrue)
 }
@@ -64,7 +65,7 @@
 func TestOnceSlowTargetIsUsedAgain(t *testing.T) {
 	c := qt.New(t)
 	answer := good(25 * time.Millisecond)
-	f := oneCaller(oneZone, &answer, false)
+	f := newOneCallerFleet(oneZone, &answer, false)
 	f.run(c, 100*time.Second, 4)
 	answer = good(10 * time.Millisecond)
 	f.run(c, 50*time.Second, 4)
@@ -76,14 +77,14 @@
 // A dependency that all targets share slows down, then every connection fails.
 // Callers get slow answers, then errors, from all targets alike. Ejecting any
 // target would only move its load to the others, so the calls must stay spread.
-func TestAllBadLeavesAllInUse(t *testing.T) {
+func TestTargetsStayInUseWhenAllAreBad(t *testing.T) {
 	c := qt.New(t)
 	for _, bad := range []Feedback{good(400 * time.Millisecond), refusedConnect} {
 		answer := good(10 * time.Millisecond)
-		f := oneCaller(oneZone, &answer, true)
-		f.run(c, 2*time.Second, perSecond)
+		f := newOneCallerFleet(oneZone, &answer, true)
+		f.run(c, 2*time.Second, callsPerSecond)
 		answer = bad
-		calls := f.run(c, 10*time.Second, perSecond)
+		calls := f.run(c, 10*time.Second, callsPerSecond)
 		c.Logf("%s: %v", bad.Reason, calls)
 		c.Assert(min(calls["t1"], calls["t2"], calls["t3"]) > 1000, qt.IsTrue)
 	}
@@ -93,12 +94,12 @@
 // another, distant region is left. Calls must be served in each case: in the
 // zone while it has capacity, otherwise in the region's other zones, and in the
 // other region only as a last resort.
-func TestSpillGoesOutwards(t *testing.T) {
+func TestSpillPrefersNearerTargets(t *testing.T) {
 	c := qt.New(t)
 	far := Target{ID: "far", Service: "filing", Zone: "x", Region: "us", Slots: 100}
 	answer := good(time.Millisecond)
-	f := oneCaller(append([]Target{far}, threeZones...), &answer, false)
-	calls := f.run(c, 5*time.Second, perSecond)
+	f := newOneCallerFleet(append([]Target{far}, threeZones...), &answer, false)
+	calls := f.run(c, 5*time.Second, callsPerSecond)
 	c.Assert(calls["t2"]+calls["t3"]+calls["far"], qt.Equals, 0)
 
 	full := good(time.Millisecond)
@@ -106,29 +107,29 @@
 	refusing := Feedback{Outcome: call.NotRun, Reason: call.ReasonQueueFull, Latency: time.Millisecond}
 	for _, feedback := range []Feedback{full, refusing, refusedConnect} {
 		answer = feedback
-		calls = f.run(c, 20*time.Second, perSecond)
+		calls = f.run(c, 20*time.Second, callsPerSecond)
 		c.Logf("%+v: %v", feedback, calls)
 		c.Assert(calls["t1"] < 500, qt.IsTrue)
 		c.Assert(min(calls["t2"], calls["t3"]) > 4000, qt.IsTrue)
 		c.Assert(calls["far"], qt.Equals, 0)
 		answer = good(time.Millisecond)
-		f.run(c, 60*time.Second, perSecond)
-		calls = f.run(c, time.Second, perSecond)
+		f.run(c, 60*time.Second, callsPerSecond)
+		calls = f.run(c, time.Second, callsPerSecond)
 		c.Assert(calls["t2"]+calls["t3"], qt.Equals, 0)
 	}
 	f.setTargets([]Target{far})
-	c.Assert(f.run(c, time.Second, perSecond)["far"] > 0, qt.IsTrue)
+	c.Assert(f.run(c, time.Second, callsPerSecond)["far"] > 0, qt.IsTrue)
 }
 
 // One node can't reach t1, another node can. The first must lose few calls to
 // t1; the second must not lose a third of its capacity.
 func TestAsymmetricFailure(t *testing.T) {
 	c := qt.New(t)
-	cut, reached := refusedConnect, good(10*time.Millisecond)
-	cutCalls := oneCaller(oneZone, &cut, false).run(c, 20*time.Second, perSecond)
-	calls := oneCaller(oneZone, &reached, false).run(c, 20*time.Second, perSecond)
-	c.Logf("with t1 unreachable: %v, with t1 reachable: %v", cutCalls, calls)
-	c.Assert(cutCalls["t1"] < 80, qt.IsTrue)
+	unreachable, reachable := refusedConnect, good(10*time.Millisecond)
+	unreachableCalls := newOneCallerFleet(oneZone, &unreachable, false).run(c, 20*time.Second, callsPerSecond)
+	calls := newOneCallerFleet(oneZone, &reachable, false).run(c, 20*time.Second, callsPerSecond)
+	c.Logf("with t1 unreachable: %v, with t1 reachable: %v", unreachableCalls, calls)
+	c.Assert(unreachableCalls["t1"] < 80, qt.IsTrue)
 	c.Assert(calls["t1"] > 2800, qt.IsTrue)
 }
 
@@ -147,7 +148,7 @@
 			}
 			return good(10 * time.Millisecond)
 		}
-		calls := f.run(c, 20*time.Second, perSecond)
+		calls := f.run(c, 20*time.Second, callsPerSecond)
 		c.Logf("%s: %v", bad.Reason, calls)
 		c.Assert(calls["t1"] < limits[i], qt.IsTrue)
 	}
@@ -160,15 +161,15 @@
 	c := qt.New(t)
 	for _, before := range [][]Target{oneZone, threeZones} {
 		answer := good(10 * time.Millisecond)
-		f := oneCaller(before, &answer, false)
-		whole := f.run(c, 2*time.Second, perSecond)["t1"]
+		f := newOneCallerFleet(before, &answer, false)
+		fullShare := f.run(c, 2*time.Second, callsPerSecond)["t1"]
 		f.setTargets(append([]Target{target("t4", "a")}, before[1:]...))
-		first := f.run(c, 2*time.Second, perSecond)["t4"]
-		f.run(c, 10*time.Second, perSecond)
-		last := f.run(c, 2*time.Second, perSecond)["t4"]
-		c.Logf("before %d, first %d, last %d", whole, first, last)
-		c.Assert(first > 0 && first*3 < whole, qt.IsTrue)
-		c.Assert(last*10 > whole*8, qt.IsTrue)
+		first := f.run(c, 2*time.Second, callsPerSecond)["t4"]
+		f.run(c, 10*time.Second, callsPerSecond)
+		last := f.run(c, 2*time.Second, callsPerSecond)["t4"]
+		c.Logf("before %d, first %d, last %d", fullShare, first, last)
+		c.Assert(first > 0 && first*3 < fullShare, qt.IsTrue)
+		c.Assert(last*10 > fullShare*8, qt.IsTrue)
 	}
 }
 
@@ -176,14 +177,14 @@
 // calls are made. In every sequence: a target that drains or was already tried
 // is never picked, Pick fails only when no target is left, the in-flight counts
 // are correct, and at most half of the targets are ejected.
-func TestAnySequenceKeepsThePromises(t *testing.T) {
+func TestAnySequenceKeepsTheInvariants(t *testing.T) {
 	rapid.Check(t, checkAnySequence)
 }
 
 func checkAnySequence(t *rapid.T) {
-	check := func(ok bool, what string) {
+	check := func(ok bool, failure string) {
 		if !ok {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 	reasons := []call.Reason{"", "", call.ReasonConnect, call.ReasonTimeout, call.ReasonLevel, call.ReasonDraining, call.ReasonCancelled}
@@ -241,7 +242,7 @@
 			f := Feedback{Outcome: call.Complete, Reason: rapid.SampledFrom(reasons).Draw(t, "reason")}
 			f.Latency = time.Duration(rapid.IntRange(1, 500).Draw(t, "latency")) * time.Millisecond
 			picked.Done(f, now)
-			if r.holds(picked) && f.Reason == call.ReasonDraining {
+			if r.stillCounts(picked) && f.Reason == call.ReasonDraining {
 				drainedAt[picked.Target.ID] = now
 			}
 		},
@@ -269,7 +270,7 @@
 			}
 			counted := 0
 			for _, picked := range open {
-				if r.holds(picked) {
+				if r.stillCounts(picked) {
 					counted++
 				}
 			}
@@ -279,11 +280,11 @@
 	})
 }
 
-// holds reports whether the router still has the measure in which p is counted
-// as in flight.
-func (r *Router) holds(p Picked) bool {
+// stillCounts reports whether the router still has the stats in which p is
+// counted as in flight.
+func (r *Router) stillCounts(p Picked) bool {
 	s := (*r.services.Load())["filing"]
-	return s != nil && slices.ContainsFunc(s.view.Load().members, func(m *member) bool { return m.measure == p.measure })
+	return s != nil && slices.ContainsFunc(s.view.Load().members, func(m *member) bool { return m.stats == p.stats })
 }
 
 // The members change continuously while many calls are made and end. No
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -7,47 +7,47 @@
 	"github.com/zeebo/xxh3"
 )
 
-// awayPart is the divisor for the part of the subset that is taken from other
-// regions while this region has targets. Those targets are a last resort, and
-// each holds long-distance connections open.
-const awayPart = 4
+// otherRegionsDivisor is the divisor for the part of the subset that is taken
+// from other regions while this region has targets. Those targets are a last
+// resort, and each holds long-distance connections open.
+const otherRegionsDivisor = 4
 
 // buildView groups members by distance and selects the node's subset.
 func buildView(members []*member, config *Config) *view {
 	v := &view{members: members}
 	byZone := make(map[string][]*member)
-	var away []*member
+	var otherRegions []*member
 	for _, candidate := range members {
 		switch {
 		case candidate.target.Draining:
-			if config.LastResort && len(v.leaving) < MaxSubset {
-				v.leaving = append(v.leaving, candidate)
+			if config.LastResort && len(v.draining) < MaxSubset {
+				v.draining = append(v.draining, candidate)
 			}
 		case candidate.target.Region != config.Region:
-			away = append(away, candidate)
+			otherRegions = append(otherRegions, candidate)
 		default:
 			byZone[candidate.target.Zone] = append(byZone[candidate.target.Zone], candidate)
 		}
 	}
-	v.zone, v.region = subsetHome(byZone, config)
-	v.home = slices.Concat(v.zone, v.region)
+	v.ownZone, v.otherZones = subsetOfRegion(byZone, config)
+	v.sameRegion = slices.Concat(v.ownZone, v.otherZones)
 	share := config.Subset
-	if len(v.home) > 0 {
-		share = max(config.Subset/awayPart, 1)
-		share = min(share, MaxSubset-len(v.home))
+	if len(v.sameRegion) > 0 {
+		share = max(config.Subset/otherRegionsDivisor, 1)
+		share = min(share, MaxSubset-len(v.sameRegion))
 	}
-	v.away = nearest(away, share, config.Node)
-	v.active = slices.Concat(v.home, v.away)
+	v.otherRegions = highestScored(otherRegions, share, config.Node)
+	v.subset = slices.Concat(v.sameRegion, v.otherRegions)
 	return v
 }
 
-// subsetHome selects the subset in this region: half from the node's own zone,
-// the rest in turn from the other zones. If a zone has too few members, others
-// fill its part.
-func subsetHome(byZone map[string][]*member, config *Config) (own, others []*member) {
+// subsetOfRegion selects the subset in this region: half from the node's own
+// zone, the rest in turn from the other zones. If a zone has too few members,
+// others fill its part.
+func subsetOfRegion(byZone map[string][]*member, config *Config) (own, others []*member) {
 	zones := make([]string, 0, len(byZone))
 	for zone := range byZone {
-		byZone[zone] = nearest(byZone[zone], config.Subset, config.Node)
+		byZone[zone] = highestScored(byZone[zone], config.Subset, config.Node)
 		if zone != config.Zone {
 			zones = append(zones, zone)
 		}
@@ -61,12 +61,12 @@
 	half := (config.Subset + 1) / 2
 	ownShare := min(len(own), max(half, config.Subset-rest))
 	own = own[:ownShare]
-	others = deal(zones, byZone, config.Subset-ownShare)
+	others = takeInTurn(zones, byZone, config.Subset-ownShare)
 	return own, others
 }
 
-// deal takes n members, one from each zone in turn.
-func deal(zones []string, byZone map[string][]*member, n int) []*member {
+// takeInTurn takes n members, one from each zone in turn.
+func takeInTurn(zones []string, byZone map[string][]*member, n int) []*member {
 	var dealt []*member
 	for round := 0; len(dealt) < n; round++ {
 		before := len(dealt)
@@ -82,10 +82,10 @@
 	return dealt
 }
 
-// nearest returns the n members with the highest rendezvous hash score for
-// node. Each node gets its own subset. A member that is added or removed
+// highestScored returns the n members with the highest rendezvous hash score
+// for node. Each node gets its own subset. A member that is added or removed
 // changes only the subsets that contain it, so all other connections stay.
-func nearest(members []*member, n int, node string) []*member {
+func highestScored(members []*member, n int, node string) []*member {
 	type scored struct {
 		member *member
 		score  uint64
--- a/routing/worktime.go
+++ b/routing/worktime.go
@@ -14,38 +14,38 @@
 const MaxWorkTimes = 4
 
 const (
-	// workSamples is the weight of past calls in the mean work time. If call
+	// maxMeanWeight is the weight of past calls in the mean work time. If call
 	// durations follow a log-normal distribution with a deviation of 0.8, a
 	// mean of so many calls varies by about 4 %. After an upstream turns four
-	// times as slow, the change exceeds workNews after 18 calls.
-	workSamples = 256
-	// workWarm is the number of calls that a mean needs before it is announced.
-	// It then varies by a quarter, which is less than the differences between
-	// upstreams.
-	workWarm = 16
-	// workNews is the relative change of a mean that causes a new announcement.
-	// It is well above the mean's random variation, because each announcement
-	// costs a message to every member.
-	workNews = 0.2
-	// workPause is the minimum interval between two announcements. If 560
-	// members all change at once, this limits them to about 100 announcements a
-	// second. A profile that is announced for the first time only waits for
-	// firstPause, because until then its calls are placed without regard to
-	// work times.
-	workPause  = 5 * time.Second
-	firstPause = 1500 * time.Millisecond
-	// workProfiles bounds the number of measured profiles, at the value of
-	// config.MaxProfiles.
-	workProfiles = 256
-	// workRateDecay is the factor that a profile's call rate retains at each
+	// times as slow, the change exceeds minRelativeChange after 18 calls.
+	maxMeanWeight = 256
+	// minMeanSamples is the number of calls that a mean needs before it is
+	// announced. It then varies by a quarter, which is less than the
+	// differences between upstreams.
+	minMeanSamples = 16
+	// minRelativeChange is the relative change of a mean that causes a new
+	// announcement. It is well above the mean's random variation, because each
+	// announcement costs a message to every member.
+	minRelativeChange = 0.2
+	// announceInterval is the minimum interval between two announcements. If
+	// 560 members all change at once, this limits them to about 100
+	// announcements a second. A profile that is announced for the first time
+	// only waits for firstAnnounceInterval, because until then its calls are
+	// placed without regard to work times.
+	announceInterval      = 5 * time.Second
+	firstAnnounceInterval = 1500 * time.Millisecond
+	// maxMeasuredProfiles bounds the number of measured profiles, at the value
+	// of config.MaxProfiles.
+	maxMeasuredProfiles = 256
+	// rateDecay is the factor that a profile's call rate retains at each
 	// update.
-	workRateDecay = 0.9
-	// workRateLeast is the rate below which a profile is forgotten.
-	workRateLeast = 0.01
-	// workKept is the factor by which the rate of an already announced profile
-	// is raised when profiles are ranked, so that two profiles with similar
-	// rates don't alternate.
-	workKept = 2
+	rateDecay = 0.9
+	// minRate is the rate below which a profile is forgotten.
+	minRate = 0.01
+	// announcedRateFactor is the factor by which the rate of an already
+	// announced profile is raised when profiles are ranked, so that two
+	// profiles with similar rates don't alternate.
+	announcedRateFactor = 2
 )
 
 // WorkTime is the mean time that an upstream works on a call of one profile.
@@ -68,8 +68,9 @@
 	return max(hash.Sum32(), 1)
 }
 
-// of returns the work time of a profile in microseconds, 0 if it isn't known.
-func (w *WorkTimes) of(profile uint32) int64 {
+// forProfile returns the work time of a profile in microseconds, 0 if it isn't
+// known.
+func (w *WorkTimes) forProfile(profile uint32) int64 {
 	for _, one := range w {
 		if one.Profile == profile && profile != 0 {
 			return int64(one.Micros)
@@ -81,10 +82,10 @@
 // WorkMeter measures how long an upstream works on the calls of each profile,
 // and decides when to announce it. The zero value is ready to use.
 type WorkMeter struct {
-	mu       sync.Mutex
-	profiles map[uint32]*workMean
-	told     WorkTimes
-	toldAt   time.Time
+	mu          sync.Mutex
+	profiles    map[uint32]*workMean
+	announced   WorkTimes
+	announcedAt time.Time
 }
 
 type workMean struct {
@@ -103,7 +104,7 @@
 	defer w.mu.Unlock()
 	mean := w.profiles[key]
 	if mean == nil {
-		if len(w.profiles) >= workProfiles {
+		if len(w.profiles) >= maxMeasuredProfiles {
 			return
 		}
 		if w.profiles == nil {
@@ -112,7 +113,7 @@
 		mean = &workMean{}
 		w.profiles[key] = mean
 	}
-	mean.samples = min(mean.samples+1, workSamples)
+	mean.samples = min(mean.samples+1, maxMeanWeight)
 	mean.recent++
 	mean.micros += (float64(took.Microseconds()) - mean.micros) / float64(mean.samples)
 }
@@ -129,33 +130,34 @@
 func (w *WorkMeter) News(now time.Time) (WorkTimes, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.age()
+	w.decayRates()
 	next := w.busiest()
-	since := now.Sub(w.toldAt)
-	if since < w.pause(next) || !differ(w.told, next) {
-		return w.told, false
+	since := now.Sub(w.announcedAt)
+	if since < w.minInterval(next) || !isWorthAnnouncing(w.announced, next) {
+		return w.announced, false
 	}
-	w.told, w.toldAt = next, now
+	w.announced, w.announcedAt = next, now
 	return next, true
 }
 
-// pause returns the minimum interval between the last announcement and the
-// announcement of next.
-func (w *WorkMeter) pause(next WorkTimes) time.Duration {
+// minInterval returns the minimum interval between the last announcement and
+// the announcement of next.
+func (w *WorkMeter) minInterval(next WorkTimes) time.Duration {
 	for _, one := range next {
-		if one.Profile != 0 && w.told.of(one.Profile) == 0 {
-			return firstPause
+		if one.Profile != 0 && w.announced.forProfile(one.Profile) == 0 {
+			return firstAnnounceInterval
 		}
 	}
-	return workPause
+	return announceInterval
 }
 
-// age decays the call rates and removes profiles that are no longer called.
-func (w *WorkMeter) age() {
+// decayRates decays the call rates and removes profiles that are no longer
+// called.
+func (w *WorkMeter) decayRates() {
 	for key, mean := range w.profiles {
-		mean.rate = mean.rate*workRateDecay + float64(mean.recent)
+		mean.rate = mean.rate*rateDecay + float64(mean.recent)
 		mean.recent = 0
-		if mean.rate < workRateLeast {
+		if mean.rate < minRate {
 			delete(w.profiles, key)
 		}
 	}
@@ -166,7 +168,7 @@
 func (w *WorkMeter) busiest() WorkTimes {
 	keys := make([]uint32, 0, len(w.profiles))
 	for key, mean := range w.profiles {
-		if mean.samples >= workWarm {
+		if mean.samples >= minMeanSamples {
 			keys = append(keys, key)
 		}
 	}
@@ -183,21 +185,21 @@
 
 func (w *WorkMeter) rank(key uint32) float64 {
 	rate := w.profiles[key].rate
-	if w.told.of(key) > 0 {
-		rate *= workKept
+	if w.announced.forProfile(key) > 0 {
+		rate *= announcedRateFactor
 	}
 	return rate
 }
 
-// differ reports whether one of the next times differs enough from the
-// announced ones to be announced.
-func differ(told, next WorkTimes) bool {
+// isWorthAnnouncing reports whether one of the next times differs enough from
+// the announced ones to be announced.
+func isWorthAnnouncing(announced, next WorkTimes) bool {
 	for _, one := range next {
-		before := told.of(one.Profile)
+		before := announced.forProfile(one.Profile)
 		if one.Profile == 0 {
 			continue
 		}
-		if before == 0 || math.Abs(float64(one.Micros)/float64(before)-1) >= workNews {
+		if before == 0 || math.Abs(float64(one.Micros)/float64(before)-1) >= minRelativeChange {
 			return true
 		}
 	}
