--- a/retry/tree_test.go
+++ b/retry/tree_test.go
@@ -10,34 +10,38 @@
 	"pgregory.net/rapid"
 )
 
-// scheme is a way to bound retries along a chain.
+// scheme is a rule that bounds retries along a chain of calls.
 type scheme struct {
 	name string
-	// copied gives each call below the whole credit that the visit has.
+	// copied gives each downstream call the whole credit of the visit.
 	copied bool
-	// perHop, when above 0, is the attempts that every hop makes of every
-	// failure, without any credit.
+	// perHop, when above 0, is the number of attempts that every hop makes for
+	// every failed call, without regard to credit.
 	perHop int
 }
 
-// graph is one request on its way: services call others below them, and
-// attempts fail with the given chances.
+// graph simulates one request: services call others downstream, and attempts
+// fail with the given probabilities.
 type graph struct {
 	scheme scheme
-	// width is the calls each visit makes, widths those near the root.
+	// width is the number of calls that each visit makes; widths overrides it
+	// for the first levels from the root.
 	width  int
 	widths []int
 	depth  int
-	// parallel calls of one visit run at once.
+	// parallel makes the calls of one visit run concurrently.
 	parallel bool
-	// refuse, lose and late are the chances that an attempt isn't run, that
-	// its answer is lost, and that a lost answer comes after the visit ended.
+	// refuse, lose and late are the probabilities that an attempt isn't run,
+	// that its answer is lost, and that a lost answer arrives after the visit
+	// ended.
 	refuse, lose, late float64
 
-	// bottomOnly keeps the failures to calls on the lowest services.
+	// bottomOnly limits failures to calls on the services at the bottom of the
+	// graph.
 	bottomOnly bool
-	// runaway ends a scheme that would never end, 0 for none.
-	runaway int64
+	// maxExtras is the number of retries after which the simulation makes no
+	// more, for schemes that would not terminate; 0 means no limit.
+	maxExtras int64
 
 	seed    atomic.Uint64
 	firsts  atomic.Int64
@@ -47,27 +51,28 @@
 
 type answer struct {
 	ok bool
-	// deeper is true when the failure was below the answering hop.
-	deeper bool
-	left   int
+	// downstream is true when the failure happened downstream of the answering
+	// hop.
+	downstream bool
+	left       int
 }
 
 func (g *graph) random() *rand.Rand { return rand.New(rand.NewPCG(g.seed.Add(1), 7)) }
 
-// visit handles a call and makes those below it.
+// visit handles a call and makes its downstream calls.
 func (g *graph) visit(depth, credit int) answer {
 	own := NewCredit(credit)
 	var failed atomic.Bool
 	var calls sync.WaitGroup
 	for range g.callsAt(depth) {
 		if g.parallel {
-			calls.Go(func() { g.callBelow(depth, own, &failed) })
+			calls.Go(func() { g.callDownstream(depth, own, &failed) })
 			continue
 		}
-		g.callBelow(depth, own, &failed)
+		g.callDownstream(depth, own, &failed)
 	}
 	calls.Wait()
-	return answer{ok: !failed.Load(), deeper: failed.Load(), left: own.Left()}
+	return answer{ok: !failed.Load(), downstream: failed.Load(), left: own.Left()}
 }
 
 func (g *graph) callsAt(depth int) int {
@@ -80,15 +85,16 @@
 	return max(g.width, 1)
 }
 
-// callBelow makes one call, with the retries that the scheme allows.
-func (g *graph) callBelow(depth int, own *Credit, failed *atomic.Bool) {
+// callDownstream makes one downstream call, with the retries that the scheme
+// allows.
+func (g *graph) callDownstream(depth int, own *Credit, failed *atomic.Bool) {
 	g.firsts.Add(1)
 	for attempt := 1; ; attempt++ {
 		result := g.attempt(depth, own)
 		if result.ok {
 			return
 		}
-		if !g.again(attempt, result, own) {
+		if !g.shouldRetry(attempt, result, own) {
 			failed.Store(true)
 			return
 		}
@@ -96,19 +102,20 @@
 	}
 }
 
-func (g *graph) again(attempt int, result answer, own *Credit) bool {
+func (g *graph) shouldRetry(attempt int, result answer, own *Credit) bool {
 	switch {
-	case g.runaway > 0 && g.extras.Load() >= g.runaway:
+	case g.maxExtras > 0 && g.extras.Load() >= g.maxExtras:
 		return false
 	case g.scheme.perHop > 0:
 		return attempt < g.scheme.perHop
-	case result.deeper:
+	case result.downstream:
 		return false
 	}
 	return own.Take(1) == 1
 }
 
-// attempt is one try over a network that refuses and loses.
+// attempt makes one attempt over a network that refuses calls and loses
+// answers.
 func (g *graph) attempt(depth int, own *Credit) answer {
 	rnd := g.random()
 	lent := own.Available()
@@ -118,30 +125,30 @@
 	chance := rnd.Float64()
 	fails := !g.bottomOnly || depth+1 == g.depth
 	if fails && chance < g.refuse {
-		g.giveBack(own, lent, lent)
+		g.returnCredit(own, lent, lent)
 		return answer{}
 	}
-	below := g.visit(depth+1, lent)
+	result := g.visit(depth+1, lent)
 	if fails && chance > 1-g.lose {
 		if rnd.Float64() < g.late {
-			g.pending.Go(func() { g.giveBack(own, lent, below.left) })
+			g.pending.Go(func() { g.returnCredit(own, lent, result.left) })
 		}
 		return answer{}
 	}
-	g.giveBack(own, lent, below.left)
-	return below
+	g.returnCredit(own, lent, result.left)
+	return result
 }
 
-func (g *graph) giveBack(own *Credit, lent, left int) {
+func (g *graph) returnCredit(own *Credit, lent, left int) {
 	if !g.scheme.copied {
 		own.Return(lent, left)
 	}
 }
 
-// A request fans out over services up to fifteen deep. Attempts are refused,
-// answers get lost or come after the visit that waited for them has ended,
-// calls run at once. What callers must never see is that the extra attempts
-// of the whole request add up to more than the credit it started with.
+// A request fans out over services up to fifteen levels deep. Attempts are
+// refused, answers are lost or arrive after the waiting visit has ended, and
+// calls run concurrently. The extra attempts of the whole request must never
+// exceed the credit that it started with.
 func TestCreditBoundsAnyCallGraph(t *testing.T) { rapid.Check(t, checkCallGraph) }
 
 func FuzzCreditBoundsAnyCallGraph(f *testing.F) { f.Fuzz(rapid.MakeFuzz(checkCallGraph)) }
@@ -164,8 +171,9 @@
 	}
 }
 
-// What the design note says of other schemes: how far they multiply when
-// every call on the bottom services is refused.
+// Compares how far other schemes, described in the design note, multiply the
+// attempts when every call on the services at the bottom of the graph is
+// refused.
 func TestSchemesCompared(t *testing.T) {
 	c := qt.New(t)
 	schemes := []scheme{{name: "split"}, {name: "copied", copied: true}, {name: "3 per hop", perHop: 3}}
@@ -173,7 +181,7 @@
 	for _, width := range []int{1, 2} {
 		for _, depth := range []int{3, 6, 9, 12} {
 			for _, s := range schemes {
-				g := &graph{scheme: s, width: width, depth: depth, bottomOnly: true, refuse: 1, runaway: 100_000}
+				g := &graph{scheme: s, width: width, depth: depth, bottomOnly: true, refuse: 1, maxExtras: 100_000}
 				g.visit(0, 2)
 				c.Logf("fan-out %d depth %2d %-9s: %6d extra on %6d calls", width, depth, s.name, g.extras.Load(), g.firsts.Load())
 				most[s.name] = max(most[s.name], g.extras.Load())
--- a/routing/eject.go
+++ b/routing/eject.go
@@ -7,51 +7,52 @@
 )
 
 const (
-	// detectMillis is the least time between two comparisons of the targets
-	// of a service.
-	detectMillis = 500
-	// outlierFloor is the lead over the median, in microseconds, below which
-	// a slow target is no outlier: three times a quarter of a millisecond is
-	// no reason to eject.
-	outlierFloor = 5000
-	// failedShare is the failed share, in thousandths, from which a target
-	// is taken for bad.
-	failedShare = 300
-	// outlierRounds is how many comparisons in a row must find a target slow. When
-	// a shared dependency slows down, some averages rise before others, and
-	// for a moment the first looks like an outlier.
+	// detectIntervalMillis is the minimum interval between two comparisons of
+	// the targets of a service.
+	detectIntervalMillis = 500
+	// outlierMinExcessMicros is the excess over the median up to which a slow
+	// target is not an outlier: a latency of three times a quarter of a
+	// millisecond is no reason to eject.
+	outlierMinExcessMicros = 5000
+	// failingShare is the share of failed calls, in thousandths, from which a
+	// target counts as failing.
+	failingShare = 300
+	// outlierRounds is the number of consecutive comparisons that must find a
+	// target slow. When a shared dependency slows down, some averages rise
+	// before others, and for a moment the first one looks like an outlier.
 	outlierRounds = 3
 )
 
-// service is the lasting state of one service: it stays while at least one
-// of its targets does.
+// service is the state of one service. It outlives membership changes as long
+// as the service has at least one member.
 type service struct {
 	view atomic.Pointer[view]
-	// nextDetection is when targets may next be compared, in milliseconds.
+	// nextDetection is the earliest time of the next comparison of targets, in
+	// milliseconds.
 	nextDetection atomic.Int64
 	// typical is the median latency of this region's targets as of the last
 	// comparison, in microseconds.
 	typical atomic.Int64
-	// mu is held while targets are ejected, so that the share that is out is
-	// counted and changed in one step.
+	// mu is held while a target is ejected, so that counting the ejected
+	// targets and ejecting another one is one atomic step.
 	mu sync.Mutex
 }
 
-// eject leaves the target out, unless half of the service is out already.
+// eject ejects the target, unless half of the service is already ejected.
 //
-// Ejecting is a guess that the fault is the target's. When more than half
-// look bad, the cause is more likely this node's own network, or a shared
-// dependency; leaving them all out would turn a slow service into none, and
-// pile the load on the last one.
-func (s *service) eject(m *measure, at int64, config *Config) {
+// An ejection assumes that the fault is the target's. When more than half of
+// the targets fail, the cause is more likely this node's own network or a
+// shared dependency; ejecting them all would make a slow service unavailable,
+// and move the whole load to the last target.
+func (s *service) eject(m *targetStats, at int64, config *Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.view.Load()
 	if m.ejectedFor(at, config) > 0 || !v.contains(m) {
 		return
 	}
-	if (v.ejected(at, config)+1)*2 > len(v.active) {
-		if v.allBad(at, config) {
+	if (v.ejected(at, config)+1)*2 > len(v.subset) {
+		if v.allFailing(at, config) {
 			v.endEjections()
 		}
 		return
@@ -59,14 +60,14 @@
 	m.beginEjection(at, config)
 }
 
-// beginEjection leaves m out for a time that doubles with each ejection and halves with
-// each EjectMax without one.
-func (m *measure) beginEjection(at int64, config *Config) {
+// beginEjection ejects m for a duration that doubles with each ejection and
+// halves with each period of EjectMax without one.
+func (m *targetStats) beginEjection(at int64, config *Config) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	limit := config.EjectMax.Milliseconds()
-	calm := (at - m.lastEjection) / limit
-	m.ejections = int(max(int64(m.ejections)-max(calm, 0), 0))
+	calmPeriods := (at - m.lastEjection) / limit
+	m.ejections = int(max(int64(m.ejections)-max(calmPeriods, 0), 0))
 	length := config.EjectBase.Milliseconds()
 	for range m.ejections {
 		length = min(length*2, limit)
@@ -76,14 +77,14 @@
 	m.consecutiveFailures = 0
 	m.nextProbe.Store(at + config.Probe.Milliseconds())
 	m.ejectedUntil.Store(at + length)
-	// When the time is over the target ramps up like a new one, so that a
-	// VM that has only just recovered isn't overloaded at once.
+	// After the ejection the target goes through slow start like a new one, so
+	// that a VM that has only just recovered isn't overloaded at once.
 	m.slowStartAt.Store(at + length)
 }
 
-// readmit ends an ejection after a good probe. What was measured before
-// comes from the time when the target was failing.
-func (m *measure) readmit(f Feedback, at int64) {
+// readmit ends an ejection after a successful probe. It replaces the earlier
+// measurements, because they date from the time when the target was failing.
+func (m *targetStats) readmit(f Feedback, at int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.latency.Store(max(f.Latency.Microseconds(), 1))
@@ -95,41 +96,41 @@
 	m.slowStartAt.Store(at)
 }
 
-// detectOutliers compares the targets of the service with each other and
-// ejects the outliers. It runs at most once each detectMillis, in the Done that
-// is first.
+// detectOutliers compares the targets of the service with each other and ejects
+// the outliers. It runs at most once per detectIntervalMillis, in the first
+// call of Done after that time.
 func (s *service) detectOutliers(at int64, config *Config) {
 	next := s.nextDetection.Load()
-	if at < next && next-at <= detectMillis {
+	if at < next && next-at <= detectIntervalMillis {
 		return
 	}
-	if !s.nextDetection.CompareAndSwap(next, at+detectMillis) {
+	if !s.nextDetection.CompareAndSwap(next, at+detectIntervalMillis) {
 		return
 	}
 	v := s.view.Load()
-	s.typical.Store(medianLatency(v.home, at))
-	s.ejectOutliers(v.home, at, config)
-	s.ejectOutliers(v.away, at, config)
+	s.typical.Store(medianLatency(v.sameRegion, at))
+	s.ejectOutliers(v.sameRegion, at, config)
+	s.ejectOutliers(v.otherRegions, at, config)
 }
 
-// ejectOutliers compares targets at a like distance: those of another region
-// are slower by the network alone.
+// ejectOutliers compares targets at a similar distance, because targets of
+// another region are slower by the network latency alone.
 func (s *service) ejectOutliers(peers []*member, at int64, config *Config) {
 	latency := medianLatency(peers, at)
 	for _, peer := range peers {
-		m := peer.measure
+		m := peer.stats
 		if m.ejectedFor(at, config) > 0 {
 			continue
 		}
-		if m.countSlowRound(outlier(m.decayedLatency(latency, at), latency, config)) {
+		if m.countSlowRound(isOutlier(m.decayedLatency(latency, at), latency, config)) {
 			s.eject(m, at, config)
 		}
 	}
 }
 
-// countSlowRound counts the comparisons in a row that found m slow, and
-// returns true when they are enough.
-func (m *measure) countSlowRound(slow bool) bool {
+// countSlowRound counts the consecutive comparisons that found m slow, and
+// reports whether they reach outlierRounds.
+func (m *targetStats) countSlowRound(slow bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.slowRounds++
@@ -139,17 +140,18 @@
 	return m.slowRounds >= outlierRounds
 }
 
-func outlier(latency, median int64, config *Config) bool {
-	return median > 0 && latency-median > outlierFloor && float64(latency) > config.Outlier*float64(median)
+func isOutlier(latency, median int64, config *Config) bool {
+	return median > 0 && latency-median > outlierMinExcessMicros && float64(latency) > config.Outlier*float64(median)
 }
 
-// medianLatency is the lower median of the peers that were measured lately.
-// One that was not would bring in the latency of another time.
+// medianLatency returns the lower median latency of the peers that were
+// measured recently. Older measurements are left out because they describe the
+// latency of another time.
 func medianLatency(peers []*member, at int64) int64 {
 	var values [MaxSubset]int64
 	n := 0
 	for _, peer := range peers {
-		m := peer.measure
+		m := peer.stats
 		latency := m.latency.Load()
 		if latency > 0 && at-m.latencyAt.Load() < decayMillis {
 			values[n] = latency
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -21,11 +21,12 @@
 	refusedConnect = Feedback{Outcome: call.NotRun, Reason: call.ReasonConnect, Latency: time.Millisecond}
 )
 
-const perSecond = 500
+const callsPerSecond = 500
 
-// oneCaller is a fleet of one router in zone a; feedback is t1's, or all
-// targets' when it is for everyone.
-func oneCaller(targets []Target, feedback *Feedback, everyone bool) *fleet {
+// newOneCallerFleet returns a fleet of one router in zone a. feedback is the
+// answer of t1, or of all targets if everyone is true; the other targets answer
+// well.
+func newOneCallerFleet(targets []Target, feedback *Feedback, everyone bool) *fleet {
 	f := newFleet(1, []string{"a"}, 0, targets)
 	f.answer = func(t Target) Feedback {
 		if t.ID == "t1" || everyone {
@@ -36,33 +37,35 @@
 	return f
 }
 
-// Callers of one target of three wait 300 ms instead of 10. The target first
-// gets its share, then its average stands out and it is left out but for
-// probes; when it heals, a good probe brings it back and it ramps up. Without
-// the probe it would stay out, without the ejection every third call is slow.
-func TestSlowTargetIsLeftOutProbedAndComesBack(t *testing.T) {
+// One target of three takes 300 ms instead of 10. It gets its share until its
+// average stands out; then it must be ejected and receive only probes. When it
+// recovers, a successful probe must end the ejection, followed by slow start.
+// Without probes it would stay ejected, and without ejection every third call
+// would be slow.
+func TestSlowTargetIsEjectedProbedAndReadmitted(t *testing.T) {
 	c := qt.New(t)
 	answer := good(300 * time.Millisecond)
-	f := oneCaller(oneZone, &answer, false)
-	f.run(c, time.Second, perSecond)
-	calls := f.run(c, 22*time.Second, perSecond)
+	f := newOneCallerFleet(oneZone, &answer, false)
+	f.run(c, time.Second, callsPerSecond)
+	calls := f.run(c, 22*time.Second, callsPerSecond)
 	c.Logf("slow: %v", calls)
 	c.Assert(calls["t1"] < 500 && calls["t1"] >= 10, qt.IsTrue)
-	// By now it is left out for 16 s. It must not need them to come back.
+	// By now it is ejected for 16 s at a time. It must return to use sooner.
 	answer = good(10 * time.Millisecond)
-	f.run(c, 11*time.Second, perSecond)
-	calls = f.run(c, 2*time.Second, perSecond)
-	c.Logf("healed: %v", calls)
+	f.run(c, 11*time.Second, callsPerSecond)
+	calls = f.run(c, 2*time.Second, callsPerSecond)
+	c.Logf("recovered: %v", calls)
 	c.Assert(calls["t1"] > 250, qt.IsTrue)
 }
 
-// One target of a quiet service takes two and a half times as long for a
-// while: too little to be left out, enough that the others win each draw.
-// Callers must get to use it again, though no call shows that it is well.
+// One target of a quiet service takes two and a half times as long for a while:
+// not slow enough to be ejected, but slow enough that the others win each draw.
+// After it recovers it must be used again, although no call has measured the
+// recovery.
 func TestOnceSlowTargetIsUsedAgain(t *testing.T) {
 	c := qt.New(t)
 	answer := good(25 * time.Millisecond)
-	f := oneCaller(oneZone, &answer, false)
+	f := newOneCallerFleet(oneZone, &answer, false)
 	f.run(c, 100*time.Second, 4)
 	answer = good(10 * time.Millisecond)
 	f.run(c, 50*time.Second, 4)
@@ -71,31 +74,32 @@
 	c.Assert(calls["t1"] > 100, qt.IsTrue)
 }
 
-// A dependency that all targets share slows down, then every connection
-// fails. Callers get slow answers, then errors, from all alike. Leaving any
-// out would only pile their load on the rest, so calls stay spread.
-func TestAllBadLeavesAllInUse(t *testing.T) {
+// A dependency that all targets share slows down, then every connection fails.
+// Callers get slow answers, then errors, from all targets alike. Ejecting any
+// target would only move its load to the others, so the calls must stay spread.
+func TestTargetsStayInUseWhenAllAreBad(t *testing.T) {
 	c := qt.New(t)
 	for _, bad := range []Feedback{good(400 * time.Millisecond), refusedConnect} {
 		answer := good(10 * time.Millisecond)
-		f := oneCaller(oneZone, &answer, true)
-		f.run(c, 2*time.Second, perSecond)
+		f := newOneCallerFleet(oneZone, &answer, true)
+		f.run(c, 2*time.Second, callsPerSecond)
 		answer = bad
-		calls := f.run(c, 10*time.Second, perSecond)
+		calls := f.run(c, 10*time.Second, callsPerSecond)
 		c.Logf("%s: %v", bad.Reason, calls)
 		c.Assert(min(calls["t1"], calls["t2"], calls["t3"]) > 1000, qt.IsTrue)
 	}
 }
 
-// The own zone is full, then refuses, then is unreachable, then the region
-// is gone but for another one far away. Callers must be served in each case:
-// nearby while there is room, across zones when not, far away at last.
-func TestSpillGoesOutwards(t *testing.T) {
+// The caller's zone is full, then refuses, then is unreachable; finally only
+// another, distant region is left. Calls must be served in each case: in the
+// zone while it has capacity, otherwise in the region's other zones, and in the
+// other region only as a last resort.
+func TestSpillPrefersNearerTargets(t *testing.T) {
 	c := qt.New(t)
 	far := Target{ID: "far", Service: "filing", Zone: "x", Region: "us", Slots: 100}
 	answer := good(time.Millisecond)
-	f := oneCaller(append([]Target{far}, threeZones...), &answer, false)
-	calls := f.run(c, 5*time.Second, perSecond)
+	f := newOneCallerFleet(append([]Target{far}, threeZones...), &answer, false)
+	calls := f.run(c, 5*time.Second, callsPerSecond)
 	c.Assert(calls["t2"]+calls["t3"]+calls["far"], qt.Equals, 0)
 
 	full := good(time.Millisecond)
@@ -103,35 +107,35 @@
 	refusing := Feedback{Outcome: call.NotRun, Reason: call.ReasonQueueFull, Latency: time.Millisecond}
 	for _, feedback := range []Feedback{full, refusing, refusedConnect} {
 		answer = feedback
-		calls = f.run(c, 20*time.Second, perSecond)
+		calls = f.run(c, 20*time.Second, callsPerSecond)
 		c.Logf("%+v: %v", feedback, calls)
 		c.Assert(calls["t1"] < 500, qt.IsTrue)
 		c.Assert(min(calls["t2"], calls["t3"]) > 4000, qt.IsTrue)
 		c.Assert(calls["far"], qt.Equals, 0)
 		answer = good(time.Millisecond)
-		f.run(c, 60*time.Second, perSecond)
-		calls = f.run(c, time.Second, perSecond)
+		f.run(c, 60*time.Second, callsPerSecond)
+		calls = f.run(c, time.Second, callsPerSecond)
 		c.Assert(calls["t2"]+calls["t3"], qt.Equals, 0)
 	}
 	f.setTargets([]Target{far})
-	c.Assert(f.run(c, time.Second, perSecond)["far"] > 0, qt.IsTrue)
+	c.Assert(f.run(c, time.Second, callsPerSecond)["far"] > 0, qt.IsTrue)
 }
 
-// One node can't reach t1, another can. The callers of the first must not
-// lose calls to t1, those of the second must not lose a third of their room.
+// One node can't reach t1, another node can. The first must lose few calls to
+// t1; the second must not lose a third of its capacity.
 func TestAsymmetricFailure(t *testing.T) {
 	c := qt.New(t)
-	cut, reached := refusedConnect, good(10*time.Millisecond)
-	cutCalls := oneCaller(oneZone, &cut, false).run(c, 20*time.Second, perSecond)
-	calls := oneCaller(oneZone, &reached, false).run(c, 20*time.Second, perSecond)
-	c.Logf("cut off: %v, reached: %v", cutCalls, calls)
-	c.Assert(cutCalls["t1"] < 80, qt.IsTrue)
+	unreachable, reachable := refusedConnect, good(10*time.Millisecond)
+	unreachableCalls := newOneCallerFleet(oneZone, &unreachable, false).run(c, 20*time.Second, callsPerSecond)
+	calls := newOneCallerFleet(oneZone, &reachable, false).run(c, 20*time.Second, callsPerSecond)
+	c.Logf("with t1 unreachable: %v, with t1 reachable: %v", unreachableCalls, calls)
+	c.Assert(unreachableCalls["t1"] < 80, qt.IsTrue)
 	c.Assert(calls["t1"] > 2800, qt.IsTrue)
 }
 
-// One target of three refuses at once, or fails two calls in five. It ends
-// calls faster than its peers, so by latency and calls in flight it would
-// look the best and draw the callers in.
+// One target of three refuses calls immediately, or fails two calls in five. It
+// ends calls faster than its peers, so by latency and calls in flight alone it
+// would look best and attract most calls.
 func TestFastFailuresAttractNoCalls(t *testing.T) {
 	c := qt.New(t)
 	refusing := Feedback{Outcome: call.NotRun, Reason: call.ReasonQueueFull, Latency: time.Millisecond}
@@ -144,43 +148,43 @@
 			}
 			return good(10 * time.Millisecond)
 		}
-		calls := f.run(c, 20*time.Second, perSecond)
+		calls := f.run(c, 20*time.Second, callsPerSecond)
 		c.Logf("%s: %v", bad.Reason, calls)
 		c.Assert(calls["t1"] < limits[i], qt.IsTrue)
 	}
 }
 
-// A VM is replaced: its successor has a new ID and a cold cache. Callers
-// must not meet it with a full share at once, nor with what was measured of
-// its predecessor, also when it is the only one in the zone.
+// A VM is replaced by one with a new ID and a cold cache. The new target must
+// not get a full share of calls at once, even when it is the only one in its
+// zone, and must not inherit the measurements of its predecessor.
 func TestRestartedMemberRampsUp(t *testing.T) {
 	c := qt.New(t)
 	for _, before := range [][]Target{oneZone, threeZones} {
 		answer := good(10 * time.Millisecond)
-		f := oneCaller(before, &answer, false)
-		whole := f.run(c, 2*time.Second, perSecond)["t1"]
+		f := newOneCallerFleet(before, &answer, false)
+		fullShare := f.run(c, 2*time.Second, callsPerSecond)["t1"]
 		f.setTargets(append([]Target{target("t4", "a")}, before[1:]...))
-		first := f.run(c, 2*time.Second, perSecond)["t4"]
-		f.run(c, 10*time.Second, perSecond)
-		last := f.run(c, 2*time.Second, perSecond)["t4"]
-		c.Logf("before %d, first %d, last %d", whole, first, last)
-		c.Assert(first > 0 && first*3 < whole, qt.IsTrue)
-		c.Assert(last*10 > whole*8, qt.IsTrue)
+		first := f.run(c, 2*time.Second, callsPerSecond)["t4"]
+		f.run(c, 10*time.Second, callsPerSecond)
+		last := f.run(c, 2*time.Second, callsPerSecond)["t4"]
+		c.Logf("before %d, first %d, last %d", fullShare, first, last)
+		c.Assert(first > 0 && first*3 < fullShare, qt.IsTrue)
+		c.Assert(last*10 > fullShare*8, qt.IsTrue)
 	}
 }
 
-// The members change, targets fail, drain and come back in any order while
-// calls are made. Whatever happens: a target that drains or was tried is
-// never picked, a call fails only when no target is left, the in-flight
-// counts are right, and no more than half are left out.
-func TestAnySequenceKeepsThePromises(t *testing.T) {
+// Members change, and targets fail, drain and come back in any order while
+// calls are made. In every sequence: a target that drains or was already tried
+// is never picked, Pick fails only when no target is left, the in-flight counts
+// are correct, and at most half of the targets are ejected.
+func TestAnySequenceKeepsTheInvariants(t *testing.T) {
 	rapid.Check(t, checkAnySequence)
 }
 
 func checkAnySequence(t *rapid.T) {
-	check := func(ok bool, what string) {
+	check := func(ok bool, failure string) {
 		if !ok {
-			t.Fatal(what)
+			t.Fatal(failure)
 		}
 	}
 	reasons := []call.Reason{"", "", call.ReasonConnect, call.ReasonTimeout, call.ReasonLevel, call.ReasonDraining, call.ReasonCancelled}
@@ -238,7 +242,7 @@
 			f := Feedback{Outcome: call.Complete, Reason: rapid.SampledFrom(reasons).Draw(t, "reason")}
 			f.Latency = time.Duration(rapid.IntRange(1, 500).Draw(t, "latency")) * time.Millisecond
 			picked.Done(f, now)
-			if r.holds(picked) && f.Reason == call.ReasonDraining {
+			if r.stillCounts(picked) && f.Reason == call.ReasonDraining {
 				drainedAt[picked.Target.ID] = now
 			}
 		},
@@ -266,24 +270,25 @@
 			}
 			counted := 0
 			for _, picked := range open {
-				if r.holds(picked) {
+				if r.stillCounts(picked) {
 					counted++
 				}
 			}
 			check(inFlight == counted, "wrong in-flight count")
-			check(out*2 <= active, "more than half left out")
+			check(out*2 <= active, "more than half ejected")
 		},
 	})
 }
 
-// holds reports whether the router still has the state that p counts in.
-func (r *Router) holds(p Picked) bool {
+// stillCounts reports whether the router still has the stats in which p is
+// counted as in flight.
+func (r *Router) stillCounts(p Picked) bool {
 	s := (*r.services.Load())["filing"]
-	return s != nil && slices.ContainsFunc(s.view.Load().members, func(m *member) bool { return m.measure == p.measure })
+	return s != nil && slices.ContainsFunc(s.view.Load().members, func(m *member) bool { return m.stats == p.stats })
 }
 
-// The members change all the time while many calls are made and end. No
-// call may be lost or race; run with -race.
+// The members change continuously while many calls are made and end. No
+// in-flight count may be lost and no data race may occur; run with -race.
 func TestChurnDuringPicks(t *testing.T) {
 	c := qt.New(t)
 	r := NewRouter(Config{Node: "n1", Zone: "a", Region: "hu", Start: start})
