--- a/admission/brownout.go
+++ b/admission/brownout.go
@@ -11,42 +11,42 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Defaults of BrownoutConfig.
+// Default values for zero fields of BrownoutConfig.
 const (
 	DefaultBrownoutMaxAge     = time.Minute
 	DefaultBrownoutMaxBytes   = 16 << 20
 	DefaultBrownoutMaxEntries = 4096
-	// maxAnswerShare: one answer may take at most one such part of the bytes.
+	// maxAnswerShare limits one response to MaxBytes divided by this number.
 	maxAnswerShare = 16
 )
 
 // BrownoutConfig configures a Brownout.
 type BrownoutConfig struct {
-	// MaxAge is the age over which an answer is not given out. Zero means a
-	// minute.
+	// MaxAge is the age above which a stored response is no longer used. Zero
+	// means a minute.
 	MaxAge time.Duration
-	// MaxBytes bounds the stored bodies and headers. Zero means 16 MiB.
+	// MaxBytes bounds the stored keys, headers and bodies. Zero means 16 MiB.
 	MaxBytes int
-	// MaxEntries bounds the number of answers. Zero means 4096.
+	// MaxEntries bounds the number of stored responses. Zero means 4096.
 	MaxEntries int
-	// NeutralHeaders are request headers left out of the key, in addition to
-	// those set by nodes. Every other header is part of it, so an unknown way
-	// to identify a caller can't lead to another caller's answer. A longer
-	// list finds more answers; a header on it must never identify anybody.
-	// Nil means DefaultNeutralHeaders.
+	// NeutralHeaders are the request headers that are not part of the key, in
+	// addition to those set by nodes. Every other header is part of it, so that
+	// no unknown means of identifying a caller can lead to another caller's
+	// response. A longer list finds more responses, but a header that may
+	// identify a caller must not be listed. Nil means DefaultNeutralHeaders.
 	NeutralHeaders []string
 }
 
-// Answer is a complete answer. Its fields must not be changed.
+// Answer is a complete response. Its fields must not be modified.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Brownout keeps recent complete answers, to be given with their age in place
-// of a refusal. An answer is found only by a request with the same method,
-// URL, caller and headers as the one it was given to.
+// Brownout stores recent complete responses, to be sent with their age instead
+// of a refusal. A response is returned only for a request with the same method,
+// URL, caller and headers as the request that it was made for.
 type Brownout struct {
 	config  BrownoutConfig
 	neutral map[string]bool
@@ -62,7 +62,8 @@
 	size   int
 }
 
-// NewBrownout returns a Brownout, or a *ConfigError.
+// NewBrownout returns a Brownout for the configuration, or a *ConfigError if
+// the configuration is invalid.
 func NewBrownout(config BrownoutConfig) (*Brownout, error) {
 	if config.MaxAge < 0 {
 		return nil, &ConfigError{Field: "MaxAge", Value: config.MaxAge.String(), Want: "at least 0"}
@@ -97,8 +98,8 @@
 	return b, nil
 }
 
-// Put stores a complete answer, if it may be given out again. It reports
-// whether it was stored.
+// Put stores a complete response if it may be reused, and reports whether it
+// was stored.
 func (b *Brownout) Put(key BrownoutKey, a Answer, now time.Time) bool {
 	if !storable(key, a) {
 		return false
@@ -114,7 +115,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	// The eviction callback takes a replaced answer's size off again.
+	// The eviction callback subtracts the size of a replaced response.
 	b.lru.Remove(text)
 	b.lru.Add(text, s)
 	b.bytes += s.size
@@ -124,7 +125,7 @@
 	return true
 }
 
-// Get returns the stored answer for a request and its age.
+// Get returns the stored response to a request and the response's age.
 func (b *Brownout) Get(key BrownoutKey, now time.Time) (a Answer, age time.Duration, ok bool) {
 	if !safeMethod(key.Method) {
 		return Answer{}, 0, false
@@ -144,7 +145,7 @@
 	return s.answer, age, true
 }
 
-// Size is how many answers and bytes are stored.
+// Size returns the number of stored responses and their size in bytes.
 func (b *Brownout) Size() (entries, bytes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -155,8 +156,8 @@
 	return method == http.MethodGet || method == http.MethodHead
 }
 
-// storable keeps out what must not be given twice: answers that set a cookie
-// or forbid storing, and answers that depend on more than the request.
+// storable reports whether a response may be reused. Responses that set a
+// cookie, that forbid storing, or that depend on more than the request may not.
 func storable(key BrownoutKey, a Answer) bool {
 	if !safeMethod(key.Method) || a.Status != http.StatusOK {
 		return false
--- a/admission/brownout_key.go
+++ b/admission/brownout_key.go
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// DefaultNeutralHeaders are the request headers that are taken to have no
-// bearing on the answer.
+// DefaultNeutralHeaders are the request headers that are assumed not to affect
+// the response.
 var DefaultNeutralHeaders = []string{
 	"Traceparent", "Tracestate", "User-Agent", "Connection", "Date",
 	"Cache-Control", "Pragma", "X-Request-Id",
 }
 
-// neutralPrefix marks the headers that nodes set for one another.
+// neutralPrefix is the prefix of headers that nodes set for each other.
 const neutralPrefix = "Pollengauge-"
 
-// BrownoutKey is what a stored answer belongs to.
+// BrownoutKey identifies the request that a stored response belongs to.
 type BrownoutKey struct {
 	Method string
 	// URL includes the host.
 	URL string
-	// Caller identifies who asks, apart from the headers; for example the
-	// remote address or the client certificate.
+	// Caller identifies the caller by other means than headers, for example by
+	// the remote address or the client certificate.
 	Caller string
 	Header http.Header
 }
 
-// text writes the key with the length before each part, so that no two keys
-// have the same text.
+// text encodes the key with a length before each part, so that different keys
+// have different texts.
 func (b *Brownout) text(key BrownoutKey) string {
 	names := make([]string, 0, len(key.Header))
 	for name := range key.Header {
--- a/admission/callgraph.go
+++ b/admission/callgraph.go
@@ -6,54 +6,58 @@
 	"time"
 )
 
-// Tuning of a CallGraph.
+// Parameters of a CallGraph.
 const (
-	// graphWindow is how often counts fade and links are settled anew.
+	// graphWindow is the interval at which counts decay and links are computed
+	// again.
 	graphWindow = 250 * time.Millisecond
-	// graphDecay is what a window leaves of the counts before: some 60 windows,
-	// or 15 seconds, count.
+	// graphDecay is the factor on the counts per window. The counts cover about
+	// 60 windows, or 15 seconds.
 	graphDecay = 0.984
-	// leastCalls is how many calls a run must make on average to be linked.
+	// leastCalls is the mean number of calls of a kind that a visit must make
+	// to be linked to that kind.
 	leastCalls = 0.2
-	// neededWeight is the weight of one run in what its kind needs.
+	// neededWeight is the weight of one visit in the mean number of calls that
+	// its kind needs.
 	neededWeight = 0.1
-	// maxKinds bounds the kinds of runs and of calls that are told apart.
+	// maxKinds bounds the distinguished kinds of visits, and of calls for each
+	// of them.
 	maxKinds = 32
 )
 
-// CallGraph counts which kinds of runs of an upstream make which kinds of
+// CallGraph counts which kinds of visits of an upstream make which kinds of
 // calls.
 //
 // Load pattern: several kinds of requests share an upstream, and only some of
-// them need a deeper service that is overloaded. Requests of those kinds must
-// be refused where they begin, and the others must not.
+// them need a downstream service that is overloaded. Requests of those kinds
+// must be refused at the root, the others must not.
 //
-// Only calls that tell their run are counted. In a surge all kinds of runs and
-// calls rise together, and a guess by what comes at the same time links kinds
-// that make no calls at all: two thirds of the payments were refused for a
-// service that they don't need.
+// Only calls that name the visit they belong to are counted. In a surge all
+// kinds of visits and calls increase together. Inferring the links from calls
+// at the same time also links kinds that make no such calls: two thirds of the
+// payments were refused because of a service that they don't need.
 type CallGraph struct {
 	mu    sync.Mutex
 	runs  map[string]*runKind
 	until time.Time
 }
 
-// runKind is one kind of run.
+// runKind is the state of one kind of visit.
 type runKind struct {
-	// started and made are decayed counts of runs and of their calls by kind.
+	// started and made are decayed counts of visits and of their calls by kind.
 	started float64
 	made    map[string]float64
-	// needed is how many calls of each kind a run makes that ends well, averaged.
+	// needed is the mean number of calls of each kind in a successful visit.
 	needed map[string]float64
-	// linked are the kinds of calls that it makes, as of the last window. The
-	// list is replaced, never changed.
+	// linked are the kinds of calls that visits of this kind make, as of the
+	// last window. The slice is replaced, never modified.
 	linked []string
 }
 
-// NewCallGraph returns a CallGraph that knows nothing.
+// NewCallGraph returns an empty CallGraph.
 func NewCallGraph() *CallGraph { return &CallGraph{runs: make(map[string]*runKind)} }
 
-// Begin notes the begin of a run.
+// Begin records the start of a visit.
 func (g *CallGraph) Begin(kind string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,7 +67,7 @@
 	}
 }
 
-// CalledBy notes a call that the upstream makes for a run.
+// CalledBy records a call that the upstream makes for a visit.
 func (g *CallGraph) CalledBy(run, call string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,9 +81,9 @@
 	}
 }
 
-// Completed notes a run that ended well and the calls that were made for it, by
-// kind. Runs that fail say nothing of what is needed: most end at their first
-// failed call.
+// Completed records a successful visit and the calls made for it, by kind.
+// Failed visits don't show how many calls are needed: most of them end at their
+// first failed call.
 func (g *CallGraph) Completed(run string, calls map[string]int, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -99,8 +103,8 @@
 	}
 }
 
-// Needs returns how many calls of a kind a run needs to end well, 0 where no such
-// run is known.
+// Needs returns how many calls of a kind a visit needs to succeed, or 0 if that
+// is unknown.
 func (g *CallGraph) Needs(run, call string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -110,7 +114,8 @@
 	return 0
 }
 
-// Linked returns the kinds of calls that runs of a kind make.
+// Linked returns the kinds of calls that visits of a kind make. The caller must
+// not modify the result.
 func (g *CallGraph) Linked(run string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,7 +125,7 @@
 	return nil
 }
 
-// run returns the record of a kind, nil where there are too many.
+// run returns the state of a kind of visit, or nil if there are too many kinds.
 func (g *CallGraph) run(kind string) *runKind {
 	r := g.runs[kind]
 	if r == nil && len(g.runs) < maxKinds {
@@ -130,7 +135,7 @@
 	return r
 }
 
-// advance closes the window when its time has come.
+// advance closes the window if its time has passed.
 func (g *CallGraph) advance(now time.Time) {
 	if g.until.IsZero() {
 		g.until = now.Add(graphWindow)
@@ -144,7 +149,8 @@
 	}
 }
 
-// settle lists the calls that are made often enough, and lets the counts fade.
+// settle links the kinds of calls that are made often enough, and decays the
+// counts.
 func (r *runKind) settle() {
 	var linked []string
 	for call, made := range r.made {
--- a/admission/config.go
+++ b/admission/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults for the fields of Config that are left at zero.
+// Default values for zero fields of Config.
 const (
 	DefaultMinLimit     = 2
 	DefaultMaxQueueWait = 100 * time.Millisecond
@@ -13,67 +13,71 @@
 	DefaultWindow       = 50 * time.Millisecond
 	minWindow           = time.Millisecond
 	initialLimitShare   = 4
-	// leastPatience is the share of MaxQueueWait at Preference 0.
+	// leastPatience is the share of MaxQueueWait that applies at Preference 0.
 	leastPatience = 0.25
 )
 
 // Config configures a Gate.
 type Config struct {
-	// Slots is how many visits the upstream can hold at once, blocked ones
-	// included, as it announced. It is the ceiling of everything in flight.
-	// Too high a value moves the queue into the upstream, where importance
-	// and deadlines are not seen.
+	// Slots is the number of visits that the upstream can hold at once, as the
+	// upstream announced it. Blocked visits count. Slots bounds all visits in
+	// flight. If it is too high, calls queue inside the upstream, which knows
+	// neither their importance nor their deadlines.
 	Slots int
-	// InitialLimit is the limit on active visits at the start, before
-	// anything was measured. Low protects a cold upstream, high avoids
-	// refusals while the ramp runs. Zero means a quarter of Slots.
+	// InitialLimit is the limit on active visits at the start, before anything
+	// has been measured. A low value protects a cold upstream; a high value
+	// avoids refusals during the ramp. Zero means a quarter of Slots.
 	InitialLimit int
-	// MinLimit is the lowest limit on active visits. It must leave enough
-	// samples to notice that the upstream got well. Zero means 2.
+	// MinLimit is the lowest limit on active visits. It must let through enough
+	// calls to notice that the upstream has recovered. Zero means 2.
 	MinLimit int
-	// QueueLimit bounds how many calls may wait. Long queues absorb bursts
-	// and delay recovery. Zero means half of Slots, at least 1; a negative
-	// value means no queue.
+	// QueueLimit is the maximum number of queued calls. A long queue absorbs
+	// bursts but delays recovery. Zero means twice Slots, at least 1; a
+	// negative value disables the queue.
 	QueueLimit int
-	// MaxQueueWait is the longest that any call may wait at Preference 1,
-	// whatever its profile allows; at Preference 0 it is a quarter. Long
-	// completes more of a burst, short leaves less behind it. Zero means
-	// 100 ms.
+	// MaxQueueWait is the longest that any call may be queued at Preference 1,
+	// whatever its profile allows; at Preference 0 it is a quarter of that. A
+	// long wait completes more calls of a burst; a short wait leaves less
+	// backlog after it. Zero means 100 ms.
 	MaxQueueWait time.Duration
-	// TargetWait is the queue wait, averaged over a window, above which the
-	// window counts as overloaded. Low sheds early, high keeps the upstream
-	// busier. Preference scales it. Zero means 5 ms.
+	// TargetWait is the mean queue wait of a window above which the window
+	// counts as overloaded, before it is scaled by Preference. A low value
+	// sheds early; a high value keeps the upstream busier. Zero means 5 ms.
 	TargetWait time.Duration
-	// Window is how often limit and admission level are set. Short reacts
-	// and recovers faster, long measures steadier. Zero means 50 ms.
+	// Window is the interval at which the limit and the admission level are
+	// updated. A short window reacts and recovers faster; a long window
+	// measures with less noise. Zero means 50 ms.
 	Window time.Duration
-	// RampTime is how long a cold upstream takes to warm up: the ceiling of
-	// the limit rises evenly from InitialLimit to Slots over it. Zero means
-	// no ramp.
+	// RampTime is how long a cold upstream takes to warm up. During this time
+	// the upper bound of the limit rises linearly from InitialLimit to Slots.
+	// Zero means no ramp.
 	RampTime time.Duration
-	// Preference weighs goodput (1) against recovery time (0), for calls that
-	// bring none of their own. Towards 1 calls
-	// may be queued for longer, a longer standing queue is tolerated before
-	// shedding, and refused calls are told to come back late: more of the
-	// calls in a burst or surge end well. Towards 0 the queue is kept short
-	// and refused calls come back soon: after a surge callers are answered
-	// sooner, but more of them have given up.
+	// Preference weighs goodput (1) against recovery time (0) for calls that
+	// don't set a preference themselves. Towards 1, calls may be queued for
+	// longer, a longer standing queue is tolerated before calls are shed, and
+	// refused calls get a longer RetryAfter: more calls of a burst or surge
+	// succeed. Towards 0, the queue is kept short and refused calls may retry
+	// soon: after a surge callers are served sooner, but more of them have
+	// given up.
 	Preference float64
-	// DepthAware takes time blocked in calls below out of what is measured
-	// and limited, so that a slow deep service does not lower the limits
-	// above it. Off, a blocked visit counts as an active one.
+	// DepthAware excludes the time blocked in downstream calls from the
+	// measurements and from the limit, so that a slow downstream service
+	// doesn't lower the limits of the upstreams that call it. If it is false, a
+	// blocked visit counts as an active one.
 	DepthAware bool
-	// SlotShare, if above 0, sets the limit to that share of the slots, and
-	// nothing is learnt or refused by level: for an upstream that announces
-	// exactly how many calls it runs at once and gets every call through this
-	// gate. Then roots refuse by Pressure. Less than 1 spares upstreams that
-	// become slow when nearly full, at the cost of the slots left out.
+	// SlotShare, if positive, fixes the limit at that share of Slots. The limit
+	// then doesn't adapt and no call is refused by level; the roots refuse
+	// calls by Pressure instead. It is meant for an upstream that announces
+	// exactly how many calls it runs at once and receives all its calls through
+	// this gate. A share below 1 protects upstreams that slow down when nearly
+	// full, at the cost of the unused slots.
 	SlotShare float64
-	// Clock replaces time.Now; nil means time.Now.
+	// Clock replaces time.Now. Nil means time.Now.
 	Clock func() time.Time
 }
 
-// withDefaults returns c with zero fields filled in, or a *ConfigError.
+// withDefaults returns c with its zero fields set to the defaults, or a
+// *ConfigError if a field is out of range.
 func (c Config) withDefaults() (Config, error) {
 	if c.Slots < 0 || c.Slots > maxSlots {
 		return c, intError("Slots", c.Slots, "0 to "+strconv.Itoa(maxSlots))
@@ -112,7 +116,7 @@
 	return c, nil
 }
 
-// fillDurations checks the durations and fills in their defaults.
+// fillDurations sets zero durations to their defaults and checks the ranges.
 func (c *Config) fillDurations() error {
 	fields := []struct {
 		name     string
@@ -140,8 +144,9 @@
 	return &ConfigError{Field: field, Value: strconv.Itoa(value), Want: want}
 }
 
-// patience is how long a call may be queued. Calls that waited long are what
-// the upstream still works on when a surge is over.
+// patience returns the longest time that a call with this preference may be
+// queued. Calls that waited for long are the backlog that the upstream still
+// has to work off after a surge.
 func (c Config) patience(preference float64) time.Duration {
 	share := leastPatience + preference*(1-leastPatience)
 	return time.Duration(share * float64(c.MaxQueueWait))
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,25 +1,29 @@
-// Package admission decides, at one upstream, which calls run now, which wait
-// and which are refused before any work is done.
+// Package admission decides, for one upstream, which calls run now, which calls
+// wait in a queue and which calls are refused before any work is done.
 //
-// A Gate stands before one upstream. Each call passes Acquire, which returns a
-// Ticket or a *RefusedError; a refused call was never dispatched and never will
-// be. The holder of a Ticket tells the gate when the visit waits for a call of
-// its own (Block, Unblock) and how it ended (Release).
+// A Gate stands in front of one upstream. Every call goes through Gate.Acquire,
+// which returns either a Ticket or a *RefusedError. A refused call has not been
+// dispatched and never will be. The holder of a Ticket reports when its visit
+// waits for downstream calls (Block, Unblock) and how the visit ended
+// (Release).
 //
-// A gate holds three decisions:
+// A gate combines three mechanisms:
 //
-//   - an adaptive limit on active visits, learnt from self time (service time
-//     less the time blocked in calls below) and goodput;
-//   - an admission level, below which calls are refused at once, learnt from
-//     queue waiting and from the histogram of arrivals by level;
-//   - a short queue, ordered by importance, that drops what can't end in time.
+//   - an adaptive limit on active visits, learned from self time (service time
+//     minus the time blocked in downstream calls) and from goodput;
+//   - an admission level, below which calls are refused at once, learned from
+//     the queue wait and from a histogram of arrivals by level;
+//   - a short queue, ordered by importance, that drops calls which can't finish
+//     in time.
 //
-// At the root of a chain, Feedback refuses what a deeper hop would refuse,
-// Ranker sets the tie-break that shares a level fairly among callers, and
-// Brownout keeps recent complete answers for profiles that prefer an old
-// answer to none.
+// At the root of a request, Feedback and Shedder refuse calls that a downstream
+// hop would refuse, Ranker and FairTiebreak set the tie-break that shares a
+// level fairly among callers, and Brownout stores recent complete responses for
+// profiles that prefer a stale response to a refusal. TooLate reports whether a
+// node is too far behind with its own work to begin more.
 //
-// All exported methods may be called concurrently. Nothing here starts a
-// goroutine or does I/O: windows are closed by the calls that pass. The
-// decisions themselves are pure functions of the values and times passed in.
+// All exported methods may be called concurrently. The package starts no
+// goroutines and does no I/O: a measurement window is closed by the first call
+// that comes after its end. The decisions themselves are pure functions of the
+// values and times passed in.
 package admission
--- a/admission/errors.go
+++ b/admission/errors.go
@@ -7,7 +7,7 @@
 	"pollengauge.dev/call"
 )
 
-// ConfigError tells which field of a configuration can't be used, and why.
+// ConfigError reports a configuration field with an unusable value.
 type ConfigError struct {
 	Field string
 	Value string
@@ -19,14 +19,14 @@
 	return "admission config: " + e.Field + ": " + strconv.Quote(e.Value) + ": want " + e.Want
 }
 
-// RefusedError says why Acquire refused. The call was not dispatched.
+// RefusedError reports why Acquire refused a call. The call was not dispatched.
 type RefusedError struct {
 	Reason call.Reason
-	// Level is the admission level in force when the call was refused.
+	// Level is the admission level at the time of the refusal.
 	Level call.Level
-	// RetryAfter is when another try has a fair chance. It grows as the
-	// call's level falls below the admission level, so that what was shed
-	// does not come back at one instant.
+	// RetryAfter is the delay after which a retry has a fair chance of being
+	// admitted. It grows with the distance between the call's level and the
+	// admission level, so that shed calls don't all come back at the same time.
 	RetryAfter time.Duration
 }
 
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -9,7 +9,7 @@
 	"pollengauge.dev/call"
 )
 
-// Defaults of FeedbackConfig.
+// Default values for zero fields of FeedbackConfig.
 const (
 	DefaultFeedbackSmoothing  = 20 * time.Millisecond
 	DefaultFeedbackHold       = 200 * time.Millisecond
@@ -19,24 +19,27 @@
 
 // FeedbackConfig configures a Feedback.
 type FeedbackConfig struct {
-	// Smoothing is the time constant of the average over answers, which come
-	// from several instances with levels of their own. Short follows a raise
-	// fast, long does not follow a single instance. Zero means 20 ms.
+	// Smoothing is the time constant of the average over responses, which come
+	// from several instances with different levels. A short time follows a
+	// raise fast; a long time doesn't follow a single instance. Zero means 20
+	// ms.
 	Smoothing time.Duration
-	// Hold is how long a level stays without any answer. It must outlast the
-	// usual gap between answers. Zero means 200 ms.
+	// Hold is how long a level stays in force without any response. It must be
+	// longer than the usual gap between responses. Zero means 200 ms.
 	Hold time.Duration
-	// Release is how long, after Hold, a level takes to fall evenly to 0, so
-	// that a root whose calls are all refused tries again. Zero means 800 ms.
+	// Release is the time after Hold in which a level falls linearly to 0, so
+	// that a root which refuses all its calls tries again. Zero means 800 ms.
 	Release time.Duration
-	// ProbeEvery lets one of so many calls below the level pass. Probes show
-	// the deeper hops the demand that is kept away, and bring back their
-	// levels. Low finds room sooner, high wastes less. Zero means 200.
+	// ProbeEvery admits one in this many calls below the level as a probe.
+	// Probes show the downstream hops the demand that the root refuses, and
+	// their responses report the current levels. A low value finds free
+	// capacity sooner; a high value wastes less. Zero means 200.
 	ProbeEvery int
 }
 
-// Feedback lets a root refuse what a deeper hop would refuse, before any work
-// is done. It learns from the worst admission level that each answer reports.
+// Feedback lets a root refuse a call that a downstream hop would refuse, before
+// any work is done. It learns from the highest admission level that each
+// response reports.
 type Feedback struct {
 	config   FeedbackConfig
 	epoch    time.Time
@@ -45,14 +48,14 @@
 
 // feedbackProfile is the state of one profile.
 type feedbackProfile struct {
-	// state packs the smoothed level (float32 bits, high half) and when an
-	// answer was last heard (milliseconds since the epoch, modulo 2^32, low
-	// half).
+	// state packs the smoothed level (float32 bits, high half) and the time of
+	// the last response (milliseconds since the epoch modulo 2^32, low half).
 	state   atomic.Uint64
 	refused atomic.Uint64
 }
 
-// NewFeedback returns a Feedback, or a *ConfigError.
+// NewFeedback returns a Feedback for the configuration, or a *ConfigError if
+// the configuration is invalid.
 func NewFeedback(config FeedbackConfig) (*Feedback, error) {
 	fields := []struct {
 		name     string
@@ -80,7 +83,7 @@
 	return &Feedback{config: config}, nil
 }
 
-// Observe takes the worst admission level that an answer reported.
+// Observe records the highest admission level that a response reported.
 func (f *Feedback) Observe(profile string, worst call.Level, now time.Time) {
 	p := f.profile(profile, now)
 	at := f.clock(now)
@@ -97,8 +100,8 @@
 	}
 }
 
-// answerWeight is the least weight of one answer, for roots with so many that
-// the time between two of them rounds to nothing.
+// answerWeight is the smallest weight of one response, for roots that get so
+// many responses that the time between two of them rounds to zero.
 const answerWeight = 1.0 / 64
 
 func (f *Feedback) smooth(level float32, worst call.Level, since time.Duration) float32 {
@@ -108,7 +111,7 @@
 	return level + float32(weight)*(float32(worst)-level)
 }
 
-// decayed is the level when nothing was heard for so long.
+// decayed returns the level after this time without a response.
 func (f *Feedback) decayed(level float32, since time.Duration) float32 {
 	silent := since - f.config.Hold
 	if silent <= 0 {
@@ -118,12 +121,12 @@
 	return level * float32(math.Max(left, 0))
 }
 
-// Admit tells whether a call of the profile should be let in, and the level
-// in force. A few calls below it pass as probes.
+// Admit reports whether a call of the profile should be admitted, and the level
+// in force. A few calls below that level are admitted as probes.
 func (f *Feedback) Admit(profile string, l call.Level, now time.Time) (ok bool, inForce call.Level) {
 	p := f.profiles.find(profile)
 	if p == nil {
-		// Where there is no more room, Observe keeps what it hears there.
+		// If the profile map was full, Observe used the shared record.
 		p = f.profiles.find(otherProfiles)
 	}
 	if p == nil {
@@ -134,8 +137,8 @@
 	at := f.clock(now)
 	inForce = call.Level(f.decayed(level, elapsed(heard, at)))
 	if inForce == 0 && level != 0 {
-		// The time heard repeats after 49 days; a level that was left to
-		// decay must not come back with it.
+		// The 32-bit time repeats after 49 days. A level that has decayed to 0
+		// must not return with it.
 		p.state.CompareAndSwap(old, packFeedback(0, at))
 	}
 	if l >= inForce {
@@ -145,13 +148,14 @@
 	return probe, inForce
 }
 
-// clock is the milliseconds since the first call heard, modulo 2^32.
+// clock returns the milliseconds since the first observation, modulo 2^32.
 func (f *Feedback) clock(now time.Time) uint32 {
 	return uint32(now.Sub(f.epoch).Milliseconds())
 }
 
-// elapsed is the time from heard to at. Callers read their clocks before they
-// get here, so heard may be a little later; that counts as no time.
+// elapsed returns the time from heard to at. Callers read their clocks before
+// they call Observe or Admit, so heard may be slightly later than at; that
+// counts as zero.
 func elapsed(heard, at uint32) time.Duration {
 	return time.Duration(max(int32(at-heard), 0)) * time.Millisecond
 }
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -9,36 +9,39 @@
 	"pollengauge.dev/call"
 )
 
-// maxSlots bounds Config.Slots, so that counts fit their part of Gate.word.
+// maxSlots bounds Config.Slots so that the counts fit into their bit fields of
+// Gate.word.
 const maxSlots = 1 << 20
 
-// Request is what Acquire has to know of a call.
+// Request describes a call to Acquire.
 type Request struct {
 	Level   call.Level
 	Profile string
-	// Inherited tells that a root let the request in, by a level that may have
-	// been raised since.
+	// Inherited is set if a root has already admitted the request. The
+	// admission level may have been raised since then.
 	Inherited bool
-	// Progress counts the calls that have already run for the request. The more
-	// there are, the more work a refusal would waste.
+	// Progress is the number of calls that have already run for the request.
+	// The higher it is, the more work a refusal would waste.
 	Progress int
-	// HeldBack is the share of the requests like the call's that were refused where
-	// they began when this one was let in, 0 to below 1.
+	// HeldBack is the share of similar requests that the root refused at the
+	// time when it admitted this one, from 0 to below 1.
 	HeldBack float64
-	// MaxWait is how long the call may be queued. Zero means as long as
-	// Config.MaxQueueWait, negative not at all.
+	// MaxWait is the longest that the call may be queued, within
+	// Config.MaxQueueWait. Zero means Config.MaxQueueWait; a negative value
+	// means that the call is not queued.
 	MaxWait time.Duration
-	// Deadline is when the caller stops waiting; zero means never.
+	// Deadline is when the caller stops waiting. Zero means no deadline.
 	Deadline time.Time
-	// Hold lets the call be queued for all of MaxWait, whatever Config says:
-	// for work whose loss is worse than a longer queue.
+	// Hold lets the call be queued for all of MaxWait, even beyond
+	// Config.MaxQueueWait. It is meant for work whose loss is worse than a
+	// longer queue.
 	Hold bool
-	// Preference is that of the call's profile, up to 1; see
+	// Preference is the preference of the call's profile, at most 1; see
 	// Config.Preference. Zero means Config.Preference.
 	Preference float64
 }
 
-// Gate admits calls to one upstream. Create one with NewGate.
+// Gate admits calls to one upstream. Use NewGate to create one.
 type Gate struct {
 	config Config
 	epoch  time.Time
@@ -46,12 +49,12 @@
 	nextID atomic.Uint32
 
 	_ [cacheLine]byte
-	// word holds the counts of active visits and of visits in flight, and
-	// queuedFlag; see room.go.
+	// word packs the number of active visits, the number of visits in flight,
+	// and queuedFlag; see room.go.
 	word atomic.Uint64
 	_    [cacheLine]byte
 
-	// Read by every call, written seldom.
+	// The following fields are read by every call and rarely written.
 	limit     atomic.Int32
 	slots     atomic.Int32
 	level     atomic.Uint32
@@ -59,7 +62,7 @@
 	draining  atomic.Bool
 	nextTick  atomic.Int64
 	load      atomic.Int32
-	// loadUntil is when load is to be computed anew.
+	// loadUntil is the time at which the cached load expires.
 	loadUntil atomic.Int64
 	// pressed is the pressure in thousandths.
 	pressed  atomic.Int32
@@ -77,7 +80,8 @@
 	leveler  *leveler
 }
 
-// NewGate returns a gate, or a *ConfigError.
+// NewGate returns a Gate for the configuration, or a *ConfigError if the
+// configuration is invalid.
 func NewGate(config Config) (*Gate, error) {
 	config, err := config.withDefaults()
 	if err != nil {
@@ -92,13 +96,14 @@
 	return g, nil
 }
 
-// now is the time since the gate was made. It has a monotonic part, so steps
-// of the wall clock do not show as service time.
+// now returns the time since the gate was created. It uses the monotonic clock
+// reading, so that steps of the wall clock don't distort service times.
 func (g *Gate) now() time.Duration { return g.config.Clock().Sub(g.epoch) }
 
-// Acquire waits until the call may run, or returns a *RefusedError. A refused
-// call was not dispatched: leaving the queue is one step, to dispatch or to
-// refusal, never both.
+// Acquire waits until the call may run and returns its Ticket, or it returns a
+// *RefusedError. A refused call has not been dispatched: a queued call leaves
+// the queue in one atomic step, either by dispatch or by refusal, never by
+// both.
 func (g *Gate) Acquire(ctx context.Context, r Request) (Ticket, error) {
 	now := g.now()
 	g.tickIfDue(now)
@@ -120,7 +125,8 @@
 	return g.acquireQueued(ctx, r, v, profile, now)
 }
 
-// precheck refuses what needs no queue to be refused.
+// precheck returns the reason to refuse the call without trying to queue it, or
+// ReasonNone.
 func (g *Gate) precheck(shard *statShard, p *profileStats, r Request, now time.Duration) call.Reason {
 	if g.draining.Load() {
 		return call.ReasonDraining
@@ -136,13 +142,13 @@
 	return call.ReasonNone
 }
 
-// admitLevel is the level that a call is judged by.
+// admitLevel returns the admission level that applies to the call.
 //
-// The failure: a filing has looked up its addressee and done its own work, the
-// level rises, and its last call is refused. All that was done is wasted, and
-// the filing's fate is unknown. Calls whose request has work done are therefore
-// left to the queue, which has room for them before all new ones of their
-// priority.
+// A call whose request has made progress is never refused by level. Otherwise a
+// request that has already made several calls could lose its last call when the
+// level rises in between: all its work would be wasted, and the fate of its
+// keyed calls would be unknown. Such calls go to the queue instead, which
+// serves them before all other calls of their priority.
 func (g *Gate) admitLevel(r Request) uint32 {
 	switch {
 	case r.Progress > 0:
@@ -154,7 +160,7 @@
 	}
 }
 
-// release gives back the room of a visit.
+// release records the result of a visit and returns its capacity to the gate.
 func (g *Gate) release(v *visit, result Result, service, blocked time.Duration, isBlocked bool, now time.Duration) {
 	shard := &g.shards[v.shard]
 	self := service
@@ -181,29 +187,31 @@
 	g.tickIfDue(now)
 }
 
-// refuse counts a refusal and makes its error.
+// refuse counts a refusal and returns its error.
 func (g *Gate) refuse(shard *statShard, reason call.Reason, r Request) *RefusedError {
 	shard.refused[reasonIndex(reason)].Add(1)
 	admit := call.Level(g.level.Load())
 	return &RefusedError{Reason: reason, Level: admit, RetryAfter: retryAfter(reason, r, admit)}
 }
 
-// Tuning of RetryAfter.
+// Parameters of RetryAfter.
 const (
-	// shortRetryAfter is for refusals that say nothing about the level.
+	// shortRetryAfter applies to refusals that don't depend on the admission
+	// level.
 	shortRetryAfter = 100 * time.Millisecond
-	// levelRetryAfter is for calls just under the admission level, at
-	// Preference 0 and 1. Each priority further down adds as much again.
+	// levelRetryRecovery and levelRetryGoodput are the delays, at Preference 0
+	// and 1, of calls just below the admission level. Each further priority
+	// below it adds the same delay again.
 	levelRetryRecovery = 250 * time.Millisecond
 	levelRetryGoodput  = time.Second
-	// maxRetrySteps bounds the sum.
+	// maxRetrySteps bounds the delay, as a multiple of the above.
 	maxRetrySteps = 8
 )
 
-// retryAfter spreads those who come back: a refused level waits longer the
-// further it is below the admission level. The times are short where recovery
-// time goes first, since a client that was refused as the surge ended stays
-// without an answer for as long.
+// retryAfter spreads the retries of refused calls over time: the further a
+// call's level is below the admission level, the longer it waits. The delays
+// are short if the call prefers a short recovery time, because a client that
+// was refused at the end of a surge gets no response until its retry.
 func retryAfter(reason call.Reason, r Request, admit call.Level) time.Duration {
 	switch reason {
 	case call.ReasonDraining, call.ReasonCancelled:
@@ -216,18 +224,19 @@
 	return time.Duration(float64(step) * min(1+below, maxRetrySteps))
 }
 
-// roomShare of the slots in use leaves room: upstreams become slower when nearly
-// full, and some refuse a little before.
+// roomShare is the share of the slots in use up to which HasRoom reports free
+// capacity. Upstreams slow down when they are nearly full, and some refuse
+// calls shortly before that.
 const roomShare = 0.75
 
-// HasRoom tells whether the upstream has free slots, by the calls that this gate
-// let through. The call that asks may be among them.
+// HasRoom reports whether the upstream has free slots, counting the visits
+// admitted by this gate. The calling visit may be one of them.
 func (g *Gate) HasRoom() bool {
 	_, inflight := g.counts()
 	return float64(inflight) <= roomShare*float64(g.slots.Load())
 }
 
-// profile finds the record of a profile, and makes it when new.
+// profile returns the record of a profile and creates it if it doesn't exist.
 func (g *Gate) profile(name string) *profileStats {
 	if p := g.profiles.find(name); p != nil {
 		return p
--- a/admission/lag.go
+++ b/admission/lag.go
@@ -2,32 +2,35 @@
 
 import "time"
 
-// Work is what a node is about to begin.
+// Work is a kind of work that a node is about to begin.
 type Work uint8
 
 const (
-	// NewRequest is a request of a caller.
+	// NewRequest is a request from a caller.
 	NewRequest Work = iota
-	// PeerCall is a call that another node sent, which can go elsewhere.
+	// PeerCall is a call sent by another node, which can send it elsewhere
+	// instead.
 	PeerCall
 )
 
-// Lags of a node's own work from which it begins no more.
+// Lags of a node's own work above which the node refuses new work.
 const (
-	// newRequestLag is well above the pauses of a garbage collection and of a
-	// processor quota, which lasts up to a tenth of a second.
+	// newRequestLag is well above the pauses caused by garbage collection and
+	// by a CPU quota, which last up to a tenth of a second.
 	newRequestLag = 200 * time.Millisecond
-	// peerCallLag is higher: what is sent here has work done.
+	// peerCallLag is higher, because the request of a peer's call has already
+	// done work.
 	peerCallLag = 400 * time.Millisecond
 )
 
-// TooLate reports whether a node whose own work is done lag after its time
-// should refuse.
+// TooLate reports whether a node should refuse a piece of work, given the lag
+// with which the node currently does its own work.
 //
-// Load pattern: a VM has too little processor for what comes, as in a surge or
-// when its host is shared. Each request is read late, so its caller may be
-// gone, and is passed on all the same; the backlog grows, and what runs is of
-// no use. To refuse costs a fraction of passing on, so the node catches up.
+// Load pattern: a VM has too little CPU for its load, as in a surge or on an
+// oversubscribed host. Each request is read late, so that its caller may
+// already be gone, but it is forwarded all the same. The backlog grows, and the
+// work that is done is useless. Refusing a request costs a fraction of
+// forwarding it, so that the node catches up.
 func TooLate(lag time.Duration, work Work) bool {
 	if work == PeerCall {
 		return lag > peerCallLag
--- a/admission/leveler.go
+++ b/admission/leveler.go
@@ -7,84 +7,93 @@
 	"pollengauge.dev/call"
 )
 
-// levels is how many levels there are.
+// levels is the number of levels.
 const levels = int(call.MaxLevel) + 1
 
-// Tuning of the leveler.
+// Parameters of the leveler.
 const (
-	// firstAllowance is the share of what is admitted that the first calm
-	// window takes back; each further calm window multiplies it.
+	// firstAllowance is the allowance of the first calm window, as a share of
+	// the admitted arrivals: how many more arrivals the level may let in.
 	firstAllowance = 1.0 / 64
-	// growth multiplies the allowance with each further calm window.
+	// growth is the factor on the allowance for each further calm window.
 	growth = 1.6
-	// margin is what an overloaded window keeps, as a share of capacity, apart
-	// from chance.
+	// margin is the target for admitted arrivals after an overloaded window, as
+	// a share of the capacity, before deviations is added.
 	margin = 1.05
-	// deviations is how many standard deviations of a window's arrivals it
-	// keeps beyond that.
+	// deviations is the number of standard deviations of a window's arrivals
+	// that are added to the target.
 	deviations = 3
-	// mostKept bounds the sum, for upstreams that end few visits in a window.
+	// mostKept bounds the target as a multiple of the capacity, for upstreams
+	// that finish few visits in a window.
 	mostKept = 3
-	// toleranceRecovery and toleranceGoodput scale TargetWait at Preference 0
-	// and 1.
+	// toleranceRecovery and toleranceGoodput are the factors on TargetWait at
+	// Preference 0 and 1.
 	toleranceRecovery = 2.0
 	toleranceGoodput  = 8.0
-	// largestCut is the least share of arrivals that one window may keep.
+	// largestCut is the smallest share of the admitted arrivals that one raise
+	// of the level may leave.
 	largestCut = 0.25
-	// visibleWeight is the weight of a window in the expected arrivals.
+	// visibleWeight is the highest weight of one window in the expected
+	// arrivals.
 	visibleWeight = 0.5
-	// arrivalNoise is the relative error of the expected arrivals that chance
-	// alone may cause.
+	// arrivalNoise is the relative error that random variation may cause in the
+	// expected arrivals.
 	arrivalNoise = 0.06
-	// hiddenDecay is what a window leaves of expected arrivals that roots
-	// keep away, and so can't be counted.
+	// hiddenDecay is the factor per window on expected arrivals that are
+	// refused by the roots and so can't be counted.
 	hiddenDecay = 0.98
-	// visibleShare of the expected arrivals below the level must come for
-	// them to count as not kept away.
+	// visibleShare is the share of the arrivals expected below the level that
+	// must come, or else the roots are taken to refuse them.
 	visibleShare = 0.1
-	// refusalShare of the arrivals refused by the queue is overload.
+	// refusalShare is the share of arrivals refused by the queue from which a
+	// window counts as overloaded.
 	refusalShare = 0.1
-	// provenWeight is the weight of an overloaded window in the capacity.
+	// provenWeight is the weight of an overloaded window in the proven
+	// capacity.
 	provenWeight = 0.5
-	// spareShare of what the capacity leaves free is taken back at once. More
-	// recovers sooner; less refuses fewer calls that roots have let in.
+	// spareShare is the share of the unused capacity that the level lets in
+	// again at once. A higher share recovers sooner; a lower share refuses
+	// fewer calls that the roots have admitted.
 	spareShare = 0.8
-	// leastUse is the share of the capacity that a level, let in or refused
-	// whole, must not leave idle.
+	// leastUse is the share of the capacity that must stay in use: a level is
+	// admitted as a whole rather than leave less than that in use.
 	leastUse = 0.5
 	// maxCalm bounds the count of calm windows.
 	maxCalm = 64
-	// graceWindows is for how many windows a raise spares calls whose root was
-	// admitted above before the raise.
+	// graceWindows is the number of windows for which a raise of the level
+	// spares calls whose root admitted them before the raise.
 	graceWindows = 3
 )
 
-// load is what one window measured of the demand.
+// load is the leveler's input from one window.
 type load struct {
-	// arrivals counts calls by level since the last window.
+	// arrivals counts the calls of the window by level.
 	arrivals *[levels]uint32
-	// capacity is how many visits a window can end.
+	// capacity is the number of visits that the upstream can finish in a
+	// window.
 	capacity float64
-	// meanWait is the mean queue wait of what left the queue.
+	// meanWait is the mean queue wait of the calls that left the queue.
 	meanWait time.Duration
-	// oldestWait is the wait of the oldest queued call.
+	// oldestWait is the wait of the oldest call still queued.
 	oldestWait time.Duration
-	// queueRefused counts calls refused because of the queue.
+	// queueRefused counts the calls refused because of the queue.
 	queueRefused int
-	// windows is how many windows have passed, at least 1.
+	// windows is the number of windows since the last update, at least 1.
 	windows int
-	// preference is the mean of the calls that found no room.
+	// preference is the mean preference of the calls that found no free
+	// capacity.
 	preference float64
 }
 
-// leveler holds the admission level. It is pure; its owner locks.
+// leveler computes the admission level. It is pure. The caller must hold the
+// gate's lock.
 type leveler struct {
 	target   time.Duration
 	level    call.Level
 	expected [levels]float32
 	calm     int
-	// proven is the capacity that overloaded windows showed. A calm window
-	// shows no capacity: its limit is not used up.
+	// proven is the capacity measured in overloaded windows. A calm window
+	// doesn't show the capacity, because its limit is not used up.
 	proven float64
 	recent [graceWindows]call.Level
 }
@@ -93,7 +102,7 @@
 	return &leveler{target: c.TargetWait, calm: 1}
 }
 
-// update sets the level from what a window measured.
+// update adjusts the level to the measurement of a window.
 func (v *leveler) update(w load) {
 	arrived := v.learn(w)
 	copy(v.recent[1:], v.recent[:])
@@ -108,7 +117,7 @@
 	v.lower()
 }
 
-// inheritedLevel is the level for calls that a root has let in.
+// inheritedLevel returns the level for calls that a root has already admitted.
 func (v *leveler) inheritedLevel() call.Level {
 	lowest := v.level
 	for _, l := range v.recent {
@@ -126,10 +135,11 @@
 	return w.queueRefused > 0 && float64(w.queueRefused) >= refusalShare*float64(arrived)
 }
 
-// learn folds a window into the expected arrivals. Once roots enforce the
-// level, arrivals below it are no longer seen; taking their absence for lack
-// of demand would open the gate to all of it at once, so what was last seen
-// there fades slowly instead.
+// learn updates the expected arrivals from a window and returns the number of
+// arrivals. Once the roots enforce the level, the arrivals below it can't be
+// seen any more. If their absence were taken for a lack of demand, the level
+// would fall and let in all of it at once. The last known arrivals below the
+// level therefore decay slowly.
 func (v *leveler) learn(w load) int {
 	arrived := 0
 	windows := float32(w.windows)
@@ -150,8 +160,9 @@
 	return arrived
 }
 
-// hidden tells whether roots keep away what is below the level: of what is
-// expected there, no more came than probes.
+// hidden reports whether the roots refuse the calls below the level: of the
+// arrivals expected there, only about as many came as the roots let through as
+// probes.
 func (v *leveler) hidden(w load) bool {
 	seen, expected := 0.0, 0.0
 	for i := range v.level {
@@ -161,26 +172,28 @@
 	return w.windows == 1 && seen < visibleShare*expected
 }
 
-// visibleWeightAt is the weight of a window in the expected arrivals. The fewer
-// calls a window has, the more of its count is chance; a level that follows
-// chance is too high in every other window.
+// visibleWeightAt returns the weight of a window in the expected arrivals. The
+// fewer calls a window has, the larger is the random part of its count. A level
+// that follows the random variation is too high in every other window.
 func visibleWeightAt(capacity float64) float32 {
 	precise := arrivalNoise * arrivalNoise * max(capacity, 1)
 	return float32(min(2*precise/(1+precise), visibleWeight))
 }
 
-// kept is how many arrivals a window should let in for a capacity.
+// kept returns the target for the number of admitted arrivals in a window, for
+// a given capacity.
 //
-// The failure: a window that can end ten visits is sent 1.35 times as many on
-// average, every eighth window brings fewer than ten, and the upstream idles in
-// the middle of a surge. So the margin is wide where chance is: what comes over
-// the capacity is refused by the queue, in the order of importance and before
-// any work.
+// The target is well above the capacity if the capacity is small, because of
+// random variation: with an average of 1.35 times as many calls as a window can
+// finish, and ten calls per window, every eighth window has fewer than ten, and
+// the upstream idles in the middle of a surge. The queue refuses the excess
+// calls, in the order of importance and before any work is done.
 func kept(capacity float64) float64 {
 	return min(margin*capacity+deviations*math.Sqrt(capacity), mostKept*capacity)
 }
 
-// raise lifts the level until what is expected above it fits the capacity.
+// raise lifts the level until the arrivals expected at or above it fit the
+// capacity.
 func (v *leveler) raise(capacity float64) {
 	keep := max(kept(capacity), largestCut*v.admitted())
 	sum := 0.0
@@ -190,9 +203,9 @@
 			sum = next
 			continue
 		}
-		// A level is refused whole. Where that would leave half the capacity
-		// idle, because many calls share one level, it is let in and the
-		// queue refuses what is too much.
+		// A level can only be refused as a whole. If that would leave half of
+		// the capacity unused, because many calls share one level, the level is
+		// admitted and the queue refuses the excess calls.
 		if sum < leastUse*keep {
 			i--
 		}
@@ -201,10 +214,11 @@
 	}
 }
 
-// lower takes back what the proven capacity leaves free, and at least a share
-// of what is admitted that grows with each calm window. So a standing overload
-// is held near capacity, and after a surge, when what was expected below no
-// longer comes, a few windows take back everything.
+// lower lets in as many arrivals as the unused part of the proven capacity
+// allows, and at least a share of the admitted arrivals that grows with each
+// calm window. So a lasting overload is held near the capacity, and after a
+// surge, when the arrivals expected below the level no longer come, the level
+// falls to zero within a few windows.
 func (v *leveler) lower() {
 	if v.level == 0 {
 		return
@@ -226,7 +240,7 @@
 	}
 }
 
-// admitted is how many arrivals are expected at or above the level.
+// admitted returns the number of arrivals expected at or above the level.
 func (v *leveler) admitted() float64 {
 	sum := 0.0
 	for i := int(v.level); i < levels; i++ {
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -5,58 +5,65 @@
 	"time"
 )
 
-// Tuning of the limiter.
+// Parameters of the limiter.
 const (
-	// latencyTolerance is how far mean self time may rise above its baseline
-	// before the limit falls. Below it lies ordinary variance.
 	latencyTolerance = 1.5
-	// minGradient bounds how much one window may take off the limit.
+	// minGradient is the smallest factor that one window may apply to the limit
+	// because of latency.
 	minGradient = 0.7
-	// growthShare is how much a busy window without strain adds to the limit.
+	// growthShare is the relative increase of the limit after a busy window
+	// without excess latency.
 	growthShare = 0.10
-	// minSamples is how many ended visits a profile needs for its mean to
-	// count; fewer are carried over into the next window.
+	// minSamples is the number of successful visits of a profile that a window
+	// needs to use their mean; fewer are carried over to the next window.
 	minSamples = 8
-	// baselineFall and baselineRise are the weights of a new mean that is
-	// under or over the baseline.
+	// baselineFall and baselineRise are the weights of a new mean below and
+	// above the baseline.
 	baselineFall = 0.5
 	baselineRise = 0.002
-	// baselineRelearn is the weight when a smaller limit did not help, so
-	// that slowness which concurrency did not cause is accepted.
+	// baselineRelearn is the weight of a new mean after a lower limit did not
+	// help. The slowness is then not caused by concurrency, and the baseline
+	// adapts to it.
 	baselineRelearn = 0.3
-	// shedCut is the factor on the limit when the upstream itself shed.
+	// shedCut is the factor applied to the limit when the upstream itself shed
+	// calls.
 	shedCut = 0.9
-	// shedShare of the ended visits must be shed for the limit to fall; a few
-	// may have reasons of their own.
+	// shedShare is the share of visits that the upstream must shed for the
+	// limit to fall; it may shed a few for other reasons.
 	shedShare = 0.01
-	// busyShare of the limit must be in use before the limit may grow.
+	// busyShare is the share of the limit that must be in use for the limit to
+	// grow.
 	busyShare = 0.7
-	// hintFloorShare: a reported load may take off at most this share.
+	// hintFloorShare is the smallest factor that a reported load may apply to
+	// the limit.
 	hintFloorShare = 0.5
-	// hintLife is how long a reported load counts; reports lag.
+	// hintLife is how long a reported load is used. Reports lag behind the real
+	// load.
 	hintLife = time.Second
 )
 
-// sample is what one window measured for one profile.
+// sample is the measurement of one profile in one window.
 type sample struct {
 	profile *profileStats
 	count   uint64
-	// self is the sum of self times.
+	// self is the sum of the self times.
 	self time.Duration
 }
 
-// measurement is what one window measured.
+// measurement is the input of the limiter from one window.
 type measurement struct {
 	samples []sample
-	// peakActive is the most visits that were active at once.
+	// peakActive is the number of active visits at the end of the window, or
+	// the limit if a call found no free capacity in the window.
 	peakActive int
 	ok         uint64
 	shed       uint64
 	elapsed    time.Duration
 }
 
-// limiter holds the adaptive limit on active visits. It is pure: time comes in
-// as an offset from the gate's start. Its owner locks.
+// limiter computes the adaptive limit on active visits. It is pure: time is
+// passed in as an offset from the gate's creation. The caller must hold the
+// gate's lock.
 type limiter struct {
 	slots     int
 	minLimit  int
@@ -71,7 +78,8 @@
 	hint      float64
 	hintUntil time.Duration
 
-	// The state before the last cut, to judge whether the cut helped.
+	// The latency ratio and goodput before the last reduction of the limit, to
+	// judge whether the reduction helped.
 	cutRatio   float64
 	cutGoodput float64
 	cutPending bool
@@ -81,7 +89,7 @@
 	return &limiter{share: c.SlotShare, slots: c.Slots, minLimit: c.MinLimit, initial: c.InitialLimit, ramp: c.RampTime, limit: float64(c.InitialLimit)}
 }
 
-// ceiling is what the ramp allows now.
+// ceiling returns the upper bound that the ramp sets at this time.
 func (l *limiter) ceiling(now time.Duration) float64 {
 	slots := float64(l.slots)
 	since := now - l.rampStart
@@ -92,16 +100,16 @@
 	return start + (slots-start)*float64(since)/float64(l.ramp)
 }
 
-// effective is the limit in force: measured, under the ramp, lowered by a
-// fresh hint.
+// effective returns the limit in force: the learned limit, bounded by the ramp
+// and lowered by a recent load report.
 func (l *limiter) effective(now time.Duration) int {
 	if l.share > 0 {
 		return min(max(int(l.share*float64(l.slots)), 1), max(l.slots, 1))
 	}
 	limit := math.Min(l.limit, l.ceiling(now))
-	// A report that lags or lies must not starve the upstream, and must not
-	// raise the limit above what was measured. So a hint only lowers, by half
-	// at most, and is forgotten soon.
+	// A late or wrong report must neither starve the upstream nor raise the
+	// limit above the learned value. So a report only lowers the limit, at most
+	// by half, and expires soon.
 	if now < l.hintUntil && l.hint > 1 {
 		limit *= math.Max(1/l.hint, hintFloorShare)
 	}
@@ -122,7 +130,7 @@
 	l.hintUntil = now + hintLife
 }
 
-// update sets the limit from what a window measured.
+// update adjusts the limit to the measurement of a window.
 func (l *limiter) update(m measurement, now time.Duration) {
 	ratio, measured := latencyRatio(m.samples)
 	goodput := 0.0
@@ -145,7 +153,7 @@
 	l.limit = math.Min(l.limit, math.Max(l.ceiling(now), float64(l.minLimit)))
 }
 
-// cut lowers the limit in proportion to the strain.
+// cut lowers the limit in proportion to the excess latency.
 func (l *limiter) cut(ratio, goodput float64) {
 	gradient := math.Max(latencyTolerance/ratio, minGradient)
 	l.limit *= gradient
@@ -154,9 +162,10 @@
 	l.cutPending = true
 }
 
-// judgeCut asks whether the last cut helped. If self time did not fall but
-// goodput did, concurrency is not what made the upstream slow; cutting on
-// would only waste its slots, so the baseline moves to the new normal.
+// judgeCut checks whether the last reduction of the limit helped. If the
+// latency ratio did not fall but goodput did, the upstream is slow for another
+// reason than concurrency. Further reductions would only leave slots unused, so
+// the baselines move towards the current self times.
 func (l *limiter) judgeCut(ratio, goodput float64, samples []sample) {
 	l.cutPending = false
 	const useful = 0.95
@@ -169,9 +178,10 @@
 	}
 }
 
-// latencyRatio is how much longer the window's visits took than the same mix
-// would take at the baselines. Comparing each profile with itself keeps a
-// shift of the mix towards slow profiles from reading as overload.
+// latencyRatio returns the ratio of the window's total self time to the self
+// time of the same visits at their baselines. It compares each profile with its
+// own baseline, so that a shift of the mix towards slow profiles doesn't look
+// like overload. It reports false if no profile has a baseline.
 func latencyRatio(samples []sample) (float64, bool) {
 	var actual, expected float64
 	for _, s := range samples {
--- a/admission/placement.go
+++ b/admission/placement.go
@@ -2,23 +2,26 @@
 
 import "pollengauge.dev/call"
 
-// Bounds on how kinds of requests of one priority are told apart.
+// Bounds on how much the cost of a profile's requests may affect their rank within
+// a priority.
 const (
-	// leastWeight is the lowest weight of a kind, however much of the overloaded
-	// upstream one of its requests takes: few levels are left below it to tell
-	// requests apart by.
+	// leastWeight is the lowest weight of a profile, however much of the
+	// overloaded upstream one of its requests takes. A lower weight would leave
+	// too few levels to distinguish the profile's requests.
 	leastWeight = 0.25
-	// keptShare bounds the unfairness: the share of a kind that is let in is at
-	// least this part of the share of the kind of its priority that fares best.
-	// A costly request is then let in half as often at worst, and no kind stops
-	// being served.
+	// keptShare bounds the unfairness. The admitted share of a profile is at
+	// least this fraction of the admitted share of the best-served profile of
+	// its priority. A costly request is therefore admitted half as often at
+	// worst, and every profile continues to be served.
 	keptShare = 0.5
-	// usualWork stands for the work of any kind while no answer has told of one.
+	// usualWork is the work assumed for every profile while no response has
+	// reported any.
 	usualWork = 1
 )
 
-// weightOf compares the work that a request takes of the overloaded upstream with
-// that of the cheapest kind of its priority: 1 for as little, less for more.
+// weightOf returns the weight of a profile from the work that its requests take
+// of the overloaded upstream and from that of the cheapest profile of its
+// priority: 1 for the same work, less for more.
 func weightOf(work, least float64) float64 {
 	if work <= 0 || least <= 0 {
 		return 1
@@ -26,16 +29,19 @@
 	return min(max(least/work, leastWeight), 1)
 }
 
-// place moves a level within its priority by the weight of its kind. Levels of a
-// kind are spread evenly; of one with a low weight more lie below a given place.
+// place moves a level within its priority by the weight of its profile. The
+// levels of a profile's requests are evenly distributed; the lower the weight,
+// the more of them end up below a given level.
 //
-// Load pattern: two kinds of one priority need an upstream that is asked for more
-// than it carries, one four times as much of it as the other. Refused alike, each
-// costly request that is let in takes the room of four others.
+// Load pattern: two profiles of one priority need an overloaded upstream, one
+// of them four times as much of it as the other. If both were refused alike,
+// each admitted request of the costly profile would take the capacity of four
+// others.
 //
-// The places below meet are drawn together by the weight, those above it spread out
-// again, so that the kind keeps its keptShare. Where the threshold lies at t, from 0 to
-// 1, the kind loses the share min(t/weight, 1-keptShare*(1-t)).
+// Tie-breaks below meet are multiplied by the weight, and those above it are
+// spread out again so that the profile keeps its keptShare. With the threshold
+// at t, from 0 to 1, the refused share of the profile is min(t/weight,
+// 1-keptShare*(1-t)).
 func place(level call.Level, weight float64) call.Level {
 	if weight >= 1 {
 		return level
--- a/admission/pressure.go
+++ b/admission/pressure.go
@@ -2,75 +2,82 @@
 
 import "time"
 
-// Tuning of a pressure.
+// Parameters of pressure.
 const (
-	// pressureWindow is how often the pressure is set. It is well below the
-	// time that a change takes to show, which is that of a whole request.
+	// pressureWindow is the interval at which the pressure is updated. It is
+	// well below the time until a change takes effect, which is the duration of
+	// a complete request.
 	pressureWindow = 100 * time.Millisecond
-	// pressureAim is the offered load, as a share of the limit, that is aimed
-	// at. What is above it only queues.
+	// pressureAim is the target for the offered load, as a share of the limit.
+	// Load above it only queues.
 	pressureAim = 0.95
-	// pressureRise and pressureFall are the part of the way to the wanted value
-	// that one window goes, which evens out the arrivals of a window. The fall is
-	// slower, since a crowd that waits to come back takes all that is given back
-	// at once.
+	// pressureRise and pressureFall are the part of the distance to the wanted
+	// value that the pressure moves in one window, which smooths the arrivals
+	// of a window. The fall is slower, because many callers that are waiting to
+	// retry would take up all the returned capacity at once.
 	pressureRise = 0.35
 	pressureFall = 0.15
-	// trimRefused is the share of the calls that may find no room, and trimWeight
-	// the weight of a window in it. With eight calls a request, one in a hundred
-	// fails 8 % of the requests.
+	// trimRefused is the share of calls that may find no free capacity, and
+	// trimWeight is the weight of a window in that share. With eight calls in a
+	// request, one refused call in a hundred makes 8 % of the requests fail.
 	trimRefused = 0.01
 	trimWeight  = 0.2
-	// trimStep is what a window with more takes from the aim, and trimBack what one
-	// with less gives back: a fault of the estimate is made up for in a second, and
-	// probed for in ten.
+	// trimStep is how much the target is lowered by a window with more
+	// refusals, and trimBack how much it is raised again by a window with
+	// fewer: an error of the estimate is corrected within a second, and a
+	// higher target is tried over ten.
 	trimStep = 0.02
 	trimBack = 0.004
-	// trimAfter is how many windows the pressure must have been about what is
-	// wanted, less trimNear: requests that began before make their calls for about
-	// a second, and those calls find no room whatever the aim is now.
+	// trimAfter is the number of windows for which the pressure must have been
+	// at the wanted value, less trimNear, before the target is lowered.
+	// Requests that began earlier still make their calls for about a second,
+	// and those calls find no capacity whatever the target is now.
 	trimAfter = 10
 	trimNear  = 0.03
-	// trimLeast bounds what is taken, since short bursts find no room at any load.
+	// trimLeast is the smallest factor on the target, because short bursts find
+	// no free capacity at any load.
 	//
-	// The failure: each window with a refusal added to the pressure, without an end.
-	// An upstream of 17 slots that was asked for three times what it carries refuses
-	// some calls in most windows, and its pressure stood at 0.97, where 0.71 was
-	// wanted.
+	// Without a bound, each window with a refusal raised the pressure further:
+	// an upstream of 17 slots at three times its capacity refuses some calls in
+	// most windows, and its pressure stood at 0.97 where 0.71 was wanted.
 	trimLeast = 0.75
-	// pressureMost leaves some requests through, or nobody would learn that the
+	// pressureMost still admits some requests, or nobody would notice that the
 	// overload has passed.
 	pressureMost = 0.97
 )
 
-// pressureLoad is what one window measured.
+// pressureLoad is the input of the pressure computation from one window.
 type pressureLoad struct {
-	// offered is the work that would have arrived had no request been held back,
-	// refused calls included, as a share of what the limit can serve.
+	// offered is the load that would have arrived if the roots had refused no
+	// request, refused calls included, as a share of what the limit can serve.
 	offered float64
-	// arrived counts calls, and refused those of them that found no room.
+	// arrived counts all calls, refused those that found no free capacity.
 	arrived, refused int
-	// meanWait is that of the calls that waited, meanService that of all.
+	// meanWait is the mean wait of the calls that were queued, meanService the
+	// mean service time of all calls.
 	meanWait, meanService time.Duration
 }
 
-// pressure is the share of the requests that lead to an upstream which should
-// not begin, 0 to 1. It is pure; its owner locks.
+// pressure is the share of requests leading to an upstream that the roots
+// should refuse, from 0 to 1. It is pure. The caller must hold the gate's lock.
 //
-// Load pattern: one request makes many calls, and a deep upstream can't carry
-// all of them. Refusing calls there fails nearly every request, each after
-// most of its work: with eight calls of which one in ten is refused, 57 % of
-// the requests fail. Fewer requests must begin, and then all of their calls run.
+// Load pattern: one request makes many calls, and a downstream upstream can't
+// serve all of them. If that upstream refuses calls, nearly every request
+// fails, each after most of its work is done: with eight calls in a request and
+// one call in ten refused, 57 % of the requests fail. It is better that fewer
+// requests begin and all their calls run.
 //
-// What is asked for is told by what arrives: a call whose request was let in
-// while a share of its like was held back stands for those as well. So it does
-// not depend on when a change of the pressure shows.
+// The demand is computed from the calls that arrive: a call whose request was
+// admitted while the root refused a share of similar requests also stands for
+// those. The estimate therefore doesn't depend on when a change of the pressure
+// takes effect.
 type pressure struct {
 	value float64
-	// taken is what is taken from the aim, as a share of it, and refused the
-	// smoothed share of calls that found no room.
+	// taken is the share by which the target is lowered, and refused the
+	// smoothed share of calls that found no free capacity.
 	taken, refused float64
-	// settled counts the windows in which value was about what is wanted.
+	// settled counts the windows in which value was near or above the wanted
+	// value.
 	settled int
 }
 
@@ -92,8 +99,9 @@
 	p.value = min(max(p.value, 0), pressureMost)
 }
 
-// trim lowers the aim while calls find no room, or wait for as long as they are
-// served: the offered load is an estimate, and calls come in bursts.
+// trim lowers the target while calls find no free capacity, or wait longer than
+// their service takes: the offered load is only an estimate, and calls come in
+// bursts.
 func (p *pressure) trim(w pressureLoad) {
 	if w.arrived > 0 {
 		p.refused += trimWeight * (float64(w.refused)/float64(w.arrived) - p.refused)
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,13 +8,13 @@
 	"pollengauge.dev/call"
 )
 
-// A class is the place of a waiting call in the order of dispatch: priority
-// first, then calls whose request has more work done, then the tie-break.
+// class is the rank of a queued call in the order of dispatch: by priority,
+// then by the progress of its request (more first), then by tie-break.
 type class uint16
 
 const (
-	// progressSteps is how many counts of work done are told apart; the last
-	// one stands for all further ones.
+	// progressSteps is the number of distinguished values of Request.Progress.
+	// The last one stands for all higher values.
 	progressSteps = 4
 	classes       = levels * progressSteps
 	wordBits      = 64
@@ -29,45 +29,48 @@
 	return group*groupSize + class(level.Tiebreak())
 }
 
-// group is the class without its tie-break.
+// group returns the class without its tie-break.
 func (c class) group() int { return int(c / groupSize) }
 
-// waiter is a call in the queue.
+// waiter is a queued call.
 type waiter struct {
 	ctx     context.Context
 	class   class
 	since   time.Duration
 	expires time.Duration
-	// expiry is the reason of the refusal when expires passes.
+	// expiry is the reason for the refusal if the waiter is still queued at
+	// expires.
 	expiry call.Reason
 	queued bool
-	// reason is set, and done signalled, by the one step that takes the
-	// waiter out of the queue. ReasonNone means dispatched.
+	// reason is set, and done is signalled, in the one step that removes the
+	// waiter from the queue. ReasonNone means dispatched.
 	reason call.Reason
 	done   chan struct{}
 
 	prev, next *waiter
 }
 
-// waitList is a list of one class, oldest first.
+// waitList is the list of waiters of one class, oldest first.
 type waitList struct{ first, last *waiter }
 
-// queue is bounded and ordered by class. Every operation takes constant time.
-// Its owner locks.
+// queue is a bounded queue ordered by class. The time of every operation is
+// bounded, whatever the number of waiters. The caller must hold the gate's
+// lock.
 type queue struct {
 	limit int
 	size  int
 	lists [classes]waitList
-	// occupied has a bit for each class with a waiter.
+	// occupied has a bit for each class, set if the class has waiters.
 	occupied [classes / wordBits]uint64
-	// inClass counts the waiters of each class, and inGroup those of each group,
-	// for the estimate of the wait.
+	// inClass counts the waiters of each class and inGroup those of each group,
+	// to estimate the wait of a new call.
 	inClass [classes]uint16
 	inGroup [groups]int
 }
 
-// push adds w. If the queue is full, the least important waiter makes room,
-// or push reports false when w itself is the least important.
+// push adds w. If the queue is full, push evicts and returns the least
+// important waiter, or reports false if w is no more important than that
+// waiter.
 func (q *queue) push(w *waiter) (evicted *waiter, ok bool) {
 	if q.limit == 0 {
 		return nil, false
@@ -122,7 +125,7 @@
 	q.size--
 }
 
-// best is the waiter to dispatch next, or nil.
+// best returns the waiter to dispatch next, or nil if the queue is empty.
 func (q *queue) best(newestFirst bool) *waiter {
 	for i := len(q.occupied) - 1; i >= 0; i-- {
 		if q.occupied[i] == 0 {
@@ -137,8 +140,8 @@
 	return nil
 }
 
-// worst is the waiter to push out, or nil: of the lowest class the oldest,
-// which has the least time left.
+// worst returns the waiter to evict, or nil if the queue is empty. It is the
+// oldest waiter of the lowest class, which has the least time left.
 func (q *queue) worst() *waiter {
 	for i, word := range q.occupied {
 		if word != 0 {
@@ -148,8 +151,9 @@
 	return nil
 }
 
-// ahead counts the waiters that go before a newcomer of class c. Without
-// withinGroup tie-breaks are left aside.
+// ahead returns the number of waiters that are dispatched before a new call of
+// class c. With withinGroup it also counts the waiters of the same group by
+// their tie-breaks; otherwise it counts only those of higher groups.
 func (q *queue) ahead(c class, withinGroup bool) int {
 	n := 0
 	for i := c.group() + 1; i < groups; i++ {
@@ -164,7 +168,8 @@
 	return n
 }
 
-// oldest is when the longest-waiting call was queued.
+// oldest returns when the longest-waiting call was queued. It reports false if
+// the queue is empty.
 func (q *queue) oldest() (time.Duration, bool) {
 	var since time.Duration
 	found := false
--- a/admission/ranker.go
+++ b/admission/ranker.go
@@ -11,7 +11,7 @@
 	"pollengauge.dev/call"
 )
 
-// Defaults of RankerConfig.
+// Default values for zero fields of RankerConfig.
 const (
 	DefaultRankerWindow   = time.Second
 	DefaultRankerCounters = 8192
@@ -20,33 +20,38 @@
 
 // RankerConfig configures a Ranker.
 type RankerConfig struct {
-	// Window is the time over which a caller's requests are counted; older
-	// counts halve with each window. Short forgives a burst soon, long holds
-	// a hard retrier down longer. Zero means 1 s.
+	// Window is the time over which a caller's requests are counted; the counts
+	// of the previous window lose their weight linearly during the current one.
+	// A short window forgets a burst soon; a long window holds back a
+	// persistent retrier for longer. Zero means 1 s.
 	Window time.Duration
-	// Counters is how many counters each of the two rows has, rounded up to a
-	// power of two, 8 bytes each. With fewer counters than active callers,
-	// callers share counters and rank lower than they should. Zero means 8192.
+	// Counters is the number of counters in each of the two rows, rounded up to
+	// a power of two; a counter takes 8 bytes. With fewer counters than active
+	// callers, callers share counters and rank lower than they should. Zero
+	// means 8192.
 	Counters int
-	// Seed keeps callers from choosing names that share counters.
+	// Seed prevents callers from choosing names that share counters with
+	// others.
 	Seed uint64
 }
 
-// Ranker sets the tie-break of a root's requests, so that the callers of one
-// profile share what it is given max-min fairly: the more requests a caller
-// has sent of late, the lower each further one ranks. A threshold in tie-break
-// space then keeps about the same number of requests of every caller, and one
-// that retries hard sheds its own retries. The memory is fixed.
+// Ranker sets the tie-break of requests at the root so that the callers of a
+// profile share its capacity max-min fairly: the more requests a caller has
+// sent recently, the lower its further requests rank. A threshold on the
+// tie-break then admits about the same number of requests from every caller,
+// and a caller that retries persistently causes only its own retries to be
+// shed. The memory is fixed.
 type Ranker struct {
 	window time.Duration
 	seed   uint64
 	mask   uint64
 	epoch  time.Time
-	// rows hold the counters of a count-min sketch; see counter.
+	// rows are the counters of a count-min sketch; see counter.
 	rows [2][]atomic.Uint64
 }
 
-// NewRanker returns a Ranker, or a *ConfigError.
+// NewRanker returns a Ranker for the configuration, or a *ConfigError if the
+// configuration is invalid.
 func NewRanker(config RankerConfig) (*Ranker, error) {
 	if config.Window < 0 {
 		return nil, &ConfigError{Field: "Window", Value: config.Window.String(), Want: "at least 0"}
@@ -68,15 +73,16 @@
 	return k, nil
 }
 
-// Rank counts one request of a caller and returns its tie-break. It draws the
-// request's rank evenly from 1 to the number that the caller sent within the
-// last window.
+// Rank counts one request of a caller and returns its tie-break. The rank is
+// drawn uniformly from 1 to the number of requests that the caller sent within
+// the last window.
 //
-// The failure: with the count itself as rank, ranks rise through each window
-// and fall back at its end, for all callers together; a level that lets in the
-// right number at its beginning starves the deep hops at its end. An even draw
-// gives the same number of each caller at all times. It comes from the count
-// and the seed, so a caller can't choose it by the request's id.
+// If the count itself were the rank, the ranks of all callers would rise
+// through each window and fall back at its end. A level that admits the right
+// number of requests at the start of a window would then starve the downstream
+// hops at its end. A uniform draw admits the same number of each caller's
+// requests at all times. It is derived from the count and the seed, so that a
+// caller can't influence it by the request's id.
 func (k *Ranker) Rank(profile, caller string, now time.Time) call.Tiebreak {
 	h := xxh3.HashStringSeed(caller, k.seed^xxh3.HashString(profile))
 	at := now.Sub(k.epoch)
@@ -91,17 +97,17 @@
 	return tiebreak(1 + one.total(left)*float64(draw>>32)/(1<<32))
 }
 
-// Multiples of countStep modulo 2^64 are spread evenly (golden ratio), and
-// windowStep gives each window a beginning of its own.
+// Multiples of countStep (the golden ratio) modulo 2^64 are spread evenly.
+// windowStep gives each window a different start.
 const (
 	countStep  = 0x9e3779b97f4a7c15
 	windowStep = 0xd1b54a32d192ed03
 )
 
-// counter is how many requests a caller sent in a window and in the one
-// before. It is packed into one word: the window's number in the high 16 bits,
-// then the two counts. The number repeats after 65,536 windows; a caller that
-// comes back just then finds its old count, for one window.
+// counter holds how many requests a caller sent in a window and in the window
+// before it. It is packed into one word: the number of the window in the high
+// 16 bits, then the two counts. The number repeats after 65,536 windows; a
+// caller that returns in exactly that window gets its old count for one window.
 type counter struct{ window, previous, current uint64 }
 
 const (
@@ -118,13 +124,13 @@
 	return c.window<<(2*countBits) | c.previous<<countBits | c.current
 }
 
-// total is the count within the last window's length, of which the share left
-// still lies in the window before.
+// total returns the count over one window length up to now, where left is the
+// share of that time which lies in the previous window.
 func (c counter) total(left float64) float64 {
 	return float64(c.current-1) + float64(c.previous)*left
 }
 
-// count adds one to a counter and returns it.
+// count increments a counter and returns its new value.
 func count(word *atomic.Uint64, window uint64) counter {
 	window &= windowMask
 	for {
@@ -144,14 +150,14 @@
 	}
 }
 
-// bands are the lowest tie-breaks of the octaves of rank. The top bands are
-// wide, since under a surge of many callers most requests are the first of
-// theirs, and the level must be able to cut among them. The bottom band takes
-// all ranks from 256 on.
+// bands are the lowest tie-breaks of the octaves of rank. The upper bands are
+// wide, because in a surge of many callers most requests are the first of their
+// caller, and the level must be able to divide them. The lowest band holds all
+// ranks from 256 on.
 var bands = [...]float64{96, 72, 56, 48, 40, 32, 24, 16, 0}
 
-// tiebreak maps a rank, from 1, to a place in the band of its octave, the
-// lower the later the rank.
+// tiebreak maps a rank, starting at 1, to a tie-break in the band of its
+// octave. Higher ranks get lower tie-breaks.
 func tiebreak(rank float64) call.Tiebreak {
 	fraction, exponent := math.Frexp(rank)
 	octave := exponent - 1
--- a/admission/room.go
+++ b/admission/room.go
@@ -1,44 +1,46 @@
 package admission
 
-// The room of a gate is counted in one word, so that a call takes it in one
-// atomic step and a leaver can't miss a call that has just been queued. On
-// many processors that word is contended. A shard therefore keeps the room of
-// a few visits that have ended, for the next calls on the same processor. Room
-// in reserve still counts as taken in the word, so the limits hold.
+// The capacity in use is counted in a single word. A call takes capacity in one
+// atomic step, and a visit that ends can't miss a call that has just been
+// queued. With many processors the word is contended, so each shard keeps the
+// capacity of a few finished visits in reserve for the next calls on the same
+// processor. Reserved capacity still counts as used in the word, so the limits
+// hold.
 
-// The parts of Gate.word.
+// The bit fields of Gate.word.
 const (
 	oneActive   = uint64(1)
 	oneInFlight = uint64(1) << 32
 	oneVisit    = oneActive + oneInFlight
-	// queuedFlag is set while calls wait. It sends every newcomer through the
-	// lock, and every leaver on to dispatch.
+	// queuedFlag is set while calls are queued. It makes every new call take
+	// the lock, and every visit that ends dispatch queued calls.
 	queuedFlag = uint64(1) << 63
 	activeMask = oneInFlight - 1
 )
 
 const (
-	// maxReserve is how many visits' room a shard may keep.
+	// maxReserve is the number of visits whose capacity a shard may reserve.
 	maxReserve = 2
-	// minReserveLimit is the limit from which room is kept: below it, the
-	// reserves could hold most of the room.
+	// minReserveLimit is the lowest limit at which capacity is reserved. Below
+	// it, the reserves could hold most of the capacity.
 	minReserveLimit = 2 * maxReserve * shardCount
 )
 
 func inFlight(word uint64) uint64 { return word &^ queuedFlag >> 32 }
 
-// fits tells whether the counts of word are within the limits.
+// fits reports whether the counts in word are within the limits.
 func (g *Gate) fits(word uint64) bool {
 	return word&activeMask <= uint64(g.limit.Load()) && inFlight(word) <= uint64(g.slots.Load())
 }
 
-// enter takes room for one visit, if there is some and nobody is queued.
+// enter takes capacity for one visit, if there is any and no call is queued.
 //
-// Without reserve it adds first and takes back when that was too much: under
-// contention one add costs far less than a loop of compare-and-swap. A ticket
-// is given only if the sum with this visit is within the limits, so tickets
-// never exceed them. Another call may see the sum before it is taken back and
-// fail for no reason; so whoever fails goes on to the lock and looks again.
+// Without a reserve it adds first and reverts the addition if the sum exceeds
+// the limits: under contention one addition costs far less than a
+// compare-and-swap loop. A call is admitted only if the sum including its own
+// visit is within the limits, so the limits always hold. Another call may see
+// the sum before it is reverted and fail without need; a call that fails
+// therefore checks again under the lock.
 func (g *Gate) enter(shard *statShard) bool {
 	word := g.word.Load()
 	if word&queuedFlag == 0 && g.fits(word) && shard.takeReserve() {
@@ -52,8 +54,8 @@
 	return false
 }
 
-// enterQueued takes room for a queued visit, if there is some. The lock is
-// held.
+// enterQueued takes capacity for a queued visit, if there is any. The gate's
+// lock is held.
 func (g *Gate) enterQueued() bool {
 	for {
 		word := g.word.Load()
@@ -66,14 +68,15 @@
 	}
 }
 
-// leave gives back the room of a visit.
+// leave returns the capacity of a visit, to the shard's reserve if possible.
 func (g *Gate) leave(shard *statShard) {
 	if g.limit.Load() < minReserveLimit || !shard.addReserve() {
 		g.giveBack(oneVisit)
 		return
 	}
-	// A call is queued by setting queuedFlag and then reclaiming all reserves.
-	// So either it finds what was added here, or the flag is seen here.
+	// A call that is queued sets queuedFlag and then reclaims all reserves. So
+	// either that call finds the reserve added above, or the flag is visible
+	// here.
 	if g.word.Load()&queuedFlag == 0 {
 		return
 	}
@@ -83,7 +86,7 @@
 	g.mu.Unlock()
 }
 
-// giveBack lowers the counts and passes the room to a queued call.
+// giveBack lowers the counts by n and dispatches queued calls.
 func (g *Gate) giveBack(n uint64) {
 	if g.word.Add(-n)&queuedFlag == 0 {
 		return
@@ -93,7 +96,7 @@
 	g.mu.Unlock()
 }
 
-// reclaim takes back all reserves. The lock is held.
+// reclaim empties all reserves. The gate's lock is held.
 func (g *Gate) reclaim() {
 	n := uint64(0)
 	for i := range g.shards {
@@ -102,7 +105,8 @@
 	g.word.Add(-(n * oneVisit))
 }
 
-// counts are the active visits and those in flight, reserves left out.
+// counts returns the number of active visits and of visits in flight, without
+// the reserves.
 func (g *Gate) counts() (active, inflight int) {
 	reserved := 0
 	for i := range g.shards {
@@ -114,15 +118,16 @@
 	return active, inflight
 }
 
-// leaveActive takes a blocked visit out of the active ones.
+// leaveActive stops counting a blocked visit as active.
 func (g *Gate) leaveActive() {
 	if g.config.DepthAware {
 		g.giveBack(oneActive)
 	}
 }
 
-// resumeActive may lift the active count over the limit: a visit that holds a
-// slot and has work done behind it must not wait for newcomers.
+// resumeActive counts a visit as active again. The active count may exceed the
+// limit: a visit that occupies a slot and has done work must not wait behind
+// new calls.
 func (g *Gate) resumeActive() {
 	if g.config.DepthAware {
 		g.word.Add(oneActive)
--- a/admission/shedder.go
+++ b/admission/shedder.go
@@ -8,65 +8,73 @@
 	"pollengauge.dev/call"
 )
 
-// Tuning of a Shedder.
+// Parameters of a Shedder.
 const (
-	// shedderDecay is what each second leaves of the arrivals counted before.
+	// shedderDecay is the factor on the counted arrivals after each shedderTick.
 	shedderTick  = 250 * time.Millisecond
 	shedderDecay = 0.7
-	// heardSpan is the time over which answers are averaged to a profile's
-	// pressure. Answers come from several upstreams of unlike speed; at a hundred
-	// a second each counts 6 %, and one after a second of silence nearly all.
+	// heardSpan is the time constant for averaging the responses to a profile's
+	// pressure. The responses come from several upstreams of different speed.
+	// At a hundred responses a second each counts 6 %; a response after a
+	// second without any counts almost fully.
 	heardSpan = 160 * time.Millisecond
-	// heardLife is how long a pressure is believed without an answer. After it
-	// some requests are let through, which bring news.
+	// heardLife is how long a pressure is used unchanged without a response.
+	// After that it decays by heardKept, so that some requests are admitted
+	// again and bring back a current value.
 	heardLife = time.Second
 	heardKept = 0.8
-	// workWeight is the weight of one answer in what a kind's requests take. Work
-	// varies more than pressure, and changes with releases, not with the load.
+	// workWeight is the weight of one response in the mean work of a profile's
+	// requests. Work varies more than pressure, and changes with releases
+	// rather than with load.
 	workWeight = 0.05
 )
 
-// Shedder refuses requests where they begin, by the pressure of the deepest
+// Shedder refuses requests at the root, by the pressure of the most loaded
 // upstream that they lead to.
 //
-// Load pattern: more requests come than the upstreams below carry. The least
-// important ones are refused before any work is done, and of one priority
-// those of the callers that ask most, and of the kinds that take most of what is
-// short (see place). Which levels those are depends on what comes here: the Shedder
-// counts the arrivals that are under pressure by level, each by the work that it
-// would bring, and refuses below the level that leaves out the wanted share.
+// Load pattern: more requests arrive than the downstream upstreams can serve.
+// The least important ones are refused before any work is done; within a
+// priority, the refused ones are those of the callers that send most and of the
+// profiles that take most of the overloaded upstream (see place). Which levels
+// these are depends on the requests that arrive: the Shedder counts the
+// arrivals under pressure by level, each weighted with its work, and refuses
+// the requests below the level at which the wanted share of the work is
+// refused.
 type Shedder struct {
 	mu       sync.Mutex
 	profiles map[string]*heard
 	arrivals [levels]float64
 	total    float64
 	next     time.Time
-	// usual is the work of a kind of which none is known.
+	// usual is the work assumed for a profile whose work is unknown.
 	usual float64
-	// threshold is the level for each tenth of a percent that was asked for
-	// since the last tick.
+	// thresholds caches the levels computed since the last tick, by share in
+	// tenths of a percent.
 	thresholds map[int]call.Level
 }
 
-// heard is what answers told of one profile.
+// heard is the state of one profile, learned from responses.
 type heard struct {
 	value float64
-	// at is when value was last brought up to date, heardAt when an answer was.
+	// at is when value was last updated, heardAt when the last response came.
 	at, heardAt time.Time
-	// work is what a request takes of the overloaded upstream, in milliseconds of
-	// its slots, 0 while unknown. priority is that of the latest request.
+	// work is how much of the overloaded upstream a request takes, in
+	// milliseconds of its slots; 0 means unknown. priority is the priority of
+	// the latest request.
 	work     float64
 	priority call.Priority
-	// weight is as in place, set with each tick.
+	// weight is the weight passed to place, computed at each tick.
 	weight float64
 }
 
-// NewShedder returns a Shedder that refuses nothing.
+// NewShedder returns a Shedder that refuses nothing until it learns of a
+// pressure.
 func NewShedder() *Shedder {
 	return &Shedder{profiles: make(map[string]*heard), usual: usualWork, thresholds: make(map[int]call.Level)}
 }
 
-// Heard takes the pressure, 0 to 1, that an answer brought for a profile.
+// Heard records the pressure, from 0 to 1, that a response reported for a
+// profile.
 func (s *Shedder) Heard(profile string, value float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,8 +91,8 @@
 	h.at, h.heardAt = now, now
 }
 
-// HeardWork takes what an answer brought for a profile of the work that its request
-// made at the upstream that is short, in milliseconds. 0 says nothing.
+// HeardWork records the work of a request of the profile at the overloaded
+// upstream, in milliseconds, as its response reported it. 0 means unknown.
 func (s *Shedder) HeardWork(profile string, ms int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +106,7 @@
 	}
 }
 
-// Pressure is what is known of a profile's pressure.
+// Pressure returns the last known pressure of a profile.
 func (s *Shedder) Pressure(profile string, now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +121,7 @@
 	return s.decayed(h, now)
 }
 
-// decayed is a pressure that is believed less the longer no answer came.
+// decayed returns a profile's pressure, which decays while no response comes.
 func (s *Shedder) decayed(h *heard, now time.Time) float64 {
 	if now.Sub(h.at) > heardLife {
 		h.value *= heardKept
@@ -122,15 +130,15 @@
 	return h.value
 }
 
-// noPressure is what counts as none.
+// noPressure is the pressure below which nothing is refused.
 const noPressure = 0.005
 
-// Admission is a Shedder's decision.
+// Admission is the decision of a Shedder.
 type Admission struct {
 	Admitted bool
-	// InForce is the lowest level that is let in.
+	// InForce is the lowest admitted level.
 	InForce call.Level
-	// HeldBack is the share of the requests like this one that are refused.
+	// HeldBack is the share of requests of the same profile that are refused.
 	HeldBack float64
 }
 
@@ -156,7 +164,7 @@
 	return Admission{Admitted: placed >= threshold, InForce: threshold, HeldBack: value}
 }
 
-// tick lets old arrivals fade.
+// tick decays the counted arrivals.
 func (s *Shedder) tick(now time.Time) {
 	if now.Before(s.next) {
 		return
@@ -171,8 +179,8 @@
 	s.compare(now)
 }
 
-// compare sets the weight of each kind under pressure, and the work of a kind of
-// which none is known: the mean of the others.
+// compare sets the weight of each profile and the work assumed for profiles
+// whose work is unknown: the mean of the known ones under pressure.
 func (s *Shedder) compare(now time.Time) {
 	var least [call.MaxPriority + 1]float64
 	sum, known := 0.0, 0
@@ -195,7 +203,7 @@
 	}
 }
 
-// threshold is the lowest level to admit so that the share of the arrivals is
+// threshold returns the lowest level to admit so that this share of the work is
 // refused.
 func (s *Shedder) threshold(share float64) call.Level {
 	const thousand = 1000
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -6,7 +6,7 @@
 	"pollengauge.dev/call"
 )
 
-// Snapshot is the state of a gate at one moment, for operators.
+// Snapshot is the state of a gate at one moment, for display to operators.
 type Snapshot struct {
 	Slots    int
 	Limit    int
@@ -17,20 +17,22 @@
 	OldestWait time.Duration
 	AdmitLevel call.Level
 	Draining   bool
-	// Load is in thousandths of the limit.
+	// Load is in thousandths of the limit; see Gate.Load.
 	Load int
-	// Totals since the gate was made.
+	// Totals since the gate was created.
 	Admitted uint64
 	OK       uint64
 	Failed   uint64
 	Shed     uint64
 	Ignored  uint64
 	Refused  map[call.Reason]uint64
-	// Baselines holds, by profile, the self time without strain.
+	// Baselines holds the baseline self time of each profile, learned without
+	// overload.
 	Baselines map[string]time.Duration
 }
 
-// Snapshot returns the state. It takes the gate's lock for a short time.
+// Snapshot returns the state of the gate. It holds the gate's lock for a short
+// time.
 func (g *Gate) Snapshot() Snapshot {
 	now := g.now()
 	g.tickIfDue(now)
--- a/admission/state.go
+++ b/admission/state.go
@@ -6,25 +6,27 @@
 	"pollengauge.dev/call"
 )
 
-// AdmitLevel is the level below which new calls are refused; 0 takes all.
+// AdmitLevel returns the level below which new calls are refused. 0 admits all
+// calls.
 func (g *Gate) AdmitLevel() call.Level {
 	g.tickIfDue(g.now())
 	return call.Level(g.level.Load())
 }
 
-// Pressure is the share of the requests leading here that should not begin, in
-// thousandths.
+// Pressure returns the share of requests leading to this upstream that the
+// roots should refuse, in thousandths.
 func (g *Gate) Pressure() int {
 	g.tickIfDue(g.now())
 	return int(g.pressed.Load())
 }
 
-// loadLife is how long a computed load is given out. Every answer reports it,
-// and to compute it reads what all processors write.
+// loadLife is how long a computed load is reused. Every response reports the
+// load, and computing it reads memory that all processors write to.
 const loadLife = time.Millisecond
 
-// Load is the use of the limit, or of the slots if they are nearer their end,
-// queued calls included, in thousandths. It may be a millisecond old.
+// Load returns the utilization in thousandths, queued calls included: that of
+// the limit or that of the slots, whichever is higher. The value may be a
+// millisecond old.
 func (g *Gate) Load() int {
 	now := int64(g.now())
 	if now < g.loadUntil.Load() {
@@ -44,7 +46,8 @@
 	return max(byLimit, bySlots)
 }
 
-// queued is how many calls wait. The lock is taken only while some do.
+// queued returns the number of queued calls. It takes the lock only if there
+// are any.
 func (g *Gate) queued() int {
 	if g.word.Load()&queuedFlag == 0 {
 		return 0
@@ -54,8 +57,8 @@
 	return g.queue.size
 }
 
-// SetSlots takes a newly announced number of slots. Visits over a smaller
-// number run to their end.
+// SetSlots applies a newly announced number of slots. Visits in excess of a
+// lower number run to their end.
 func (g *Gate) SetSlots(n int) {
 	n = min(max(n, 0), maxSlots)
 	now := g.now()
@@ -67,9 +70,9 @@
 	g.dispatch(now)
 }
 
-// Hint takes the load that the upstream reports, where 1 is full. Reports lag
-// or mislead: one over 1 lowers the limit for a second, by half at most, and
-// nothing reported ever raises it.
+// Hint records the load that the upstream reports, where 1 means full. Reports
+// may be late or wrong, so a load above 1 lowers the limit for one second, by
+// half at most, and no report ever raises it.
 func (g *Gate) Hint(reportedLoad float64) {
 	now := g.now()
 	g.mu.Lock()
@@ -78,15 +81,16 @@
 	g.limit.Store(int32(g.limiter.effective(now)))
 }
 
-// Drain refuses every call that comes from now on. Visits that hold a ticket
-// go on, and so do calls already queued: their wait is short, and refusing
-// them would cost their requests an attempt each.
+// Drain refuses all calls from now on. Visits with a ticket continue, and so do
+// the calls already queued: their wait is short, and refusing them would cost
+// their requests an attempt each.
 func (g *Gate) Drain() { g.draining.Store(true) }
 
-// Undrain takes calls again.
+// Undrain admits calls again after Drain.
 func (g *Gate) Undrain() { g.draining.Store(false) }
 
-// InFlight is how many visits hold a ticket, blocked ones included.
+// InFlight returns the number of visits that hold a ticket, including blocked
+// ones.
 func (g *Gate) InFlight() int {
 	_, inflight := g.counts()
 	return inflight
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -7,15 +7,17 @@
 	"pollengauge.dev/call"
 )
 
-// shardCount is how many shards the counters have. A pooled visit keeps its
-// shard, and the pool hands visits back to the processor that freed them, so
-// processors seldom write to the same cache line.
+// shardCount is the number of shards of the counters. A pooled visit stays with
+// its shard, and the pool returns visits to the processor that freed them, so
+// that processors seldom write to the same cache line.
 const shardCount = 16
 
-// cacheLine pads what is written by different processors.
+// cacheLine is the size in bytes of the padding between fields written by
+// different processors.
 const cacheLine = 64
 
-// reasons are the refusals that a gate counts, in the order of its counters.
+// reasons are the refusal reasons that a gate counts, in the order of its
+// counters.
 var reasons = [...]call.Reason{
 	call.ReasonLevel,
 	call.ReasonQueueFull,
@@ -34,7 +36,8 @@
 	return 0
 }
 
-// statShard counts without a lock; a window's end reads the difference.
+// statShard holds counters that are updated without a lock. At the end of a
+// window the differences are read.
 type statShard struct {
 	arrivals [levels]atomic.Uint32
 	admitted atomic.Uint64
@@ -43,26 +46,28 @@
 	shed     atomic.Uint64
 	ignored  atomic.Uint64
 	refused  [len(reasons)]atomic.Uint64
-	// reserve is room kept for the next calls of the shard; see room.go.
+	// reserve is the number of visits whose capacity is reserved for the next
+	// calls of the shard; see room.go.
 	reserve atomic.Int32
 	_       [cacheLine]byte
 }
 
-// profileStats measures one profile.
+// profileStats holds the measurements of one profile.
 type profileStats struct {
 	name   string
 	shards [shardCount]profileShard
-	// baseline is the slow-moving self time without strain, in nanoseconds.
-	// The gate's lock guards it.
+	// baseline is a slow moving average of the self time without overload, in
+	// nanoseconds. The gate's lock guards it.
 	baseline float64
-	// mean is the moving mean of the whole service time, in nanoseconds, and
-	// counted the arrivals up to the last look. The gate's lock guards both.
+	// mean is the moving mean of the total service time, in nanoseconds, and
+	// counted the value of demand when offered last read it. The gate's lock
+	// guards both.
 	mean    float64
 	counted uint64
-	// demand counts what arrivals stand for, refused ones included, in
-	// thousandths of a call.
+	// demand counts the calls that the arrivals stand for, refused ones
+	// included, in thousandths of a call; see demandOf.
 	demand atomic.Uint64
-	// service is a low estimate of the whole service time, in nanoseconds.
+	// service is a low estimate of the total service time, in nanoseconds.
 	service atomic.Int64
 }
 
@@ -79,8 +84,9 @@
 	s.count.Add(1)
 }
 
-// take returns and clears what was measured. A visit recorded in between may
-// split over two windows, which moves a mean by less than one sample.
+// take returns the measurements and resets them. A visit recorded at the same
+// time may be split over two windows, which changes a mean by less than one
+// sample.
 func (p *profileStats) take() (count uint64, self, service time.Duration) {
 	for i := range p.shards {
 		s := &p.shards[i]
@@ -102,16 +108,17 @@
 	return n
 }
 
-// Tuning of the estimate of a profile's service time.
+// Parameters of the estimate of a profile's service time.
 const (
 	serviceRise = 0.1
-	// serviceIdleDecay is what a window without samples leaves of it. Without
-	// the decay, an estimate that once grew above every deadline would refuse
-	// all calls and never be corrected.
+	// serviceIdleDecay is the factor on the estimate after a window without
+	// samples. Without the decay, an estimate that once rose above every
+	// deadline would refuse all calls and never be corrected.
 	serviceIdleDecay = 0.98
 )
 
-// learnService moves the low estimate: down at once, up slowly.
+// learnService updates the low estimate of the service time: down at once, up
+// slowly.
 func (p *profileStats) learnService(mean time.Duration) {
 	old := p.service.Load()
 	if old != 0 && int64(mean) > old {
@@ -120,7 +127,7 @@
 	p.service.Store(int64(mean))
 }
 
-// learnMean moves the mean towards that of a window.
+// learnMean moves the mean service time towards the mean of a window.
 func (p *profileStats) learnMean(window float64) {
 	if p.mean == 0 {
 		p.mean = window
@@ -128,14 +135,15 @@
 	p.mean += meanWeight * (window - p.mean)
 }
 
-// demandOf is what an arrival stands for, in thousandths of a call: itself, and
-// its part of the calls whose requests were held back at their roots.
+// demandOf returns the number of calls that an arrival stands for, in
+// thousandths: the call itself, and its part of the calls whose requests were
+// refused at their roots.
 func demandOf(heldBack float64) uint64 {
 	return uint64(thousand / (1 - min(max(heldBack, 0), pressureMost)))
 }
 
-// offered is the service time, in seconds, that was asked for since the last
-// look, requests that were held back included. The gate's lock is held.
+// offered returns the service time, in seconds, of the demand since its last
+// call, including requests refused at their roots. The gate's lock is held.
 func (p *profileStats) offered() float64 {
 	demand := p.demand.Load()
 	fresh := demand - p.counted
--- a/admission/ticket.go
+++ b/admission/ticket.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// Result is how a visit ended.
+// Result is the outcome of a visit.
 type Result uint8
 
 const (
-	// OK: the upstream answered in full. Its time is learnt from.
+	// OK means that the upstream sent a complete response. Only these visits
+	// count for the measured service times.
 	OK Result = iota
-	// Failed: the upstream answered in part, late or not at all.
+	// Failed means that the response was incomplete, late or missing.
 	Failed
-	// Shed: the upstream itself refused for overload.
+	// Shed means that the upstream itself refused the call because of overload.
 	Shed
-	// Ignore: the visit says nothing about the upstream, for example because
-	// the caller cancelled it.
+	// Ignore means that the outcome says nothing about the upstream, for
+	// example because the caller cancelled the call.
 	Ignore
 )
 
-// visit is the state behind a Ticket. Visits are reused; gen tells a ticket
-// whether the visit is still its own.
+// visit is the state behind a Ticket. Visits are pooled and reused. A ticket is
+// valid as long as its generation equals gen.
 type visit struct {
 	gate  *Gate
 	shard uint32
@@ -35,22 +36,22 @@
 	blocked   time.Duration
 }
 
-// Ticket is the right to run one visit. It is a small value and may be
-// copied; all copies stand for the same visit. Methods on a released or zero
-// Ticket do nothing: the visit behind it may already belong to another call,
-// and a late second Release must not end that one.
+// Ticket is the permission to run one visit. It is a small value and may be
+// copied; all copies refer to the same visit. Methods on a released or zero
+// Ticket do nothing: the visit record may already belong to another call, and a
+// late second Release must not end that call's visit.
 type Ticket struct {
 	visit  *visit
 	gen    uint64
 	waited time.Duration
 }
 
-// Waited is how long the call was queued.
+// Waited returns how long the call was queued.
 func (t Ticket) Waited() time.Duration { return t.waited }
 
-// Block tells that the visit now waits for a call of its own. Calls may be
-// nested, one for each call of a fan-out; the visit is blocked until as many
-// Unblock calls were made.
+// Block reports that the visit starts to wait for a downstream call. Block may
+// be called several times, once for each call of a fan-out; the visit stays
+// blocked until Unblock has been called as often.
 func (t Ticket) Block() {
 	v, ok := t.lock()
 	if !ok {
@@ -65,7 +66,8 @@
 	v.gate.leaveActive()
 }
 
-// Unblock ends one Block. A visit that resumes never waits.
+// Unblock reverts one call of Block. A visit that resumes never waits for
+// capacity.
 func (t Ticket) Unblock() {
 	v, ok := t.lock()
 	if !ok {
@@ -83,7 +85,8 @@
 	v.gate.resumeActive()
 }
 
-// Release ends the visit. Only the first call on any copy counts.
+// Release ends the visit. Only the first call on any copy of the ticket has an
+// effect.
 func (t Ticket) Release(result Result) {
 	v, ok := t.lock()
 	if !ok {
@@ -101,7 +104,8 @@
 	v.gate.release(v, result, service, blocked, isBlocked, now)
 }
 
-// lock returns the visit locked, if it is still this ticket's own.
+// lock locks and returns the ticket's visit. It reports false if the visit has
+// been released.
 func (t Ticket) lock() (*visit, bool) {
 	if t.visit == nil {
 		return nil, false
@@ -114,7 +118,7 @@
 	return t.visit, true
 }
 
-// begin makes v a new visit and returns its ticket.
+// begin initializes v for a new visit and returns its ticket.
 func (v *visit) begin(p *profileStats, start, waited time.Duration) Ticket {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/admission/wait.go
+++ b/admission/wait.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// minTimer is the least wait of a timer. One that has expired when it is made
-	// runs on its maker's thread under testing/synctest, and two that do so at
-	// once share one context of the race detector, which crashes the tests.
+	// minTimer is the shortest duration passed to time.NewTimer. Under
+	// testing/synctest, a timer that has already expired when it is created
+	// runs on the thread of its creator, and two such timers at the same time
+	// share one context of the race detector, which crashes the tests.
 	minTimer = time.Nanosecond
 )
 
-// acquireQueued is Acquire for a call that found no room.
+// acquireQueued implements Acquire for a call that found no free capacity.
 func (g *Gate) acquireQueued(ctx context.Context, r Request, v *visit, p *profileStats, now time.Duration) (Ticket, error) {
 	g.mu.Lock()
 	g.reclaim()
@@ -45,7 +46,8 @@
 	return v.begin(p, end, end-now), nil
 }
 
-// enqueue queues the call, or tells why it would be in vain. The lock is held.
+// enqueue queues the call, or returns the reason why queueing it would be
+// useless. The gate's lock is held.
 func (g *Gate) enqueue(ctx context.Context, r Request, p *profileStats, now time.Duration) (*waiter, call.Reason) {
 	patience := g.config.patience(r.Preference)
 	g.window.preferenceSum += r.Preference
@@ -88,11 +90,13 @@
 	return w, call.ReasonNone
 }
 
-// expectedWait is how long the more important calls ahead will keep the room.
+// expectedWait estimates how long a new call of class c has to wait for the
+// calls that are dispatched before it.
 //
-// With an exact limit the order within a group counts as well, so that what
-// would wait too long is refused as it comes. A learnt limit makes the spacing
-// too rough for that: calls that would have had their turn were refused.
+// If the limit is fixed (SlotShare), the order within a group counts as well,
+// so that a call which would wait too long is refused on arrival. With a
+// learned limit the spacing of visits is too inaccurate for this: calls were
+// refused that would have been dispatched in time.
 func (g *Gate) expectedWait(c class) time.Duration {
 	ahead := g.queue.ahead(c, g.config.SlotShare > 0)
 	return time.Duration(float64(ahead) * g.window.spacing)
@@ -113,8 +117,7 @@
 	<-w.done
 }
 
-// abandon refuses w unless it was dispatched or refused in the meantime, in
-// which case that stands.
+// abandon refuses w, unless w has already been dispatched or refused.
 func (g *Gate) abandon(w *waiter, reason call.Reason) {
 	now := g.now()
 	g.mu.Lock()
@@ -127,7 +130,8 @@
 	g.clearFlag()
 }
 
-// dispatch lets queued calls in while there is room. The lock is held.
+// dispatch admits queued calls while there is free capacity. The gate's lock is
+// held.
 func (g *Gate) dispatch(now time.Duration) {
 	newestFirst := g.leveler.calm == 0
 	for {
@@ -149,15 +153,16 @@
 	g.clearFlag()
 }
 
-// clearFlag lets newcomers past the lock again once nobody waits. The lock is
-// held.
+// clearFlag clears queuedFlag if the queue is empty, so that new calls no
+// longer take the lock. The gate's lock is held.
 func (g *Gate) clearFlag() {
 	if g.queue.size == 0 {
 		g.word.And(^queuedFlag)
 	}
 }
 
-// settle tells a waiter that has left the queue how. The lock is held.
+// settle notifies a waiter that has been removed from the queue; reason is
+// ReasonNone if it was dispatched. The gate's lock is held.
 func (g *Gate) settle(w *waiter, reason call.Reason, now time.Duration) {
 	g.window.waitSum += now - w.since
 	g.window.waitCount++
@@ -168,7 +173,7 @@
 	w.done <- struct{}{}
 }
 
-// vain tells why running w would be wasted, if it would.
+// vain returns the reason why running w would be wasted work, or ReasonNone.
 func (w *waiter) vain(now time.Duration) call.Reason {
 	if w.ctx.Err() != nil {
 		return call.ReasonCancelled
@@ -179,7 +184,8 @@
 	return call.ReasonNone
 }
 
-// newWaiter takes a free waiter. The lock is held.
+// newWaiter returns an unused waiter from the free list, or a new one. The
+// gate's lock is held.
 func (g *Gate) newWaiter() *waiter {
 	if n := len(g.waiters); n > 0 {
 		w := g.waiters[n-1]
@@ -189,7 +195,7 @@
 	return &waiter{done: make(chan struct{}, 1)}
 }
 
-// recycle keeps a settled waiter for the next call.
+// recycle returns a settled waiter to the free list.
 func (g *Gate) recycle(w *waiter) {
 	w.ctx = nil
 	g.mu.Lock()
--- a/admission/window.go
+++ b/admission/window.go
@@ -5,16 +5,18 @@
 	"time"
 )
 
-// windowState is what the lock guards of the measurements.
+// windowState holds the measurements of the current window. The gate's lock
+// guards it.
 type windowState struct {
 	start        time.Duration
 	waitSum      time.Duration
 	waitCount    int
 	queueRefused int
-	// The preferences of the calls that found no room.
+	// The sum and number of the preferences of calls that found no free
+	// capacity.
 	preferenceSum   float64
 	preferenceCount int
-	// limited tells that a call found no room.
+	// limited is set if a call found no free capacity.
 	limited bool
 
 	arrived  [levels]uint32
@@ -23,31 +25,34 @@
 	shed     uint64
 	done     float64
 	samples  []sample
-	// meanSelf and meanService are over all profiles, in nanoseconds.
+	// meanSelf and meanService are moving means over all profiles, in
+	// nanoseconds.
 	meanSelf    float64
 	meanService float64
-	// spacing is the mean time between two visits that end, in nanoseconds.
+	// spacing is the mean time between the ends of two visits at full load, in
+	// nanoseconds.
 	spacing float64
 }
 
-// pressingState is what the lock guards of the pressure.
+// pressingState is the state of the pressure computation. The gate's lock
+// guards it.
 type pressingState struct {
 	value pressure
 	since time.Duration
-	// The rest is of the window under way.
+	// The remaining fields belong to the current pressure window.
 	waitSum            time.Duration
 	waitCount, refused int
-	// admitted is the count of admitted calls at its begin.
+	// admitted is the total of admitted calls at the start of the window.
 	admitted uint64
 }
 
 const thousand = 1000
 
-// meanWeight is the weight of a window in the means over all profiles.
+// meanWeight is the weight of one window in the moving means.
 const meanWeight = 0.3
 
-// tickIfDue ends the window when its time has come. No goroutine does it: a
-// gate without calls has nothing to decide.
+// tickIfDue closes the window if its time has passed. Calls do this instead of
+// a goroutine, because a gate without calls has nothing to decide.
 func (g *Gate) tickIfDue(now time.Duration) {
 	due := g.nextTick.Load()
 	if int64(now) < due {
@@ -61,7 +66,7 @@
 	g.tick(now)
 }
 
-// tick ends the window. The lock is held.
+// tick closes the window. The gate's lock is held.
 func (g *Gate) tick(now time.Duration) {
 	w := &g.window
 	elapsed := now - w.start
@@ -86,7 +91,8 @@
 	}
 }
 
-// updatePressure folds the window into the pressure. The lock is held.
+// updatePressure adds the window to the pressure window, and updates the
+// pressure at the end of the latter. The gate's lock is held.
 func (g *Gate) updatePressure(now time.Duration) {
 	w, p := &g.window, &g.pressing
 	p.waitSum += w.waitSum
@@ -119,7 +125,7 @@
 	g.pressed.Store(int32(p.value.value * thousand))
 }
 
-// measure collects what the limiter needs.
+// measure collects the limiter's input from the window.
 func (g *Gate) measure(elapsed time.Duration) measurement {
 	w := &g.window
 	var ok, shed uint64
@@ -166,8 +172,9 @@
 	w.meanService += meanWeight * (service - w.meanService)
 }
 
-// learnCapacity sets the spacing of visits that end, by Little's law from the
-// limits and the mean times. Counting ended visits would read idle as slow.
+// learnCapacity derives the spacing of visits from the limits and the mean
+// times by Little's law. A count of finished visits would make an idle upstream
+// look slow.
 func (g *Gate) learnCapacity() {
 	w := &g.window
 	if w.meanSelf == 0 {
@@ -178,7 +185,7 @@
 	w.spacing = math.Max(bySelf, bySlots)
 }
 
-// demand collects what the leveler needs.
+// demand collects the leveler's input from the window.
 func (g *Gate) demand(elapsed, now time.Duration) load {
 	w := &g.window
 	for i := range w.arrivals {
