--- a/admission/callgraph_test.go
+++ b/admission/callgraph_test.go
@@ -7,9 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// What a run needs is learnt from those that end well. Runs that fail end at their
-// first failed call: counted in, a run of four calls would seem to need one or two
-// just when the calls fail, and its first call would look like its last.
+// The calls that a visit needs are learned from successful visits only. Failed
+// visits end at their first failed call. If they counted, a visit of four calls
+// would seem to need one or two just when calls fail, and its first call would
+// look like its last.
 func TestNeedsComeFromRunsThatEndWell(t *testing.T) {
 	c := qt.New(t)
 	g := NewCallGraph()
@@ -23,7 +24,7 @@
 		g.Completed("lookup", map[string]int{"index": 4, "fees": 1}, now)
 		now = now.Add(100 * time.Millisecond)
 	}
-	for range 500 { // all fail at their first call
+	for range 500 { // all of these fail at their first call
 		g.Begin("lookup", now)
 		g.CalledBy("lookup", "index", now)
 		now = now.Add(100 * time.Millisecond)
@@ -31,13 +32,14 @@
 	c.Check(g.Needs("lookup", "index"), qt.Equals, 4)
 	c.Check(g.Needs("lookup", "fees"), qt.Equals, 1)
 	c.Check(g.Needs("lookup", "other"), qt.Equals, 0)
-	for range 50 { // the service was changed and makes two
+	for range 50 { // the service has changed and now makes two calls
 		g.Completed("lookup", map[string]int{"index": 2}, now)
 	}
 	c.Check(g.Needs("lookup", "index"), qt.Equals, 2)
 }
 
-// An upstream that names many kinds of calls must not make the graph grow.
+// An upstream that names many kinds of calls must not make the graph grow
+// without bound.
 func TestNeedsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	g := NewCallGraph()
--- a/admission/fairness_test.go
+++ b/admission/fairness_test.go
@@ -11,9 +11,10 @@
 	"pollengauge.dev/call"
 )
 
-// One customer retries a thousand times a second while forty others send a few
-// requests each, and the level lets in a third of what comes. The others must
-// get nearly all they ask for; only the retrier is cut.
+// One customer retries a thousand times a second, while forty others send a few
+// requests each and the level admits a third of all requests. Nearly all
+// requests of the others must be admitted; only the retrying customer is
+// limited.
 func TestHardRetrierStarvesNobody(t *testing.T) {
 	c := qt.New(t)
 	k, err := NewRanker(RankerConfig{Seed: 1})
@@ -53,15 +54,17 @@
 	c.Assert(total < len(ties)*40/100, qt.IsTrue, qt.Commentf("%d of %d let in", total, len(ties)))
 }
 
-// A caller sends at a steady rate, and the level lets in the same number of
-// every caller. The deep hop must get that number evenly: were all of a second
-// let in at its beginning, it would queue then and idle later.
+// A caller sends at a steady rate, and the level admits the same number of
+// requests from every caller. The admitted requests must reach the downstream
+// hop evenly: if they all came at the beginning of each second, they would
+// queue there first, and the hop would idle later.
 func TestRankIsEvenOverTime(t *testing.T) {
 	c := qt.New(t)
 	k, err := NewRanker(RankerConfig{Seed: 2})
 	c.Assert(err, qt.IsNil)
 	const perSecond, seconds, parts = 400, 20, 10
-	// Tie-breaks from 48 on are ranks 1 to 15 of 400: 27 in each part of 18 s.
+	// Tie-breaks from 48 on are the ranks 1 to 15 of 400: 27 in each tenth of a
+	// second, summed over 18 s.
 	var let [parts]int
 	for i := range seconds * perSecond {
 		at := time.Duration(i) * time.Second / perSecond
@@ -74,10 +77,10 @@
 	}
 }
 
-// Three instances answer with levels of their own, and then nobody answers,
-// because the root refuses everything. The root must follow the middle of the
-// three, let probes through meanwhile, and open again by itself; also once its
-// process has run for weeks.
+// Three instances report different levels; then no response comes, because the
+// root refuses everything. The root must follow the average of the three, admit
+// probes meanwhile, and open again by itself, even if its process has run for
+// weeks.
 func TestFeedbackFollowsAndForgets(t *testing.T) {
 	c := qt.New(t)
 	f, err := NewFeedback(FeedbackConfig{})
@@ -110,9 +113,9 @@
 	}
 }
 
-// Two people ask for the same page under overload. Neither may be shown the
-// other's answer, by whatever header the service tells them apart; and what
-// must not be given twice is not stored.
+// Two callers request the same page during an overload. Neither may get the
+// other's response, whichever header the service uses to distinguish them, and
+// responses that must not be reused are not stored.
 func TestBrownoutKeepsCallersApart(t *testing.T) {
 	c := qt.New(t)
 	b, err := NewBrownout(BrownoutConfig{MaxBytes: 16 << 10, MaxEntries: 8})
--- a/admission/fairshare_test.go
+++ b/admission/fairshare_test.go
@@ -10,8 +10,9 @@
 	"pollengauge.dev/call"
 )
 
-// Two fifths of all requests must go while one customer sends seven times its usual,
-// within its limit. The others hardly notice it, and it still gets as much as they.
+// Two fifths of all requests must be refused while one customer sends seven
+// times its usual load, within its limit. The other customers must hardly be
+// affected, and that customer must still get as much as each of them.
 func TestOneHotCustomerTakesNobodysPart(t *testing.T) {
 	c := qt.New(t)
 	const usual, customers = 0.14, 30
@@ -25,7 +26,7 @@
 			now := start.Add(time.Duration(i) * time.Millisecond / 2)
 			s.Heard("read", 0.4, now)
 			use, kind := usual, 1
-			// The hot one sends seven of every thirty-six requests.
+			// The hot customer sends seven of every thirty-six requests.
 			if rnd.Float64()*(customers-1+1/usual) < 1/usual {
 				use, kind = 1, 0
 			}
@@ -44,7 +45,7 @@
 	c.Check(evenOthers < 0.63 && evenHot > 0.57, qt.IsTrue, qt.Commentf("drawn evenly: %.3f, %.3f", evenHot, evenOthers))
 }
 
-// Whatever a member tells of a customer's use, there is a place for its requests.
+// FairTiebreak must return a valid tie-break whatever use a member reports.
 func TestFairTiebreakTakesAnyUse(t *testing.T) {
 	c := qt.New(t)
 	for _, use := range []float64{-1, 0, 0.001, 0.5, 1, 2} {
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -21,8 +21,8 @@
 type FeedbackConfig struct {
 	// Smoothing is the time constant of the average over responses, which come
 	// from several instances with different levels. A short time follows a
-	// raise fast; a long time doesn't follow a single instance. Zero means 20
-	// ms.
+	// raise fast; a long time doesn't follow a single instance. Zero means
+	// 20 ms.
 	Smoothing time.Duration
 	// Hold is how long a level stays in force without any response. It must be
 	// longer than the usual gap between responses. Zero means 200 ms.
--- a/admission/gate_bench_test.go
+++ b/admission/gate_bench_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// BenchmarkAcquireRelease reports wall time over all processors; the time of
-// one decision is that times GOMAXPROCS. Run it with -cpu 1,12.
+// BenchmarkAcquireRelease reports wall time over all processors; one decision
+// takes that time multiplied by GOMAXPROCS. Run it with -cpu 1,12.
 func BenchmarkAcquireRelease(b *testing.B) {
 	g := fixed(qt.New(b), Config{Slots: 300, InitialLimit: 300, DepthAware: true})
 	b.ReportAllocs()
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -14,7 +14,7 @@
 	"pollengauge.dev/call"
 )
 
-// fixed is a gate whose limits do not move within a test.
+// fixed returns a gate whose limits don't change during a test.
 func fixed(c *qt.C, config Config) *Gate {
 	config.Window = time.Hour
 	config.MinLimit = max(config.MinLimit, config.InitialLimit)
@@ -23,7 +23,7 @@
 	return g
 }
 
-// try is one call to Acquire in a goroutine of its own.
+// try is a call of Acquire in its own goroutine.
 type try struct {
 	ticket Ticket
 	err    error
@@ -48,13 +48,13 @@
 	return call.ReasonNone
 }
 
-// Callers give up at the very moment at which room becomes free. Each must see
-// one outcome: a ticket, or a refusal after which nothing runs. A ticket lost
-// between the two would leak a slot, and a double one would run a call that
-// was reported as not run.
+// Callers cancel at the moment at which capacity becomes free. Each must get
+// one outcome: a ticket, or a refusal after which nothing runs. A lost ticket
+// would leak a slot; a ticket after a refusal would run a call that was
+// reported as not run.
 func TestCancellationRacesDispatch(t *testing.T) {
 	c := qt.New(t)
-	// From minReserveLimit on, shards keep room in reserve.
+	// From minReserveLimit on, shards reserve capacity.
 	for _, limit := range []int{4, minReserveLimit} {
 		const rounds = 300
 		callers := 4 * limit
@@ -89,9 +89,9 @@
 	}
 }
 
-// A call's deadline leaves less time than the service takes, at once or after
-// some wait in the queue. It must be refused before it is dispatched: work on
-// it would be wasted.
+// A call's deadline leaves less time than the service takes, on arrival or
+// after a wait in the queue. The call must be refused before it is dispatched,
+// because its work would be wasted.
 func TestDeadlineThatCannotBeMet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -112,9 +112,9 @@
 	})
 }
 
-// A visit's ticket is released twice, the second time after its record was
-// given to another call. If the late release ended the other visit, the
-// upstream would be given more calls than it has slots.
+// A ticket is released twice, the second time after its visit record has been
+// reused for another call. If the late release ended the other visit, the
+// upstream would get more calls than it has slots.
 func TestLateReleaseDoesNotEndAnotherVisit(t *testing.T) {
 	c := qt.New(t)
 	g := fixed(c, Config{Slots: 1, InitialLimit: 1, QueueLimit: -1, DepthAware: true})
@@ -134,8 +134,9 @@
 	}
 }
 
-// The load that an upstream reports lags or lies. It must not lift the limit
-// over what was measured or announced, nor starve the upstream, nor last.
+// The load that an upstream reports may be late or wrong. It must not raise the
+// limit above the learned or announced value, must not starve the upstream, and
+// must expire.
 func TestReportedLoadOnlyLowers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/admission/lag_test.go
+++ b/admission/lag_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A node gets twice the requests that its processor can pass on, for two
-// seconds. Without refusals the last one is passed on two seconds late, when
-// its caller has left; with them no request is passed on later than a caller
-// waits.
+// For two seconds a node receives twice as many requests as its processor can
+// forward. Without refusals, the last request is forwarded two seconds late,
+// when its caller has left; with refusals, no request is forwarded later than a
+// caller waits.
 func TestLateNodeCatchesUp(t *testing.T) {
 	c := qt.New(t)
 	const passOn, refuse, every = 2 * time.Millisecond, 300 * time.Microsecond, time.Millisecond
--- a/admission/leveler.go
+++ b/admission/leveler.go
@@ -183,11 +183,11 @@
 // kept returns the target for the number of admitted arrivals in a window, for
 // a given capacity.
 //
-// The target is well above the capacity if the capacity is small, because of
-// random variation: with an average of 1.35 times as many calls as a window can
-// finish, and ten calls per window, every eighth window has fewer than ten, and
-// the upstream idles in the middle of a surge. The queue refuses the excess
-// calls, in the order of importance and before any work is done.
+// The smaller the capacity, the further the target is above it, because of
+// random variation: a window that can finish ten visits and receives 1.35 times
+// as many calls on average still receives fewer than ten in one case out of
+// eight, and the upstream idles in the middle of a surge. The queue refuses the
+// excess calls, in the order of importance and before any work is done.
 func kept(capacity float64) float64 {
 	return min(margin*capacity+deviations*math.Sqrt(capacity), mostKept*capacity)
 }
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -7,6 +7,8 @@
 
 // Parameters of the limiter.
 const (
+	// latencyTolerance is the ratio of mean self time to the baseline above
+	// which the limit falls. Ordinary variance stays below it.
 	latencyTolerance = 1.5
 	// minGradient is the smallest factor that one window may apply to the limit
 	// because of latency.
--- a/admission/manyprofiles_test.go
+++ b/admission/manyprofiles_test.go
@@ -10,10 +10,11 @@
 	"pollengauge.dev/call"
 )
 
-// Operators' routes have more treatments than are measured apart, or a process has
-// lived through so many as versions changed timeouts. A deeper hop refuses all calls
-// of a later profile. What the root hears of it is kept in the shared record, and must
-// be looked for there, or the root goes on to let them in.
+// There are more profiles than have a record of their own: operators configured
+// very many, or the process has run through many configurations with changed
+// timeouts. A downstream hop refuses all calls of a profile without its own
+// record. The root stores what it learns about that profile in the shared
+// record and must look it up there, or it would continue to admit those calls.
 func TestFeedbackHoldsForEveryProfile(t *testing.T) {
 	c := qt.New(t)
 	f, err := NewFeedback(FeedbackConfig{})
--- a/admission/oracle_test.go
+++ b/admission/oracle_test.go
@@ -14,7 +14,7 @@
 	"pollengauge.dev/call"
 )
 
-// operation is one step of a run; n picks what it acts on.
+// operation is one step of a generated run. n selects the call that it acts on.
 type operation struct {
 	kind, n int
 	request Request
@@ -31,10 +31,10 @@
 	opCancelRelease
 )
 
-// waiting stands for no outcome yet.
+// waiting means that a call has no outcome yet.
 const waiting = call.Reason("waiting")
 
-// entry is a call as the oracle sees it.
+// entry is the oracle's record of a call.
 type entry struct {
 	try     *try
 	request Request
@@ -44,7 +44,7 @@
 	want    call.Reason
 }
 
-// oracle is the gate written the plain way: lists, searched in full.
+// oracle is a simple model of the gate: lists that are searched in full.
 type oracle struct {
 	gate         *Gate
 	limit, queue int
@@ -53,11 +53,11 @@
 	draining     bool
 }
 
-// Calls come, go, block, hang up, wait too long and meet a drain, in any order.
-// Each must have the one outcome that the rules give it: the important before
-// the rest, those with more work done before the rest, nobody gone is dispatched,
-// nobody in flight or queued is cut off by a drain, and never do more hold a
-// ticket than there are slots.
+// Calls arrive, end, block, are cancelled, time out in the queue and meet a
+// drain, in any order. Each must get the one outcome that the rules define:
+// more important calls first, then calls of requests with more progress; no
+// cancelled call is dispatched; a drain interrupts no call in flight or queued;
+// and the tickets in use never exceed the slots.
 func TestGateAgainstOracle(t *testing.T) {
 	operations := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) operation {
 		return operation{
@@ -76,7 +76,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		ops := operations.Draw(rt, "operations")
 		slack := rapid.IntRange(0, 3).Draw(rt, "slack")
-		// From minReserveLimit on, room is kept in reserve.
+		// From minReserveLimit on, shards reserve capacity.
 		limit := rapid.SampledFrom([]int{2, minReserveLimit}).Draw(rt, "limit")
 		fault := ""
 		synctest.Test(t, func(t *testing.T) { fault = runOracle(t, ops, limit, slack) })
@@ -116,7 +116,7 @@
 			o.settle(o.waits[op.n%len(o.waits)], call.ReasonCancelled).cancel()
 		}
 		if op.kind == opCancelRelease && len(o.held) > 0 {
-			// Room becomes free before the gate hears of the cancellation.
+			// Capacity becomes free before the gate notices the cancellation.
 			o.visit(opRelease, o.held[op.n%len(o.held)])
 		}
 	case opSleep:
@@ -177,7 +177,8 @@
 	}
 }
 
-// less compares the importance of two calls.
+// less compares the importance of two calls. The result is negative if a is
+// less important.
 func less(a, b *entry) int {
 	x, y := a.request, b.request
 	if d := int(x.Level.Priority()) - int(y.Level.Priority()); d != 0 {
@@ -226,7 +227,8 @@
 	return n
 }
 
-// compare returns how gate and oracle differ, or nothing.
+// compare describes the first difference between the gate and the oracle, or
+// returns an empty string.
 func (o *oracle) compare() string {
 	for i, e := range o.all {
 		got := waiting
@@ -244,8 +246,8 @@
 	return ""
 }
 
-// TestMain fixes the seed of generated runs; -rapid.seed on the command line
-// still sets another.
+// TestMain fixes the seed of the generated runs. The flag -rapid.seed overrides
+// it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -11,14 +11,14 @@
 )
 
 // mixedLevels draws the levels of a surge: mostly browsing and status checks,
-// one call in ten a filing.
+// and one filing in ten calls.
 func mixedLevels(r *rand.Rand) call.Level {
 	priorities := []call.Priority{3, 3, 3, 3, 5, 5, 5, 5, 5, 12}
 	return call.MakeLevel(priorities[r.IntN(len(priorities))], call.Tiebreak(64+r.IntN(64)))
 }
 
-// surgeOf is 0.7 of the upstream's 2000 calls a second, and from 2 s to 5 s so
-// many times those 2000.
+// surgeOf returns a simulation with a load of 0.7 of the upstream's 2000 calls
+// a second, and from 2 s to 5 s with a load of times the 2000 calls.
 func surgeOf(times float64) simulation {
 	return simulation{
 		config: Config{Slots: 300, InitialLimit: 32, DepthAware: true},
@@ -38,9 +38,9 @@
 
 // Demand rises to 1.2, 2 and 5 times the capacity for three seconds. Without
 // shedding, every call would wait past its deadline. The upstream must stay
-// busy with whole calls, no filing may be refused, and within a second of the
-// end everything must be served again, with and without roots that enforce
-// the level.
+// busy with calls that complete, no filing may be refused, and within a second
+// of the surge's end all calls must be served again, with and without roots
+// that enforce the level.
 func TestSurgeAndRecovery(t *testing.T) {
 	c := qt.New(t)
 	for _, feedback := range []bool{false, true} {
@@ -64,9 +64,9 @@
 	}
 }
 
-// All calls have one level, for example because a root does not rank them. A
-// level can only be refused whole, but refusing it whole would idle the
-// upstream, and letting it in whole would flood it.
+// All calls have the same level, for example because a root doesn't rank them.
+// A level can only be refused as a whole. Refusing it would idle the upstream,
+// and admitting it without a limit would flood the upstream.
 func TestSurgeOfOneLevel(t *testing.T) {
 	s := surgeOf(3)
 	s.level = func(*rand.Rand) call.Level { return call.MakeLevel(4, 64) }
@@ -75,10 +75,10 @@
 	qt.Assert(t, surge.ok > 5000*85/100, qt.IsTrue, qt.Commentf("%+v", surge.ok))
 }
 
-// Refused callers try again up to three times, when they were told to, and
-// bursts come twice a second. Preference for goodput must lose fewer callers;
-// preference for recovery must answer those of the surge's end sooner, and
-// leave shorter waits behind a burst.
+// Refused callers retry up to three times, after the RetryAfter that they got;
+// in a second load, bursts come twice a second. Preference for goodput must
+// lose fewer callers. Preference for recovery must serve the callers at the end
+// of the surge sooner, and leave shorter waits after a burst.
 func TestPreferenceTradesGoodputForRecovery(t *testing.T) {
 	c := qt.New(t)
 	var surge, bursts [2]bin
@@ -107,9 +107,10 @@
 	c.Assert(bursts[0].percentile(99) < bursts[1].percentile(99), qt.IsTrue)
 }
 
-// A deep service slows from 5 ms to 400 ms. The upstream above it only waits,
-// so its limit must stand; without depth awareness the wait reads as its own
-// slowness and the limit falls, which sheds calls that never go deep.
+// A downstream service slows from 5 ms to 400 ms. The upstream that calls it
+// only waits, so its limit must not fall. Without depth awareness, the wait
+// looks like slowness of the upstream itself and the limit falls, which sheds
+// calls that don't use the downstream service.
 func TestSlowDeepServiceLeavesLimitAbove(t *testing.T) {
 	c := qt.New(t)
 	for _, aware := range []bool{true, false} {
@@ -135,10 +136,11 @@
 	}
 }
 
-// The mix shifts from a quick profile to a slow one, or the upstream's disk
-// gets slow at any concurrency. Neither is overload: lowering the limit would
-// only idle the upstream. Slowness that grows with concurrency is, and a cold
-// upstream must stay under its ramp however little strain it shows.
+// The mix shifts from a fast profile to a slow one, or the upstream becomes
+// slow at any concurrency, as with a slow disk. Neither is overload, and
+// lowering the limit would only idle the upstream. Slowness that grows with
+// concurrency is overload. A cold upstream must stay below its ramp even if its
+// latency is low.
 func TestLimiterTellsOverloadFromOtherSlowness(t *testing.T) {
 	c := qt.New(t)
 	quick, slow := &profileStats{}, &profileStats{}
@@ -175,10 +177,10 @@
 	c.Assert(l.limit < 50, qt.IsTrue, qt.Commentf("slow by concurrency: %v", l.limit))
 }
 
-// The only slot is taken for good. A call of a profile that prefers recovery
-// must be told soon, so that its caller can do something else; one of a profile
-// that prefers goodput waits four times as long for room, and one whose loss is
-// worse than a queue as long as its own profile says.
+// The only slot stays occupied. A call of a profile that prefers recovery must
+// be refused soon, so that its caller can do something else; a call of a
+// profile that prefers goodput waits four times as long for capacity; a call
+// with Hold waits for as long as its own profile allows.
 func TestPreferenceOfProfileSetsPatience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -199,9 +201,10 @@
 	})
 }
 
-// A window of a small upstream ends ten calls, and chance weighs more in it than
-// before a large one. Were the level set to what fits on average, every eighth
-// window of a surge would bring too few calls, and the upstream would idle.
+// In a window, a small upstream finishes ten calls, and random variation
+// matters more for it than for a large upstream. If the level were set to admit
+// the capacity on average, every eighth window of a surge would have too few
+// calls, and the upstream would idle.
 func TestRaisedLevelLeavesNoWindowShort(t *testing.T) {
 	c := qt.New(t)
 	for _, capacity := range []float64{1, 10, 100, 1000} {
--- a/admission/placement_test.go
+++ b/admission/placement_test.go
@@ -10,7 +10,7 @@
 	"pollengauge.dev/call"
 )
 
-// kind is a kind of requests that leads to one short upstream.
+// kind is a profile whose requests lead to the same overloaded upstream.
 type kind struct {
 	name     string
 	priority call.Priority
@@ -18,9 +18,10 @@
 	work     int // milliseconds of the upstream's slots
 }
 
-// admitAll offers kinds to a root for a while under a pressure that fits their work
-// to the capacity, and returns the served share of each and of all requests.
-// Capacity is in milliseconds of slots for each tick of 10 ms.
+// admitAll sends the requests of all kinds to a root under a pressure that fits
+// their work to the capacity, and returns the admitted share of each kind and
+// of all requests. The capacity is in milliseconds of slots for each tick of
+// 10 ms.
 func admitAll(kinds []kind, capacity float64, tellWork bool) (served map[string]float64, all float64) {
 	random := rand.New(rand.NewPCG(3, 4))
 	s := NewShedder()
@@ -34,7 +35,7 @@
 	const ticks = 2000
 	for tick := range ticks {
 		now = now.Add(10 * time.Millisecond)
-		// The upstream's pressure follows the work that was let in.
+		// The upstream's pressure follows the work that was admitted.
 		pressure += 0.02 * (work - capacity) / offered
 		pressure = min(max(pressure, 0), pressureMost)
 		work = 0
@@ -69,11 +70,12 @@
 	return served, totalAdmitted / totalAsked
 }
 
-// A deep upstream is asked for 1.7 times what it carries. Of two kinds of one
-// priority the costly one takes four times as much of it; refused alike, every
-// costly request takes the room of four others. More whole requests must be served
-// in the same room, the costly kind must keep half of what the cheap one gets, and
-// what ranks higher must not notice.
+// An upstream is offered 1.7 times its capacity. Of two kinds of one priority,
+// each request of the costly kind takes four times as much of it; if both are
+// refused alike, every costly request takes the capacity of four others. More
+// complete requests must be served with the same capacity, the costly kind must
+// get at least half the admitted share of the cheap one, and the kind of higher
+// priority must not be affected.
 func TestCheapRequestsGoFirstWithinAPriority(t *testing.T) {
 	c := qt.New(t)
 	kinds := []kind{
@@ -91,8 +93,8 @@
 	c.Check(placed["status"] <= alike["status"], qt.IsTrue)
 }
 
-// At any threshold, and however costly a kind is, it keeps its share of what the
-// best-placed kind of its priority is let in. Nothing leaves its priority.
+// At any threshold and for any weight, a kind keeps its share of what the
+// best-served kind of its priority gets, and no request leaves its priority.
 func TestPlacementKeepsAShareForEachKind(t *testing.T) {
 	c := qt.New(t)
 	whole := int(call.MaxTiebreak) + 1
@@ -106,7 +108,7 @@
 					in++
 				}
 			}
-			// One step of the tie-break more or less is rounding.
+			// A difference of one tie-break is rounding.
 			kept := keptShare * float64(whole-threshold)
 			c.Assert(float64(in) >= kept-1, qt.IsTrue, qt.Commentf("weight %v, threshold %d: %d of %d", weight, threshold, in, whole))
 		}
--- a/admission/pressed_test.go
+++ b/admission/pressed_test.go
@@ -10,22 +10,24 @@
 	"pollengauge.dev/call"
 )
 
-// chain is a deep upstream below many roots, in steps of one window. Each
-// request makes calls calls there, spread over the windows from life on, when it
-// has passed the upstreams above.
+// chain simulates an upstream downstream of many roots, in steps of one window.
+// Each request makes calls calls there, spread evenly over spread windows; the
+// first of them arrive after about life windows, when the request has passed
+// the upstreams before.
 type chain struct {
 	capacity float64 // calls that a window serves
 	calls    int
 	life     int // windows
 	spread   int // windows
 	p        pressure
-	// pending are the calls due in the coming windows, and demand what they
-	// stand for.
+	// pending are the calls due in the coming windows, demand the calls that
+	// they stand for.
 	pending, demand []float64
 }
 
-// step lets offered requests arrive, of which the pressure holds some back, and
-// returns the calls refused.
+// step simulates one window in which offered requests arrive and the roots
+// refuse a part of them according to the pressure. It returns the requests
+// begun and the calls refused.
 func (ch *chain) step(offered float64) (begun, refused float64) {
 	spread := max(ch.spread, 1)
 	if ch.pending == nil {
@@ -47,10 +49,11 @@
 	return begun, refused
 }
 
-// One upstream of three is left, and 2.7 times what it carries is asked for.
-// Requests make their calls over two seconds, so what arrives belongs to pressures
-// of many moments. Set against the one of 0.4 s before, it raised the pressure to
-// 0.86 where 0.65 was wanted, and kept it up for 2.7 s after the load was gone.
+// One of three upstreams is left and is offered 2.7 times its capacity.
+// Requests make their calls over two seconds, so the calls that arrive together
+// belong to pressures of different times. A pressure computed against the value
+// of 0.4 s earlier rose to 0.86 where 0.65 was wanted, and stayed high for
+// 2.7 s after the load was gone.
 func TestPressureFitsCallsThatTakeTheirTime(t *testing.T) {
 	c := qt.New(t)
 	const capacity, calls = 29, 8
@@ -66,14 +69,14 @@
 		ch.step(0.5 * capacity / calls)
 		windows++
 	}
-	c.Check(windows < 25, qt.IsTrue, qt.Commentf("%d windows until it was gone", windows))
+	c.Check(windows < 25, qt.IsTrue, qt.Commentf("%d windows until the pressure was gone", windows))
 }
 
-// An upstream of 17 slots is asked for three times what it carries. Its calls come
-// in bursts, so that some find no room in most windows, at any load that uses it.
-// Each such window added to the pressure without an end: it stood at nearly all,
-// and two thirds of what the upstream can do were not used. A burst may cost a part
-// of the aim, no more.
+// An upstream of 17 slots is offered three times its capacity. Its calls come
+// in bursts, so that in most windows some find no free capacity, at any load
+// that uses the upstream well. Each such window raised the pressure without a
+// bound: it reached nearly 1, and two thirds of the upstream's capacity were
+// unused. Bursts may lower the target only by a bounded part.
 func TestPressureIsNotRaisedWithoutEndByBursts(t *testing.T) {
 	c := qt.New(t)
 	rnd := rand.New(rand.NewPCG(3, 3))
@@ -88,10 +91,11 @@
 	c.Check(p.value > 0.65, qt.IsTrue, qt.Commentf("%.2f, 0.68 wanted", p.value))
 }
 
-// A burst of 1.7 times what a deep upstream carries comes for eight seconds,
-// with eight calls a request. Without pressure four calls in ten are refused
-// and nearly no request ends well. With it the refusals end within a second,
-// the upstream stays busy, and a second after the burst all requests begin.
+// A burst of 1.7 times the capacity of a downstream upstream lasts for eight
+// seconds, with eight calls in each request. Without pressure, four calls in
+// ten are refused and nearly no request succeeds. With pressure, refusals end
+// within a second, the upstream stays busy, and a second after the burst all
+// requests are admitted.
 func TestPressureHoldsADeepUpstreamAtItsCapacity(t *testing.T) {
 	c := qt.New(t)
 	const perSecond = int(time.Second / pressureWindow)
@@ -112,9 +116,11 @@
 	c.Check(ch.p.value < 0.05, qt.IsTrue, qt.Commentf("%.3f left after the burst", ch.p.value))
 }
 
-// A surge of four times the capacity begins at once. Its first effect shows
-// only after some windows; set against the present value instead of that of its
-// time, the pressure would pass what is wanted and refuse nearly all requests.
+// A surge of four times the capacity begins at once, and the first effect of
+// the pressure shows only after some windows. If the load that arrives were set
+// against the current pressure instead of the pressure at the time when its
+// requests began, the pressure would exceed the wanted value and refuse nearly
+// all requests.
 func TestPressureDoesNotOvershoot(t *testing.T) {
 	c := qt.New(t)
 	ch := &chain{capacity: 800, calls: 8, life: 4}
@@ -127,8 +133,8 @@
 	c.Check(ch.p.value > 0.7, qt.IsTrue, qt.Commentf("%.2f in the end", ch.p.value))
 }
 
-// Browsing and filing lead to one overloaded upstream, paying does not. Under
-// pressure browsing is refused first and filing after it, paying never.
+// Browsing and filing lead to one overloaded upstream, paying doesn't. Under
+// pressure, browsing is refused first and filing next, paying never.
 func TestShedderRefusesTheLeastImportantFirst(t *testing.T) {
 	c := qt.New(t)
 	s := NewShedder()
@@ -152,8 +158,9 @@
 	c.Check(refused["browse"] > 14_000 && refused["browse"] < 17_000, qt.IsTrue, qt.Commentf("%d browsings, 16000 wanted", refused["browse"]))
 }
 
-// After an overload no answers come for a profile that is refused whole. What
-// was heard must fade, or it would be refused for ever.
+// After an overload, no responses come for a profile whose requests are all
+// refused. The last reported pressure must decay, or the profile would be
+// refused for ever.
 func TestPressureThatNobodyConfirmsFades(t *testing.T) {
 	c := qt.New(t)
 	s := NewShedder()
@@ -168,10 +175,11 @@
 	c.Check(s.Pressure("browse", now) < 0.01, qt.IsTrue)
 }
 
-// Few requests of a kind are let through an overload, so few answers tell of it.
-// Each must count for the time since the last one. Otherwise such a kind never
-// learns how high the pressure is, and its requests, each as dear as many
-// others, go before more important ones.
+// Few requests of a profile are admitted during an overload, so few responses
+// report the pressure. The weight of a response must grow with the time since
+// the last one. Otherwise the pressure of such a profile never rises far
+// enough, and its requests, each of them as costly as many others, are served
+// before more important ones.
 func TestRareAnswersTellThePressure(t *testing.T) {
 	c := qt.New(t)
 	s := NewShedder()
@@ -186,13 +194,13 @@
 		now = now.Add(10 * time.Millisecond)
 		s.Heard("status", 0, now)
 	}
-	c.Check(s.Pressure("status", now) < 0.02, qt.IsTrue, qt.Commentf("%.2f after a second without", s.Pressure("status", now)))
+	c.Check(s.Pressure("status", now) < 0.02, qt.IsTrue, qt.Commentf("%.2f after a second without pressure", s.Pressure("status", now)))
 }
 
-// Payments and schedules share an upstream, and come and go together in a surge.
-// Only schedules call the overloaded service below. Where each call tells its
-// run, payments must not be linked to it by that: two thirds of them were
-// refused for a service that they don't need.
+// Payments and schedules share an upstream, and both rise and fall together in
+// a surge. Only schedules call the overloaded downstream service. If each call
+// names its visit, payments must not be linked to that service: two thirds of
+// them were refused because of a service that they don't need.
 func TestCallsThatTellTheirRunLinkNoOther(t *testing.T) {
 	c := qt.New(t)
 	g := NewCallGraph()
--- a/admission/profiles_test.go
+++ b/admission/profiles_test.go
@@ -9,8 +9,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Callers make up profile names without end. Had each its own record, they would
-// fill the memory of the node: what comes beyond the bound shares one.
+// Callers send any number of invented profile names. If each name had a record
+// of its own, they would fill the node's memory; names beyond the bound share
+// one record.
 func TestMadeUpProfilesShareARecord(t *testing.T) {
 	c := qt.New(t)
 	var profiles profileMap[string]
@@ -24,8 +25,8 @@
 	c.Check(*profiles.find("0"), qt.Equals, "0")
 }
 
-// Calls of a profile that is new come at the same time. With a record each, what
-// one of them measured would be lost.
+// Several calls of a new profile arrive at the same time. If each created its
+// own record, the measurements of all but one would be lost.
 func TestCallsAtTheSameTimeGetOneRecord(t *testing.T) {
 	c := qt.New(t)
 	var profiles profileMap[int]
--- a/admission/progress_test.go
+++ b/admission/progress_test.go
@@ -10,10 +10,11 @@
 	"pollengauge.dev/call"
 )
 
-// Filings alone are more than the deep service can do, so its queue is full of
-// filings that have only begun. One comes back for its last call, with all its
-// work done above, and has a lower tie-break. Refused, its work is lost and its
-// fate unknown; it must take the place of one that loses nothing.
+// Filings alone exceed the capacity of the downstream service, so its queue is
+// full of filings that have just begun. Another filing arrives for its last
+// call, with all its other work done and a lower tie-break. If it were refused,
+// its work would be lost and the fate of its keyed calls unknown; it must
+// replace a queued call that loses no work.
 func TestWorkDoneGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -40,8 +41,8 @@
 	})
 }
 
-// The level rises above a filing between two of its calls. New filings are
-// refused; this one has work to lose and is let in.
+// Between two calls of a filing, the level rises above the filing's level. New
+// filings are refused; this one has work to lose and is admitted.
 func TestRisenLevelSparesWorkDone(t *testing.T) {
 	c := qt.New(t)
 	g := fixed(c, Config{Slots: 1, InitialLimit: 1})
--- a/admission/sim_test.go
+++ b/admission/sim_test.go
@@ -14,13 +14,14 @@
 	"pollengauge.dev/call"
 )
 
-// simulation runs one gate before one upstream of some processors, in the
-// fake time of synctest. Arrivals are random with a fixed seed.
+// simulation runs one gate in front of one upstream with a number of
+// processors, in the fake time of synctest. Arrivals are random with a fixed
+// seed.
 type simulation struct {
 	config   Config
 	cpus     int
 	work     time.Duration
-	deep     func(at time.Duration) time.Duration // time blocked below
+	deep     func(at time.Duration) time.Duration // time blocked in a downstream call
 	rate     func(at time.Duration) float64       // calls per second
 	level    func(r *rand.Rand) call.Level
 	feedback bool
@@ -31,7 +32,7 @@
 	each     func(at time.Duration, g *Gate)
 }
 
-// bin counts the calls that arrived in one tenth of a second.
+// bin counts the calls that arrived within one tenth of a second.
 type bin struct {
 	offered, ok, late      int
 	important, importantOK int
@@ -41,7 +42,7 @@
 const (
 	binWidth = 100 * time.Millisecond
 	rootTrip = 4 * time.Millisecond
-	// importantLevel is the least level of calls counted as important.
+	// importantLevel is the lowest level of calls counted as important.
 	importantLevel = call.Level(10) << 7
 )
 
@@ -98,7 +99,8 @@
 	}
 }
 
-// call makes one call, and tries again when refused, as told to.
+// call makes one call and, if it is refused, retries it after the RetryAfter
+// that it got.
 func (s simulation) call(g *Gate, f *Feedback, cpu chan struct{}, level call.Level, start time.Time) (Result, time.Duration) {
 	begin := time.Now()
 	result, retryAfter := s.attempt(g, f, cpu, level, start)
@@ -154,13 +156,15 @@
 	return total
 }
 
-// percentile is the time within which so many of the served calls were served.
+// percentile returns the time within which p percent of the served calls were
+// served.
 func (b bin) percentile(p int) time.Duration {
 	slices.Sort(b.waits)
 	return b.waits[len(b.waits)*p/100]
 }
 
-// lostSeconds adds up the shares of calls not served.
+// lostSeconds returns the sum over the bins of the share of calls not served,
+// multiplied by the width of a bin.
 func lostSeconds(bins []bin) float64 {
 	lost := 0.0
 	for _, b := range bins {
