--- a/admission/brownout.go
+++ b/admission/brownout.go
@@ -16,8 +16,8 @@
 	DefaultBrownoutMaxAge     = time.Minute
 	DefaultBrownoutMaxBytes   = 16 << 20
 	DefaultBrownoutMaxEntries = 4096
-	// maxAnswerShare limits one response to MaxBytes divided by this number.
-	maxAnswerShare = 16
+	// maxResponseDivisor limits one response to MaxBytes divided by this number.
+	maxResponseDivisor = 16
 )
 
 // BrownoutConfig configures a Brownout.
@@ -53,10 +53,10 @@
 
 	mu    sync.Mutex
 	bytes int
-	lru   *simplelru.LRU[string, *storedAnswer]
+	lru   *simplelru.LRU[string, *storedResponse]
 }
 
-type storedAnswer struct {
+type storedResponse struct {
 	answer Answer
 	stored time.Time
 	size   int
@@ -90,7 +90,7 @@
 	for _, name := range config.NeutralHeaders {
 		b.neutral[http.CanonicalHeaderKey(name)] = true
 	}
-	lru, err := simplelru.NewLRU(config.MaxEntries, func(_ string, s *storedAnswer) { b.bytes -= s.size })
+	lru, err := simplelru.NewLRU(config.MaxEntries, func(_ string, s *storedResponse) { b.bytes -= s.size })
 	if err != nil {
 		return nil, &ConfigError{Field: "MaxEntries", Value: strconv.Itoa(config.MaxEntries), Want: err.Error()}
 	}
@@ -105,12 +105,12 @@
 		return false
 	}
 	text := b.text(key)
-	s := &storedAnswer{
+	s := &storedResponse{
 		answer: Answer{Status: a.Status, Header: a.Header.Clone(), Body: slices.Clone(a.Body)},
 		stored: now,
 		size:   len(text) + len(a.Body) + headerSize(a.Header),
 	}
-	if s.size > b.config.MaxBytes/maxAnswerShare {
+	if s.size > b.config.MaxBytes/maxResponseDivisor {
 		return false
 	}
 	b.mu.Lock()
--- a/admission/callgraph.go
+++ b/admission/callgraph.go
@@ -14,9 +14,9 @@
 	// graphDecay is the factor on the counts per window. The counts cover about
 	// 60 windows, or 15 seconds.
 	graphDecay = 0.984
-	// leastCalls is the mean number of calls of a kind that a visit must make
+	// minCallsPerVisit is the mean number of calls of a kind that a visit must make
 	// to be linked to that kind.
-	leastCalls = 0.2
+	minCallsPerVisit = 0.2
 	// neededWeight is the weight of one visit in the mean number of calls that
 	// its kind needs.
 	neededWeight = 0.1
@@ -37,16 +37,16 @@
 // at the same time also links kinds that make no such calls: two thirds of the
 // payments were refused because of a service that they don't need.
 type CallGraph struct {
-	mu    sync.Mutex
-	runs  map[string]*runKind
-	until time.Time
+	mu        sync.Mutex
+	kinds     map[string]*kindStats
+	windowEnd time.Time
 }
 
-// runKind is the state of one kind of visit.
-type runKind struct {
-	// started and made are decayed counts of visits and of their calls by kind.
-	started float64
-	made    map[string]float64
+// kindStats is the state of one kind of visit.
+type kindStats struct {
+	// visits and calls are decayed counts of visits and of their calls by kind.
+	visits float64
+	calls  map[string]float64
 	// needed is the mean number of calls of each kind in a successful visit.
 	needed map[string]float64
 	// linked are the kinds of calls that visits of this kind make, as of the
@@ -55,40 +55,40 @@
 }
 
 // NewCallGraph returns an empty CallGraph.
-func NewCallGraph() *CallGraph { return &CallGraph{runs: make(map[string]*runKind)} }
+func NewCallGraph() *CallGraph { return &CallGraph{kinds: make(map[string]*kindStats)} }
 
 // Begin records the start of a visit.
 func (g *CallGraph) Begin(kind string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
-	if r := g.run(kind); r != nil {
-		r.started++
+	if r := g.stats(kind); r != nil {
+		r.visits++
 	}
 }
 
 // CalledBy records a call that the upstream makes for a visit.
-func (g *CallGraph) CalledBy(run, call string, now time.Time) {
+func (g *CallGraph) CalledBy(kind, call string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
-	r := g.run(run)
+	r := g.stats(kind)
 	if r == nil {
 		return
 	}
-	if _, known := r.made[call]; known || len(r.made) < maxKinds {
-		r.made[call]++
+	if _, known := r.calls[call]; known || len(r.calls) < maxKinds {
+		r.calls[call]++
 	}
 }
 
 // Completed records a successful visit and the calls made for it, by kind.
 // Failed visits don't show how many calls are needed: most of them end at their
 // first failed call.
-func (g *CallGraph) Completed(run string, calls map[string]int, now time.Time) {
+func (g *CallGraph) Completed(kind string, calls map[string]int, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
-	r := g.run(run)
+	r := g.stats(kind)
 	if r == nil {
 		return
 	}
@@ -105,10 +105,10 @@
 
 // Needs returns how many calls of a kind a visit needs to succeed, or 0 if that
 // is unknown.
-func (g *CallGraph) Needs(run, call string) int {
+func (g *CallGraph) Needs(kind, call string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if r := g.runs[run]; r != nil {
+	if r := g.kinds[kind]; r != nil {
 		return int(math.Round(r.needed[call]))
 	}
 	return 0
@@ -116,49 +116,49 @@
 
 // Linked returns the kinds of calls that visits of a kind make. The caller must
 // not modify the result.
-func (g *CallGraph) Linked(run string) []string {
+func (g *CallGraph) Linked(kind string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if r := g.runs[run]; r != nil {
+	if r := g.kinds[kind]; r != nil {
 		return r.linked
 	}
 	return nil
 }
 
-// run returns the state of a kind of visit, or nil if there are too many kinds.
-func (g *CallGraph) run(kind string) *runKind {
-	r := g.runs[kind]
-	if r == nil && len(g.runs) < maxKinds {
-		r = &runKind{made: make(map[string]float64), needed: make(map[string]float64)}
-		g.runs[kind] = r
+// stats returns the state of a kind of visit, or nil if there are too many kinds.
+func (g *CallGraph) stats(kind string) *kindStats {
+	r := g.kinds[kind]
+	if r == nil && len(g.kinds) < maxKinds {
+		r = &kindStats{calls: make(map[string]float64), needed: make(map[string]float64)}
+		g.kinds[kind] = r
 	}
 	return r
 }
 
 // advance closes the window if its time has passed.
 func (g *CallGraph) advance(now time.Time) {
-	if g.until.IsZero() {
-		g.until = now.Add(graphWindow)
+	if g.windowEnd.IsZero() {
+		g.windowEnd = now.Add(graphWindow)
 	}
-	if now.Before(g.until) {
+	if now.Before(g.windowEnd) {
 		return
 	}
-	g.until = now.Add(graphWindow)
-	for _, r := range g.runs {
-		r.settle()
+	g.windowEnd = now.Add(graphWindow)
+	for _, r := range g.kinds {
+		r.closeWindow()
 	}
 }
 
-// settle links the kinds of calls that are made often enough, and decays the
+// closeWindow links the kinds of calls that are made often enough, and decays the
 // counts.
-func (r *runKind) settle() {
+func (r *kindStats) closeWindow() {
 	var linked []string
-	for call, made := range r.made {
-		if made >= leastCalls*r.started {
+	for call, made := range r.calls {
+		if made >= minCallsPerVisit*r.visits {
 			linked = append(linked, call)
 		}
-		r.made[call] = made * graphDecay
+		r.calls[call] = made * graphDecay
 	}
 	r.linked = linked
-	r.started *= graphDecay
+	r.visits *= graphDecay
 }
--- a/admission/callgraph_test.go
+++ b/admission/callgraph_test.go
@@ -48,5 +48,5 @@
 		calls[string(rune('a'+i))] = 1
 	}
 	g.Completed("run", calls, time.Unix(0, 0))
-	c.Check(len(g.run("run").needed) <= maxKinds, qt.IsTrue)
+	c.Check(len(g.stats("run").needed) <= maxKinds, qt.IsTrue)
 }
--- a/admission/config.go
+++ b/admission/config.go
@@ -13,8 +13,8 @@
 	DefaultWindow       = 50 * time.Millisecond
 	minWindow           = time.Millisecond
 	initialLimitShare   = 4
-	// leastPatience is the share of MaxQueueWait that applies at Preference 0.
-	leastPatience = 0.25
+	// minQueueWaitShare is the share of MaxQueueWait that applies at Preference 0.
+	minQueueWaitShare = 0.25
 )
 
 // Config configures a Gate.
@@ -122,7 +122,7 @@
 		name     string
 		value    *time.Duration
 		fallback time.Duration
-		least    time.Duration
+		minimum  time.Duration
 	}{
 		{"MaxQueueWait", &c.MaxQueueWait, DefaultMaxQueueWait, 0},
 		{"TargetWait", &c.TargetWait, DefaultTargetWait, 0},
@@ -133,8 +133,8 @@
 		if *f.value == 0 {
 			*f.value = f.fallback
 		}
-		if *f.value < f.least {
-			return &ConfigError{Field: f.name, Value: f.value.String(), Want: "at least " + f.least.String()}
+		if *f.value < f.minimum {
+			return &ConfigError{Field: f.name, Value: f.value.String(), Want: "at least " + f.minimum.String()}
 		}
 	}
 	return nil
@@ -144,10 +144,10 @@
 	return &ConfigError{Field: field, Value: strconv.Itoa(value), Want: want}
 }
 
-// patience returns the longest time that a call with this preference may be
+// queueWaitLimit returns the longest time that a call with this preference may be
 // queued. Calls that waited for long are the backlog that the upstream still
 // has to work off after a surge.
-func (c Config) patience(preference float64) time.Duration {
-	share := leastPatience + preference*(1-leastPatience)
+func (c Config) queueWaitLimit(preference float64) time.Duration {
+	share := minQueueWaitShare + preference*(1-minQueueWaitShare)
 	return time.Duration(share * float64(c.MaxQueueWait))
 }
--- a/admission/fairness_test.go
+++ b/admission/fairness_test.go
@@ -37,7 +37,7 @@
 	}
 	slices.Sort(ties)
 	threshold := ties[len(ties)*2/3]
-	let := func(caller string) (n int) {
+	admitted := func(caller string) (n int) {
 		for _, tie := range byCaller[caller] {
 			if tie >= threshold {
 				n++
@@ -45,9 +45,9 @@
 		}
 		return n
 	}
-	total := let("hard")
+	total := admitted("hard")
 	for g := range gentle {
-		n := let(fmt.Sprint("gentle", g))
+		n := admitted(fmt.Sprint("gentle", g))
 		c.Assert(n, qt.Equals, seconds*perSecond)
 		total += n
 	}
@@ -65,15 +65,15 @@
 	const perSecond, seconds, parts = 400, 20, 10
 	// Tie-breaks from 48 on are the ranks 1 to 15 of 400: 27 in each tenth of a
 	// second, summed over 18 s.
-	var let [parts]int
+	var admitted [parts]int
 	for i := range seconds * perSecond {
 		at := time.Duration(i) * time.Second / perSecond
 		if k.Rank("status", "steady", time.UnixMilli(0).Add(at)) >= 48 && at > 2*time.Second {
-			let[at%time.Second*parts/time.Second]++
+			admitted[at%time.Second*parts/time.Second]++
 		}
 	}
-	for _, n := range let {
-		c.Check(n >= 20 && n <= 34, qt.IsTrue, qt.Commentf("%v", let))
+	for _, n := range admitted {
+		c.Check(n >= 20 && n <= 34, qt.IsTrue, qt.Commentf("%v", admitted))
 	}
 }
 
--- a/admission/fairshare_test.go
+++ b/admission/fairshare_test.go
@@ -21,7 +21,7 @@
 		start := time.Now()
 		s := NewShedder()
 		s.Heard("read", 0.4, start)
-		var came, let [2]float64
+		var arrived, admitted [2]float64
 		for i := range 60_000 {
 			now := start.Add(time.Duration(i) * time.Millisecond / 2)
 			s.Heard("read", 0.4, now)
@@ -31,12 +31,12 @@
 				use, kind = 1, 0
 			}
 			level := call.MakeLevel(5, place(use, rnd.Float64()))
-			came[kind]++
+			arrived[kind]++
 			if s.Admit("read", level, now).Admitted {
-				let[kind]++
+				admitted[kind]++
 			}
 		}
-		return let[0] / came[0], let[1] / came[1]
+		return admitted[0] / arrived[0], admitted[1] / arrived[1]
 	}
 	hot, others := served(FairTiebreak)
 	c.Check(others > 0.68, qt.IsTrue, qt.Commentf("others %.3f", others))
--- a/admission/feedback.go
+++ b/admission/feedback.go
@@ -89,10 +89,10 @@
 	at := f.clock(now)
 	for {
 		old := p.state.Load()
-		level, heard := unpackFeedback(old)
-		since := elapsed(heard, at)
+		level, observedAt := unpackFeedback(old)
+		since := elapsed(observedAt, at)
 		if since == 0 {
-			at = heard
+			at = observedAt
 		}
 		if p.state.CompareAndSwap(old, packFeedback(f.smooth(level, worst, since), at)) {
 			return
@@ -100,24 +100,24 @@
 	}
 }
 
-// answerWeight is the smallest weight of one response, for roots that get so
+// minResponseWeight is the smallest weight of one response, for roots that get so
 // many responses that the time between two of them rounds to zero.
-const answerWeight = 1.0 / 64
+const minResponseWeight = 1.0 / 64
 
 func (f *Feedback) smooth(level float32, worst call.Level, since time.Duration) float32 {
 	level = f.decayed(level, since)
 	weight := 1 - math.Exp(-float64(since)/float64(f.config.Smoothing))
-	weight = math.Max(weight, answerWeight)
+	weight = math.Max(weight, minResponseWeight)
 	return level + float32(weight)*(float32(worst)-level)
 }
 
 // decayed returns the level after this time without a response.
 func (f *Feedback) decayed(level float32, since time.Duration) float32 {
-	silent := since - f.config.Hold
-	if silent <= 0 {
+	overdue := since - f.config.Hold
+	if overdue <= 0 {
 		return level
 	}
-	left := 1 - float64(silent)/float64(f.config.Release)
+	left := 1 - float64(overdue)/float64(f.config.Release)
 	return level * float32(math.Max(left, 0))
 }
 
@@ -133,9 +133,9 @@
 		return true, 0
 	}
 	old := p.state.Load()
-	level, heard := unpackFeedback(old)
+	level, observedAt := unpackFeedback(old)
 	at := f.clock(now)
-	inForce = call.Level(f.decayed(level, elapsed(heard, at)))
+	inForce = call.Level(f.decayed(level, elapsed(observedAt, at)))
 	if inForce == 0 && level != 0 {
 		// The 32-bit time repeats after 49 days. A level that has decayed to 0
 		// must not return with it.
@@ -153,11 +153,11 @@
 	return uint32(now.Sub(f.epoch).Milliseconds())
 }
 
-// elapsed returns the time from heard to at. Callers read their clocks before
-// they call Observe or Admit, so heard may be slightly later than at; that
+// elapsed returns the time from observedAt to at. Callers read their clocks before
+// they call Observe or Admit, so observedAt may be slightly later than at; that
 // counts as zero.
-func elapsed(heard, at uint32) time.Duration {
-	return time.Duration(max(int32(at-heard), 0)) * time.Millisecond
+func elapsed(observedAt, at uint32) time.Duration {
+	return time.Duration(max(int32(at-observedAt), 0)) * time.Millisecond
 }
 
 func (f *Feedback) profile(name string, now time.Time) *feedbackProfile {
@@ -174,10 +174,10 @@
 	})
 }
 
-func packFeedback(level float32, heard uint32) uint64 {
-	return uint64(math.Float32bits(level))<<32 | uint64(heard)
+func packFeedback(level float32, observedAt uint32) uint64 {
+	return uint64(math.Float32bits(level))<<32 | uint64(observedAt)
 }
 
-func unpackFeedback(state uint64) (level float32, heard uint32) {
+func unpackFeedback(state uint64) (level float32, observedAt uint32) {
 	return math.Float32frombits(uint32(state >> 32)), uint32(state)
 }
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -64,20 +64,20 @@
 	load      atomic.Int32
 	// loadUntil is the time at which the cached load expires.
 	loadUntil atomic.Int64
-	// pressed is the pressure in thousandths.
-	pressed  atomic.Int32
-	profiles profileMap[profileStats]
-	_        [cacheLine]byte
+	// pressurePerMille is the pressure in thousandths.
+	pressurePerMille atomic.Int32
+	profiles         profileMap[profileStats]
+	_                [cacheLine]byte
 
 	shards [shardCount]statShard
 
-	mu       sync.Mutex
-	queue    queue
-	waiters  []*waiter
-	window   windowState
-	pressing pressingState
-	limiter  *limiter
-	leveler  *leveler
+	mu              sync.Mutex
+	queue           queue
+	waiters         []*waiter
+	window          windowState
+	pressureState   pressureState
+	limiter         *limiter
+	levelController *levelController
 }
 
 // NewGate returns a Gate for the configuration, or a *ConfigError if the
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gate{config: config, epoch: config.Clock(), limiter: newLimiter(config), leveler: newLeveler(config)}
+	g := &Gate{config: config, epoch: config.Clock(), limiter: newLimiter(config), levelController: newLevelController(config)}
 	g.queue.limit = config.QueueLimit
 	g.visits.New = func() any { return &visit{gate: g, shard: g.nextID.Add(1) % shardCount} }
 	g.slots.Store(int32(config.Slots))
@@ -118,7 +118,7 @@
 		g.visits.Put(v)
 		return Ticket{}, g.refuse(shard, reason, r)
 	}
-	if g.enter(shard) {
+	if g.takeCapacity(shard) {
 		shard.admitted.Add(1)
 		return v.begin(profile, now, 0), nil
 	}
@@ -180,9 +180,9 @@
 	}
 	g.visits.Put(v)
 	if isBlocked && g.config.DepthAware {
-		g.giveBack(oneInFlight)
+		g.lowerCounts(oneInFlight)
 	} else {
-		g.leave(shard)
+		g.returnCapacity(shard)
 	}
 	g.tickIfDue(now)
 }
@@ -220,20 +220,20 @@
 		return shortRetryAfter
 	}
 	step := levelRetryRecovery + time.Duration(r.Preference*float64(levelRetryGoodput-levelRetryRecovery))
-	below := float64(max(int(admit)-int(r.Level), 0)) / float64(call.MaxTiebreak+1)
-	return time.Duration(float64(step) * min(1+below, maxRetrySteps))
+	prioritiesBelow := float64(max(int(admit)-int(r.Level), 0)) / float64(call.MaxTiebreak+1)
+	return time.Duration(float64(step) * min(1+prioritiesBelow, maxRetrySteps))
 }
 
-// roomShare is the share of the slots in use up to which HasRoom reports free
-// capacity. Upstreams slow down when they are nearly full, and some refuse
+// maxUsedSlotShare is the share of the slots in use up to which HasRoom reports
+// free capacity. Upstreams slow down when they are nearly full, and some refuse
 // calls shortly before that.
-const roomShare = 0.75
+const maxUsedSlotShare = 0.75
 
 // HasRoom reports whether the upstream has free slots, counting the visits
 // admitted by this gate. The calling visit may be one of them.
 func (g *Gate) HasRoom() bool {
 	_, inflight := g.counts()
-	return float64(inflight) <= roomShare*float64(g.slots.Load())
+	return float64(inflight) <= maxUsedSlotShare*float64(g.slots.Load())
 }
 
 // profile returns the record of a profile and creates it if it doesn't exist.
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -59,7 +59,7 @@
 		const rounds = 300
 		callers := 4 * limit
 		g := fixed(c, Config{Slots: limit, InitialLimit: limit, QueueLimit: callers, MaxQueueWait: time.Minute})
-		var held, over atomic.Int32
+		var active, exceeded atomic.Int32
 		var wg sync.WaitGroup
 		for range callers {
 			wg.Go(func() {
@@ -68,11 +68,11 @@
 					go cancel()
 					ticket, err := g.Acquire(ctx, Request{})
 					if err == nil {
-						if held.Add(1) > int32(limit) {
-							over.Add(1)
+						if active.Add(1) > int32(limit) {
+							exceeded.Add(1)
 						}
 						runtime.Gosched()
-						held.Add(-1)
+						active.Add(-1)
 						ticket.Release(Ignore)
 					}
 				}
@@ -80,7 +80,7 @@
 		}
 		wg.Wait()
 		s := g.Snapshot()
-		c.Assert(over.Load(), qt.Equals, int32(0))
+		c.Assert(exceeded.Load(), qt.Equals, int32(0))
 		c.Assert(s.InFlight, qt.Equals, 0)
 		c.Assert(s.Queued, qt.Equals, 0)
 		c.Assert(s.Admitted, qt.Equals, s.Ignored)
@@ -149,7 +149,7 @@
 			g.Hint(x.load)
 			c.Assert(g.Snapshot().Limit, qt.Equals, x.limit)
 		}
-		time.Sleep(2 * hintLife)
+		time.Sleep(2 * reportedLoadTTL)
 		c.Assert(g.Snapshot().Limit, qt.Equals, 40)
 	})
 }
--- a/admission/lag.go
+++ b/admission/lag.go
@@ -15,12 +15,12 @@
 
 // Lags of a node's own work above which the node refuses new work.
 const (
-	// newRequestLag is well above the pauses caused by garbage collection and
+	// maxNewRequestLag is well above the pauses caused by garbage collection and
 	// by a CPU quota, which last up to a tenth of a second.
-	newRequestLag = 200 * time.Millisecond
-	// peerCallLag is higher, because the request of a peer's call has already
+	maxNewRequestLag = 200 * time.Millisecond
+	// maxPeerCallLag is higher, because the request of a peer's call has already
 	// done work.
-	peerCallLag = 400 * time.Millisecond
+	maxPeerCallLag = 400 * time.Millisecond
 )
 
 // TooLate reports whether a node should refuse a piece of work, given the lag
@@ -33,7 +33,7 @@
 // forwarding it, so that the node catches up.
 func TooLate(lag time.Duration, work Work) bool {
 	if work == PeerCall {
-		return lag > peerCallLag
+		return lag > maxPeerCallLag
 	}
-	return lag > newRequestLag
+	return lag > maxNewRequestLag
 }
--- a/admission/lag_test.go
+++ b/admission/lag_test.go
@@ -29,5 +29,5 @@
 		return most
 	}
 	c.Check(latest(false) > 1900*time.Millisecond, qt.IsTrue)
-	c.Check(latest(true) <= newRequestLag+passOn, qt.IsTrue)
+	c.Check(latest(true) <= maxNewRequestLag+passOn, qt.IsTrue)
 }
--- a/admission/leveler.go
+++ b/admission/leveler.go
@@ -10,63 +10,63 @@
 // levels is the number of levels.
 const levels = int(call.MaxLevel) + 1
 
-// Parameters of the leveler.
+// Parameters of the level controller.
 const (
-	// firstAllowance is the allowance of the first calm window, as a share of
+	// initialAllowance is the allowance of the first calm window, as a share of
 	// the admitted arrivals: how many more arrivals the level may let in.
-	firstAllowance = 1.0 / 64
-	// growth is the factor on the allowance for each further calm window.
-	growth = 1.6
-	// margin is the target for admitted arrivals after an overloaded window, as
-	// a share of the capacity, before deviations is added.
-	margin = 1.05
-	// deviations is the number of standard deviations of a window's arrivals
-	// that are added to the target.
-	deviations = 3
-	// mostKept bounds the target as a multiple of the capacity, for upstreams
-	// that finish few visits in a window.
-	mostKept = 3
+	initialAllowance = 1.0 / 64
+	// allowanceGrowth is the factor on the allowance for each further calm window.
+	allowanceGrowth = 1.6
+	// targetMargin is the target for admitted arrivals after an overloaded
+	// window, as a share of the capacity, before targetDeviations is added.
+	targetMargin = 1.05
+	// targetDeviations is the number of standard targetDeviations of a window's
+	// arrivals that are added to the target.
+	targetDeviations = 3
+	// maxTargetFactor bounds the target as a multiple of the capacity, for
+	// upstreams that finish few visits in a window.
+	maxTargetFactor = 3
 	// toleranceRecovery and toleranceGoodput are the factors on TargetWait at
 	// Preference 0 and 1.
 	toleranceRecovery = 2.0
 	toleranceGoodput  = 8.0
-	// largestCut is the smallest share of the admitted arrivals that one raise
-	// of the level may leave.
-	largestCut = 0.25
-	// visibleWeight is the highest weight of one window in the expected
+	// minAdmittedShare is the smallest share of the admitted arrivals that one
+	// raise of the level may leave.
+	minAdmittedShare = 0.25
+	// maxArrivalWeight is the highest weight of one window in the expected
 	// arrivals.
-	visibleWeight = 0.5
+	maxArrivalWeight = 0.5
 	// arrivalNoise is the relative error that random variation may cause in the
 	// expected arrivals.
 	arrivalNoise = 0.06
-	// hiddenDecay is the factor per window on expected arrivals that are
+	// filteredDecay is the factor per window on expected arrivals that are
 	// refused by the roots and so can't be counted.
-	hiddenDecay = 0.98
-	// visibleShare is the share of the arrivals expected below the level that
+	filteredDecay = 0.98
+	// minVisibleShare is the share of the arrivals expected below the level that
 	// must come, or else the roots are taken to refuse them.
-	visibleShare = 0.1
+	minVisibleShare = 0.1
 	// refusalShare is the share of arrivals refused by the queue from which a
 	// window counts as overloaded.
 	refusalShare = 0.1
-	// provenWeight is the weight of an overloaded window in the proven
+	// provenCapacityWeight is the weight of an overloaded window in the proven
 	// capacity.
-	provenWeight = 0.5
+	provenCapacityWeight = 0.5
 	// spareShare is the share of the unused capacity that the level lets in
 	// again at once. A higher share recovers sooner; a lower share refuses
 	// fewer calls that the roots have admitted.
 	spareShare = 0.8
-	// leastUse is the share of the capacity that must stay in use: a level is
+	// minUtilization is the share of the capacity that must stay in use: a level is
 	// admitted as a whole rather than leave less than that in use.
-	leastUse = 0.5
-	// maxCalm bounds the count of calm windows.
-	maxCalm = 64
+	minUtilization = 0.5
+	// maxCalmWindows bounds the count of calm windows.
+	maxCalmWindows = 64
 	// graceWindows is the number of windows for which a raise of the level
 	// spares calls whose root admitted them before the raise.
 	graceWindows = 3
 )
 
-// load is the leveler's input from one window.
-type load struct {
+// windowDemand is the level controller's input from one window.
+type windowDemand struct {
 	// arrivals counts the calls of the window by level.
 	arrivals *[levels]uint32
 	// capacity is the number of visits that the upstream can finish in a
@@ -85,48 +85,48 @@
 	preference float64
 }
 
-// leveler computes the admission level. It is pure. The caller must hold the
-// gate's lock.
-type leveler struct {
-	target   time.Duration
-	level    call.Level
-	expected [levels]float32
-	calm     int
-	// proven is the capacity measured in overloaded windows. A calm window
+// levelController computes the admission level. It is pure. The caller must
+// hold the gate's lock.
+type levelController struct {
+	target      time.Duration
+	level       call.Level
+	expected    [levels]float32
+	calmWindows int
+	// provenCapacity is the capacity measured in overloaded windows. A calm window
 	// doesn't show the capacity, because its limit is not used up.
-	proven float64
-	recent [graceWindows]call.Level
+	provenCapacity float64
+	recentLevels   [graceWindows]call.Level
 }
 
-func newLeveler(c Config) *leveler {
-	return &leveler{target: c.TargetWait, calm: 1}
+func newLevelController(c Config) *levelController {
+	return &levelController{target: c.TargetWait, calmWindows: 1}
 }
 
 // update adjusts the level to the measurement of a window.
-func (v *leveler) update(w load) {
+func (v *levelController) update(w windowDemand) {
 	arrived := v.learn(w)
-	copy(v.recent[1:], v.recent[:])
-	v.recent[0] = v.level
+	copy(v.recentLevels[1:], v.recentLevels[:])
+	v.recentLevels[0] = v.level
 	if v.overloaded(w, arrived) {
-		v.calm = 0
-		v.proven += provenWeight * (w.capacity - v.proven)
+		v.calmWindows = 0
+		v.provenCapacity += provenCapacityWeight * (w.capacity - v.provenCapacity)
 		v.raise(w.capacity)
 		return
 	}
-	v.calm = min(v.calm+w.windows, maxCalm)
+	v.calmWindows = min(v.calmWindows+w.windows, maxCalmWindows)
 	v.lower()
 }
 
 // inheritedLevel returns the level for calls that a root has already admitted.
-func (v *leveler) inheritedLevel() call.Level {
+func (v *levelController) inheritedLevel() call.Level {
 	lowest := v.level
-	for _, l := range v.recent {
+	for _, l := range v.recentLevels {
 		lowest = min(lowest, l)
 	}
 	return lowest
 }
 
-func (v *leveler) overloaded(w load, arrived int) bool {
+func (v *levelController) overloaded(w windowDemand, arrived int) bool {
 	tolerance := toleranceRecovery + w.preference*(toleranceGoodput-toleranceRecovery)
 	target := time.Duration(float64(v.target) * tolerance)
 	if w.meanWait > target || w.oldestWait > target {
@@ -140,73 +140,73 @@
 // seen any more. If their absence were taken for a lack of demand, the level
 // would fall and let in all of it at once. The last known arrivals below the
 // level therefore decay slowly.
-func (v *leveler) learn(w load) int {
+func (v *levelController) learn(w windowDemand) int {
 	arrived := 0
 	windows := float32(w.windows)
-	hidden := v.hidden(w)
-	weight := visibleWeightAt(w.capacity)
+	filtered := v.filteredByRoots(w)
+	weight := arrivalWeight(w.capacity)
 	for i := range v.expected {
 		n := w.arrivals[i]
 		arrived += int(n)
 		seen := float32(n) / windows
 		e := &v.expected[i]
 		switch {
-		case !hidden || i >= int(v.level) || seen > *e:
+		case !filtered || i >= int(v.level) || seen > *e:
 			*e += weight * (seen - *e)
 		default:
-			*e *= hiddenDecay
+			*e *= filteredDecay
 		}
 	}
 	return arrived
 }
 
-// hidden reports whether the roots refuse the calls below the level: of the
-// arrivals expected there, only about as many came as the roots let through as
-// probes.
-func (v *leveler) hidden(w load) bool {
+// filteredByRoots reports whether the roots refuse the calls below the level:
+// of the arrivals expected there, only about as many came as the roots let
+// through as probes.
+func (v *levelController) filteredByRoots(w windowDemand) bool {
 	seen, expected := 0.0, 0.0
 	for i := range v.level {
 		seen += float64(w.arrivals[i])
 		expected += float64(v.expected[i])
 	}
-	return w.windows == 1 && seen < visibleShare*expected
+	return w.windows == 1 && seen < minVisibleShare*expected
 }
 
-// visibleWeightAt returns the weight of a window in the expected arrivals. The
+// arrivalWeight returns the weight of a window in the expected arrivals. The
 // fewer calls a window has, the larger is the random part of its count. A level
 // that follows the random variation is too high in every other window.
-func visibleWeightAt(capacity float64) float32 {
+func arrivalWeight(capacity float64) float32 {
 	precise := arrivalNoise * arrivalNoise * max(capacity, 1)
-	return float32(min(2*precise/(1+precise), visibleWeight))
+	return float32(min(2*precise/(1+precise), maxArrivalWeight))
 }
 
-// kept returns the target for the number of admitted arrivals in a window, for
-// a given capacity.
+// admissionTarget returns the target for the number of admitted arrivals in a
+// window, for a given capacity.
 //
 // The smaller the capacity, the further the target is above it, because of
 // random variation: a window that can finish ten visits and receives 1.35 times
 // as many calls on average still receives fewer than ten in one case out of
 // eight, and the upstream idles in the middle of a surge. The queue refuses the
 // excess calls, in the order of importance and before any work is done.
-func kept(capacity float64) float64 {
-	return min(margin*capacity+deviations*math.Sqrt(capacity), mostKept*capacity)
+func admissionTarget(capacity float64) float64 {
+	return min(targetMargin*capacity+targetDeviations*math.Sqrt(capacity), maxTargetFactor*capacity)
 }
 
 // raise lifts the level until the arrivals expected at or above it fit the
 // capacity.
-func (v *leveler) raise(capacity float64) {
-	keep := max(kept(capacity), largestCut*v.admitted())
+func (v *levelController) raise(capacity float64) {
+	target := max(admissionTarget(capacity), minAdmittedShare*v.admitted())
 	sum := 0.0
 	for i := levels - 1; i >= int(v.level); i-- {
 		next := sum + float64(v.expected[i])
-		if next <= keep {
+		if next <= target {
 			sum = next
 			continue
 		}
 		// A level can only be refused as a whole. If that would leave half of
 		// the capacity unused, because many calls share one level, the level is
 		// admitted and the queue refuses the excess calls.
-		if sum < leastUse*keep {
+		if sum < minUtilization*target {
 			i--
 		}
 		v.level = call.Level(min(i+1, levels-1))
@@ -219,20 +219,20 @@
 // calm window. So a lasting overload is held near the capacity, and after a
 // surge, when the arrivals expected below the level no longer come, the level
 // falls to zero within a few windows.
-func (v *leveler) lower() {
+func (v *levelController) lower() {
 	if v.level == 0 {
 		return
 	}
 	admitted := v.admitted()
-	allowance := firstAllowance * max(admitted, 1)
-	for range v.calm - 1 {
-		allowance *= growth
+	allowance := initialAllowance * max(admitted, 1)
+	for range v.calmWindows - 1 {
+		allowance *= allowanceGrowth
 	}
-	allowance = max(allowance, spareShare*(kept(v.proven)-admitted))
+	allowance = max(allowance, spareShare*(admissionTarget(v.provenCapacity)-admitted))
 	sum := 0.0
 	for v.level > 0 {
 		next := sum + float64(v.expected[v.level-1])
-		if next > allowance && admitted+sum >= leastUse*v.proven {
+		if next > allowance && admitted+sum >= minUtilization*v.provenCapacity {
 			return
 		}
 		sum = next
@@ -241,7 +241,7 @@
 }
 
 // admitted returns the number of arrivals expected at or above the level.
-func (v *leveler) admitted() float64 {
+func (v *levelController) admitted() float64 {
 	sum := 0.0
 	for i := int(v.level); i < levels; i++ {
 		sum += float64(v.expected[i])
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -27,21 +27,21 @@
 	// help. The slowness is then not caused by concurrency, and the baseline
 	// adapts to it.
 	baselineRelearn = 0.3
-	// shedCut is the factor applied to the limit when the upstream itself shed
+	// shedFactor is the factor applied to the limit when the upstream itself shed
 	// calls.
-	shedCut = 0.9
+	shedFactor = 0.9
 	// shedShare is the share of visits that the upstream must shed for the
 	// limit to fall; it may shed a few for other reasons.
 	shedShare = 0.01
 	// busyShare is the share of the limit that must be in use for the limit to
 	// grow.
 	busyShare = 0.7
-	// hintFloorShare is the smallest factor that a reported load may apply to
-	// the limit.
-	hintFloorShare = 0.5
-	// hintLife is how long a reported load is used. Reports lag behind the real
-	// load.
-	hintLife = time.Second
+	// minReportedLoadFactor is the smallest factor that a reported load may
+	// apply to the limit.
+	minReportedLoadFactor = 0.5
+	// reportedLoadTTL is how long a reported load is used. Reports lag behind
+	// the real load.
+	reportedLoadTTL = time.Second
 )
 
 // sample is the measurement of one profile in one window.
@@ -77,8 +77,8 @@
 	// share is Config.SlotShare.
 	share float64
 
-	hint      float64
-	hintUntil time.Duration
+	reportedLoad      float64
+	reportedLoadUntil time.Duration
 
 	// The latency ratio and goodput before the last reduction of the limit, to
 	// judge whether the reduction helped.
@@ -91,8 +91,8 @@
 	return &limiter{share: c.SlotShare, slots: c.Slots, minLimit: c.MinLimit, initial: c.InitialLimit, ramp: c.RampTime, limit: float64(c.InitialLimit)}
 }
 
-// ceiling returns the upper bound that the ramp sets at this time.
-func (l *limiter) ceiling(now time.Duration) float64 {
+// rampLimit returns the upper bound that the ramp sets at this time.
+func (l *limiter) rampLimit(now time.Duration) float64 {
 	slots := float64(l.slots)
 	since := now - l.rampStart
 	if l.ramp <= 0 || since >= l.ramp {
@@ -108,12 +108,12 @@
 	if l.share > 0 {
 		return min(max(int(l.share*float64(l.slots)), 1), max(l.slots, 1))
 	}
-	limit := math.Min(l.limit, l.ceiling(now))
+	limit := math.Min(l.limit, l.rampLimit(now))
 	// A late or wrong report must neither starve the upstream nor raise the
 	// limit above the learned value. So a report only lowers the limit, at most
 	// by half, and expires soon.
-	if now < l.hintUntil && l.hint > 1 {
-		limit *= math.Max(1/l.hint, hintFloorShare)
+	if now < l.reportedLoadUntil && l.reportedLoad > 1 {
+		limit *= math.Max(1/l.reportedLoad, minReportedLoadFactor)
 	}
 	return min(max(int(limit+0.5), l.minLimit), l.slots)
 }
@@ -127,9 +127,9 @@
 	l.limit = math.Min(l.limit, float64(n))
 }
 
-func (l *limiter) setHint(load float64, now time.Duration) {
-	l.hint = load
-	l.hintUntil = now + hintLife
+func (l *limiter) setReportedLoad(load float64, now time.Duration) {
+	l.reportedLoad = load
+	l.reportedLoadUntil = now + reportedLoadTTL
 }
 
 // update adjusts the limit to the measurement of a window.
@@ -140,19 +140,19 @@
 		goodput = float64(m.ok) / m.elapsed.Seconds()
 	}
 	if measured && l.cutPending {
-		l.judgeCut(ratio, goodput, m.samples)
+		l.evaluateCut(ratio, goodput, m.samples)
 	}
 	learnBaselines(m.samples)
 	switch {
 	case float64(m.shed) > shedShare*float64(m.ok+m.shed):
-		l.limit *= shedCut
+		l.limit *= shedFactor
 	case measured && ratio > latencyTolerance:
 		l.cut(ratio, goodput)
 	case float64(m.peakActive) >= busyShare*l.limit:
 		l.limit += math.Max(1, growthShare*l.limit)
 	}
 	l.limit = math.Max(l.limit, float64(l.minLimit))
-	l.limit = math.Min(l.limit, math.Max(l.ceiling(now), float64(l.minLimit)))
+	l.limit = math.Min(l.limit, math.Max(l.rampLimit(now), float64(l.minLimit)))
 }
 
 // cut lowers the limit in proportion to the excess latency.
@@ -164,14 +164,14 @@
 	l.cutPending = true
 }
 
-// judgeCut checks whether the last reduction of the limit helped. If the
+// evaluateCut checks whether the last reduction of the limit helped. If the
 // latency ratio did not fall but goodput did, the upstream is slow for another
 // reason than concurrency. Further reductions would only leave slots unused, so
 // the baselines move towards the current self times.
-func (l *limiter) judgeCut(ratio, goodput float64, samples []sample) {
+func (l *limiter) evaluateCut(ratio, goodput float64, samples []sample) {
 	l.cutPending = false
-	const useful = 0.95
-	if ratio < l.cutRatio*useful || goodput >= l.cutGoodput*useful {
+	const minImprovement = 0.95
+	if ratio < l.cutRatio*minImprovement || goodput >= l.cutGoodput*minImprovement {
 		return
 	}
 	for _, s := range samples {
--- a/admission/oracle_test.go
+++ b/admission/oracle_test.go
@@ -46,11 +46,11 @@
 
 // oracle is a simple model of the gate: lists that are searched in full.
 type oracle struct {
-	gate         *Gate
-	limit, queue int
-	all          []*entry
-	held, waits  []*entry
-	draining     bool
+	gate             *Gate
+	limit, queue     int
+	all              []*entry
+	inFlight, queued []*entry
+	draining         bool
 }
 
 // Calls arrive, end, block, are cancelled, time out in the queue and meet a
@@ -100,7 +100,7 @@
 			return fmt.Sprintf("after operation %d %+v: %s", i, op, fault)
 		}
 	}
-	for _, e := range o.waits {
+	for _, e := range o.queued {
 		e.cancel()
 	}
 	synctest.Wait()
@@ -112,12 +112,12 @@
 	case opAcquire:
 		o.acquire(t, op.request)
 	case opCancel, opCancelRelease:
-		if len(o.waits) > 0 {
-			o.settle(o.waits[op.n%len(o.waits)], call.ReasonCancelled).cancel()
+		if len(o.queued) > 0 {
+			o.resolve(o.queued[op.n%len(o.queued)], call.ReasonCancelled).cancel()
 		}
-		if op.kind == opCancelRelease && len(o.held) > 0 {
+		if op.kind == opCancelRelease && len(o.inFlight) > 0 {
 			// Capacity becomes free before the gate notices the cancellation.
-			o.visit(opRelease, o.held[op.n%len(o.held)])
+			o.visit(opRelease, o.inFlight[op.n%len(o.inFlight)])
 		}
 	case opSleep:
 		o.sleep(time.Duration(op.n) * time.Millisecond)
@@ -125,8 +125,8 @@
 		o.draining = !o.draining
 		o.gate.draining.Store(o.draining)
 	default:
-		if len(o.held) > 0 {
-			o.visit(op.kind, o.held[op.n%len(o.held)])
+		if len(o.inFlight) > 0 {
+			o.visit(op.kind, o.inFlight[op.n%len(o.inFlight)])
 		}
 	}
 	o.dispatch()
@@ -137,7 +137,7 @@
 	switch kind {
 	case opRelease:
 		e.try.ticket.Release(Ignore)
-		o.held = slices.DeleteFunc(o.held, func(x *entry) bool { return x == e })
+		o.inFlight = slices.DeleteFunc(o.inFlight, func(x *entry) bool { return x == e })
 	case opBlock:
 		e.try.ticket.Block()
 		e.blocks++
@@ -161,25 +161,25 @@
 		e.want = call.ReasonDraining
 		return
 	}
-	o.waits = append(o.waits, e)
+	o.queued = append(o.queued, e)
 	o.dispatch()
 	if e.want != waiting {
 		return
 	}
 	if wait < 0 {
-		o.settle(e, call.ReasonQueueWait)
-	} else if len(o.waits) > o.queue {
-		worst := slices.MinFunc(o.waits, less)
-		if less(worst, e) == 0 {
+		o.resolve(e, call.ReasonQueueWait)
+	} else if len(o.queued) > o.queue {
+		worst := slices.MinFunc(o.queued, compareImportance)
+		if compareImportance(worst, e) == 0 {
 			worst = e
 		}
-		o.settle(worst, call.ReasonQueueFull)
+		o.resolve(worst, call.ReasonQueueFull)
 	}
 }
 
-// less compares the importance of two calls. The result is negative if a is
-// less important.
-func less(a, b *entry) int {
+// compareImportance compares the importance of two calls. The result is
+// negative if a is compareImportance important.
+func compareImportance(a, b *entry) int {
 	x, y := a.request, b.request
 	if d := int(x.Level.Priority()) - int(y.Level.Priority()); d != 0 {
 		return d
@@ -192,34 +192,34 @@
 
 func (o *oracle) sleep(d time.Duration) {
 	time.Sleep(d)
-	for _, e := range slices.Clone(o.waits) {
+	for _, e := range slices.Clone(o.queued) {
 		if !e.expires.After(time.Now()) {
-			o.settle(e, call.ReasonQueueWait)
+			o.resolve(e, call.ReasonQueueWait)
 		}
 	}
 }
 
-func (o *oracle) settle(e *entry, reason call.Reason) *entry {
+func (o *oracle) resolve(e *entry, reason call.Reason) *entry {
 	e.want = reason
-	o.waits = slices.DeleteFunc(o.waits, func(x *entry) bool { return x == e })
+	o.queued = slices.DeleteFunc(o.queued, func(x *entry) bool { return x == e })
 	return e
 }
 
 func (o *oracle) dispatch() {
-	for len(o.waits) > 0 && len(o.held) < int(o.gate.slots.Load()) && o.active() < o.limit {
-		best := o.waits[0]
-		for _, e := range o.waits {
-			if less(e, best) > 0 {
+	for len(o.queued) > 0 && len(o.inFlight) < int(o.gate.slots.Load()) && o.active() < o.limit {
+		best := o.queued[0]
+		for _, e := range o.queued {
+			if compareImportance(e, best) > 0 {
 				best = e
 			}
 		}
-		o.held = append(o.held, o.settle(best, call.ReasonNone))
+		o.inFlight = append(o.inFlight, o.resolve(best, call.ReasonNone))
 	}
 }
 
 func (o *oracle) active() int {
 	n := 0
-	for _, e := range o.held {
+	for _, e := range o.inFlight {
 		if e.blocks == 0 {
 			n++
 		}
@@ -240,8 +240,8 @@
 		}
 	}
 	s := o.gate.Snapshot()
-	if s.InFlight != len(o.held) || s.InFlight > s.Slots || s.Queued != len(o.waits) || s.InFlight-s.Blocked != o.active() {
-		return fmt.Sprintf("counts: %+v, want %d in flight, %d active, %d queued", s, len(o.held), o.active(), len(o.waits))
+	if s.InFlight != len(o.inFlight) || s.InFlight > s.Slots || s.Queued != len(o.queued) || s.InFlight-s.Blocked != o.active() {
+		return fmt.Sprintf("counts: %+v, want %d in flight, %d active, %d queued", s, len(o.inFlight), o.active(), len(o.queued))
 	}
 	return ""
 }
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -125,7 +125,7 @@
 			return 5 * time.Millisecond
 		}
 		least := s.config.Slots
-		s.each = func(at time.Duration, g *Gate) {
+		s.onArrival = func(at time.Duration, g *Gate) {
 			if at > 2*time.Second {
 				least = min(least, int(g.limit.Load()))
 			}
@@ -188,7 +188,7 @@
 		c.Assert(err, qt.IsNil)
 		_, err = g.Acquire(t.Context(), Request{})
 		c.Assert(err, qt.IsNil)
-		for r, patience := range map[Request]time.Duration{
+		for r, wantWait := range map[Request]time.Duration{
 			{MaxWait: time.Second}:                DefaultMaxQueueWait / 4,
 			{MaxWait: time.Second, Preference: 1}: DefaultMaxQueueWait,
 			{MaxWait: time.Second, Hold: true}:    time.Second,
@@ -196,7 +196,7 @@
 			start := time.Now()
 			_, err = g.Acquire(t.Context(), r)
 			c.Check(err, qt.ErrorMatches, ".*queue-wait.*")
-			c.Check(time.Since(start), qt.Equals, patience)
+			c.Check(time.Since(start), qt.Equals, wantWait)
 		}
 	})
 }
@@ -208,7 +208,7 @@
 func TestRaisedLevelLeavesNoWindowShort(t *testing.T) {
 	c := qt.New(t)
 	for _, capacity := range []float64{1, 10, 100, 1000} {
-		v := newLeveler(Config{})
+		v := newLevelController(Config{})
 		for i := range v.expected {
 			v.expected[i] = float32(4 * capacity / float64(levels))
 		}
@@ -227,6 +227,6 @@
 		}
 		t.Logf("capacity %v: %.0f%% of it arrive, %d of %d windows short", capacity, 100*v.admitted()/capacity, short, windows)
 		c.Check(short <= windows*6/100, qt.IsTrue)
-		c.Check(v.admitted() <= mostKept*capacity, qt.IsTrue)
+		c.Check(v.admitted() <= maxTargetFactor*capacity, qt.IsTrue)
 	}
 }
--- a/admission/placement_test.go
+++ b/admission/placement_test.go
@@ -22,7 +22,7 @@
 // their work to the capacity, and returns the admitted share of each kind and
 // of all requests. The capacity is in milliseconds of slots for each tick of
 // 10 ms.
-func admitAll(kinds []kind, capacity float64, tellWork bool) (served map[string]float64, all float64) {
+func admitAll(kinds []kind, capacity float64, reportWork bool) (served map[string]float64, all float64) {
 	random := rand.New(rand.NewPCG(3, 4))
 	s := NewShedder()
 	offered := 0.0
@@ -37,24 +37,24 @@
 		now = now.Add(10 * time.Millisecond)
 		// The upstream's pressure follows the work that was admitted.
 		pressure += 0.02 * (work - capacity) / offered
-		pressure = min(max(pressure, 0), pressureMost)
+		pressure = min(max(pressure, 0), maxPressure)
 		work = 0
 		for _, k := range kinds {
 			s.Heard(k.name, pressure, now)
-			if tellWork {
+			if reportWork {
 				s.HeardWork(k.name, k.work)
 			}
 			for range k.perTick {
 				level := call.MakeLevel(k.priority, call.Tiebreak(random.IntN(int(call.MaxTiebreak)+1)))
-				in := s.Admit(k.name, level, now).Admitted
-				if in {
+				admittedNow := s.Admit(k.name, level, now).Admitted
+				if admittedNow {
 					work += float64(k.work)
 				}
 				if tick < ticks/2 {
 					continue
 				}
 				asked[k.name]++
-				if in {
+				if admittedNow {
 					admitted[k.name]++
 				}
 			}
@@ -89,7 +89,7 @@
 	c.Logf("served of all: %.3f alike, %.3f by their work; by kind: %.2v, %.2v", before, after, alike, placed)
 	c.Check(after >= before+0.03, qt.IsTrue)
 	c.Check(placed["filing"] >= 0.97, qt.IsTrue)
-	c.Check(placed["status"] >= 0.9*keptShare*placed["browse"], qt.IsTrue)
+	c.Check(placed["status"] >= 0.9*minRelativeShare*placed["browse"], qt.IsTrue)
 	c.Check(placed["status"] <= alike["status"], qt.IsTrue)
 }
 
@@ -98,22 +98,22 @@
 func TestPlacementKeepsAShareForEachKind(t *testing.T) {
 	c := qt.New(t)
 	whole := int(call.MaxTiebreak) + 1
-	for _, weight := range []float64{1, 0.9, 0.5, leastWeight, weightOf(1e6, 1)} {
+	for _, weight := range []float64{1, 0.9, 0.5, minCostWeight, costWeight(1e6, 1)} {
 		for threshold := range whole {
 			in := 0
 			for tie := range whole {
-				level := place(call.MakeLevel(9, call.Tiebreak(tie)), weight)
+				level := weightedLevel(call.MakeLevel(9, call.Tiebreak(tie)), weight)
 				c.Assert(level.Priority(), qt.Equals, call.Priority(9))
 				if int(level.Tiebreak()) >= threshold {
 					in++
 				}
 			}
 			// A difference of one tie-break is rounding.
-			kept := keptShare * float64(whole-threshold)
+			kept := minRelativeShare * float64(whole-threshold)
 			c.Assert(float64(in) >= kept-1, qt.IsTrue, qt.Commentf("weight %v, threshold %d: %d of %d", weight, threshold, in, whole))
 		}
 	}
-	c.Check(weightOf(0, 10), qt.Equals, 1.0)
-	c.Check(weightOf(20, 10), qt.Equals, 0.5)
-	c.Check(weightOf(5, 10), qt.Equals, 1.0)
+	c.Check(costWeight(0, 10), qt.Equals, 1.0)
+	c.Check(costWeight(20, 10), qt.Equals, 0.5)
+	c.Check(costWeight(5, 10), qt.Equals, 1.0)
 }
--- a/admission/pressed_test.go
+++ b/admission/pressed_test.go
@@ -10,14 +10,14 @@
 	"pollengauge.dev/call"
 )
 
-// chain simulates an upstream downstream of many roots, in steps of one window.
-// Each request makes calls calls there, spread evenly over spread windows; the
-// first of them arrive after about life windows, when the request has passed
-// the upstreams before.
-type chain struct {
+// simulatedUpstream simulates an upstream downstream of many roots, in steps of
+// one window. Each request makes calls calls there, spread evenly over spread
+// windows; the first of them arrive after about life windows, when the request
+// has passed the upstreams before.
+type simulatedUpstream struct {
 	capacity float64 // calls that a window serves
 	calls    int
-	life     int // windows
+	delay    int // windows
 	spread   int // windows
 	p        pressure
 	// pending are the calls due in the coming windows, demand the calls that
@@ -28,18 +28,18 @@
 // step simulates one window in which offered requests arrive and the roots
 // refuse a part of them according to the pressure. It returns the requests
 // begun and the calls refused.
-func (ch *chain) step(offered float64) (begun, refused float64) {
+func (ch *simulatedUpstream) step(offered float64) (begun, refused float64) {
 	spread := max(ch.spread, 1)
 	if ch.pending == nil {
-		ch.pending = make([]float64, ch.life+spread-1)
-		ch.demand = make([]float64, ch.life+spread-1)
+		ch.pending = make([]float64, ch.delay+spread-1)
+		ch.demand = make([]float64, ch.delay+spread-1)
 	}
 	heldBack := ch.p.value
 	begun = offered * (1 - heldBack)
 	for i := range spread {
 		calls := begun * float64(ch.calls) / float64(spread)
-		ch.pending[ch.life-1+i] += calls
-		ch.demand[ch.life-1+i] += calls * float64(demandOf(heldBack)) / thousand
+		ch.pending[ch.delay-1+i] += calls
+		ch.demand[ch.delay-1+i] += calls * float64(demandOf(heldBack)) / thousand
 	}
 	due, demand := ch.pending[0], ch.demand[0]
 	ch.pending = append(ch.pending[1:], 0)
@@ -57,7 +57,7 @@
 func TestPressureFitsCallsThatTakeTheirTime(t *testing.T) {
 	c := qt.New(t)
 	const capacity, calls = 29, 8
-	ch := &chain{capacity: capacity, calls: calls, life: 3, spread: 20}
+	ch := &simulatedUpstream{capacity: capacity, calls: calls, delay: 3, spread: 20}
 	highest := 0.0
 	for range 200 {
 		ch.step(2.7 * capacity / calls)
@@ -99,7 +99,7 @@
 func TestPressureHoldsADeepUpstreamAtItsCapacity(t *testing.T) {
 	c := qt.New(t)
 	const perSecond = int(time.Second / pressureWindow)
-	ch := &chain{capacity: 800, calls: 8, life: 4}
+	ch := &simulatedUpstream{capacity: 800, calls: 8, delay: 4}
 	var begun, refused float64
 	for window := range 8 * perSecond {
 		b, r := ch.step(170)
@@ -123,13 +123,13 @@
 // all requests.
 func TestPressureDoesNotOvershoot(t *testing.T) {
 	c := qt.New(t)
-	ch := &chain{capacity: 800, calls: 8, life: 4}
-	most := 0.0
+	ch := &simulatedUpstream{capacity: 800, calls: 8, delay: 4}
+	highest := 0.0
 	for range 100 {
 		ch.step(400)
-		most = max(most, ch.p.value)
+		highest = max(highest, ch.p.value)
 	}
-	c.Check(most < 0.8, qt.IsTrue, qt.Commentf("%.2f at its highest, 0.76 wanted", most))
+	c.Check(highest < 0.8, qt.IsTrue, qt.Commentf("%.2f at its highest, 0.76 wanted", highest))
 	c.Check(ch.p.value > 0.7, qt.IsTrue, qt.Commentf("%.2f in the end", ch.p.value))
 }
 
@@ -169,7 +169,7 @@
 		s.Heard("browse", 0.97, now)
 	}
 	for range 30 {
-		now = now.Add(heardLife + time.Millisecond)
+		now = now.Add(pressureTTL + time.Millisecond)
 		s.Pressure("browse", now)
 	}
 	c.Check(s.Pressure("browse", now) < 0.01, qt.IsTrue)
--- a/admission/pressure.go
+++ b/admission/pressure.go
@@ -8,42 +8,42 @@
 	// well below the time until a change takes effect, which is the duration of
 	// a complete request.
 	pressureWindow = 100 * time.Millisecond
-	// pressureAim is the target for the offered load, as a share of the limit.
-	// Load above it only queues.
-	pressureAim = 0.95
+	// pressureTargetLoad is the target for the offered load, as a share of the
+	// limit. Load above it only queues.
+	pressureTargetLoad = 0.95
 	// pressureRise and pressureFall are the part of the distance to the wanted
 	// value that the pressure moves in one window, which smooths the arrivals
 	// of a window. The fall is slower, because many callers that are waiting to
 	// retry would take up all the returned capacity at once.
 	pressureRise = 0.35
 	pressureFall = 0.15
-	// trimRefused is the share of calls that may find no free capacity, and
+	// trimRefusedShare is the share of calls that may find no free capacity, and
 	// trimWeight is the weight of a window in that share. With eight calls in a
 	// request, one refused call in a hundred makes 8 % of the requests fail.
-	trimRefused = 0.01
-	trimWeight  = 0.2
+	trimRefusedShare = 0.01
+	trimWeight       = 0.2
 	// trimStep is how much the target is lowered by a window with more
-	// refusals, and trimBack how much it is raised again by a window with
+	// refusals, and trimRecovery how much it is raised again by a window with
 	// fewer: an error of the estimate is corrected within a second, and a
 	// higher target is tried over ten.
-	trimStep = 0.02
-	trimBack = 0.004
-	// trimAfter is the number of windows for which the pressure must have been
-	// at the wanted value, less trimNear, before the target is lowered.
-	// Requests that began earlier still make their calls for about a second,
-	// and those calls find no capacity whatever the target is now.
-	trimAfter = 10
-	trimNear  = 0.03
-	// trimLeast is the smallest factor on the target, because short bursts find
+	trimStep     = 0.02
+	trimRecovery = 0.004
+	// trimDelayWindows is the number of windows for which the pressure must
+	// have been at the wanted value, less trimTolerance, before the target is
+	// lowered. Requests that began earlier still make their calls for about a
+	// second, and those calls find no capacity whatever the target is now.
+	trimDelayWindows = 10
+	trimTolerance    = 0.03
+	// trimMinFactor is the smallest factor on the target, because short bursts find
 	// no free capacity at any load.
 	//
 	// Without a bound, each window with a refusal raised the pressure further:
 	// an upstream of 17 slots at three times its capacity refuses some calls in
 	// most windows, and its pressure stood at 0.97 where 0.71 was wanted.
-	trimLeast = 0.75
-	// pressureMost still admits some requests, or nobody would notice that the
+	trimMinFactor = 0.75
+	// maxPressure still admits some requests, or nobody would notice that the
 	// overload has passed.
-	pressureMost = 0.97
+	maxPressure = 0.97
 )
 
 // pressureLoad is the input of the pressure computation from one window.
@@ -73,30 +73,30 @@
 // takes effect.
 type pressure struct {
 	value float64
-	// taken is the share by which the target is lowered, and refused the
+	// targetReduction is the share by which the target is lowered, and refused the
 	// smoothed share of calls that found no free capacity.
-	taken, refused float64
-	// settled counts the windows in which value was near or above the wanted
+	targetReduction, refused float64
+	// settledWindows counts the windows in which value was near or above the wanted
 	// value.
-	settled int
+	settledWindows int
 }
 
 func (p *pressure) update(w pressureLoad) {
 	p.trim(w)
 	wanted := 0.0
 	if w.offered > 0 {
-		wanted = 1 - pressureAim*(1-p.taken)/w.offered
+		wanted = 1 - pressureTargetLoad*(1-p.targetReduction)/w.offered
 	}
-	p.settled++
-	if wanted > p.value+trimNear {
-		p.settled = 0
+	p.settledWindows++
+	if wanted > p.value+trimTolerance {
+		p.settledWindows = 0
 	}
 	step := pressureFall
 	if wanted > p.value {
 		step = pressureRise
 	}
 	p.value += step * (wanted - p.value)
-	p.value = min(max(p.value, 0), pressureMost)
+	p.value = min(max(p.value, 0), maxPressure)
 }
 
 // trim lowers the target while calls find no free capacity, or wait longer than
@@ -106,12 +106,12 @@
 	if w.arrived > 0 {
 		p.refused += trimWeight * (float64(w.refused)/float64(w.arrived) - p.refused)
 	}
-	if p.settled < trimAfter {
+	if p.settledWindows < trimDelayWindows {
 		return
 	}
-	if p.refused > trimRefused || (w.meanWait > w.meanService && w.meanService > 0) {
-		p.taken = min(p.taken+trimStep, 1-trimLeast)
+	if p.refused > trimRefusedShare || (w.meanWait > w.meanService && w.meanService > 0) {
+		p.targetReduction = min(p.targetReduction+trimStep, 1-trimMinFactor)
 		return
 	}
-	p.taken = max(p.taken-trimBack, 0)
+	p.targetReduction = max(p.targetReduction-trimRecovery, 0)
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -34,14 +34,14 @@
 
 // waiter is a queued call.
 type waiter struct {
-	ctx     context.Context
-	class   class
-	since   time.Duration
-	expires time.Duration
-	// expiry is the reason for the refusal if the waiter is still queued at
+	ctx      context.Context
+	class    class
+	queuedAt time.Duration
+	expires  time.Duration
+	// expiryReason is the reason for the refusal if the waiter is still queued at
 	// expires.
-	expiry call.Reason
-	queued bool
+	expiryReason call.Reason
+	queued       bool
 	// reason is set, and done is signalled, in the one step that removes the
 	// waiter from the queue. ReasonNone means dispatched.
 	reason call.Reason
@@ -62,10 +62,10 @@
 	lists [classes]waitList
 	// occupied has a bit for each class, set if the class has waiters.
 	occupied [classes / wordBits]uint64
-	// inClass counts the waiters of each class and inGroup those of each group,
-	// to estimate the wait of a new call.
-	inClass [classes]uint16
-	inGroup [groups]int
+	// classSizes counts the waiters of each class and groupSizes those of each
+	// group, to estimate the wait of a new call.
+	classSizes [classes]uint16
+	groupSizes [groups]int
 }
 
 // push adds w. If the queue is full, push evicts and returns the least
@@ -76,7 +76,7 @@
 		return nil, false
 	}
 	if q.size >= q.limit {
-		evicted = q.worst()
+		evicted = q.leastImportant()
 		if evicted.class >= w.class {
 			return nil, false
 		}
@@ -98,8 +98,8 @@
 	list.last = w
 	w.queued = true
 	q.occupied[w.class/wordBits] |= 1 << (w.class % wordBits)
-	q.inGroup[w.class.group()]++
-	q.inClass[w.class]++
+	q.groupSizes[w.class.group()]++
+	q.classSizes[w.class]++
 	q.size++
 }
 
@@ -120,13 +120,13 @@
 	if list.first == nil {
 		q.occupied[w.class/wordBits] &^= 1 << (w.class % wordBits)
 	}
-	q.inGroup[w.class.group()]--
-	q.inClass[w.class]--
+	q.groupSizes[w.class.group()]--
+	q.classSizes[w.class]--
 	q.size--
 }
 
-// best returns the waiter to dispatch next, or nil if the queue is empty.
-func (q *queue) best(newestFirst bool) *waiter {
+// mostImportant returns the waiter to dispatch next, or nil if the queue is empty.
+func (q *queue) mostImportant(newestFirst bool) *waiter {
 	for i := len(q.occupied) - 1; i >= 0; i-- {
 		if q.occupied[i] == 0 {
 			continue
@@ -140,9 +140,9 @@
 	return nil
 }
 
-// worst returns the waiter to evict, or nil if the queue is empty. It is the
-// oldest waiter of the lowest class, which has the least time left.
-func (q *queue) worst() *waiter {
+// leastImportant returns the waiter to evict, or nil if the queue is empty. It
+// is the oldest waiter of the lowest class, which has the least time left.
+func (q *queue) leastImportant() *waiter {
 	for i, word := range q.occupied {
 		if word != 0 {
 			return q.lists[i*wordBits+bits.TrailingZeros64(word)].first
@@ -151,19 +151,19 @@
 	return nil
 }
 
-// ahead returns the number of waiters that are dispatched before a new call of
+// countAhead returns the number of waiters that are dispatched before a new call of
 // class c. With withinGroup it also counts the waiters of the same group by
 // their tie-breaks; otherwise it counts only those of higher groups.
-func (q *queue) ahead(c class, withinGroup bool) int {
+func (q *queue) countAhead(c class, withinGroup bool) int {
 	n := 0
 	for i := c.group() + 1; i < groups; i++ {
-		n += q.inGroup[i]
+		n += q.groupSizes[i]
 	}
 	if !withinGroup {
 		return n
 	}
 	for i := c; i.group() == c.group() && int(i) < classes; i++ {
-		n += int(q.inClass[i])
+		n += int(q.classSizes[i])
 	}
 	return n
 }
@@ -176,8 +176,8 @@
 	for i, word := range q.occupied {
 		for ; word != 0; word &= word - 1 {
 			first := q.lists[i*wordBits+bits.TrailingZeros64(word)].first
-			if !found || first.since < since {
-				since, found = first.since, true
+			if !found || first.queuedAt < since {
+				since, found = first.queuedAt, true
 			}
 		}
 	}
--- a/admission/ranker.go
+++ b/admission/ranker.go
@@ -87,14 +87,14 @@
 	h := xxh3.HashStringSeed(caller, k.seed^xxh3.HashString(profile))
 	at := now.Sub(k.epoch)
 	window := uint64(at / k.window)
-	left := 1 - float64(at%k.window)/float64(k.window)
+	previousShare := 1 - float64(at%k.window)/float64(k.window)
 	one := count(&k.rows[0][h&k.mask], window)
 	two := count(&k.rows[1][h>>32&k.mask], window)
-	if two.total(left) < one.total(left) {
+	if two.total(previousShare) < one.total(previousShare) {
 		one = two
 	}
 	draw := h + window*windowStep + one.current*countStep
-	return tiebreak(1 + one.total(left)*float64(draw>>32)/(1<<32))
+	return tiebreak(1 + one.total(previousShare)*float64(draw>>32)/(1<<32))
 }
 
 // Multiples of countStep (the golden ratio) modulo 2^64 are spread evenly.
@@ -124,10 +124,10 @@
 	return c.window<<(2*countBits) | c.previous<<countBits | c.current
 }
 
-// total returns the count over one window length up to now, where left is the
-// share of that time which lies in the previous window.
-func (c counter) total(left float64) float64 {
-	return float64(c.current-1) + float64(c.previous)*left
+// total returns the count over one window length up to now, where previousShare
+// is the share of that time which lies in the previous window.
+func (c counter) total(previousShare float64) float64 {
+	return float64(c.current-1) + float64(c.previous)*previousShare
 }
 
 // count increments a counter and returns its new value.
--- a/admission/room.go
+++ b/admission/room.go
@@ -28,12 +28,12 @@
 
 func inFlight(word uint64) uint64 { return word &^ queuedFlag >> 32 }
 
-// fits reports whether the counts in word are within the limits.
-func (g *Gate) fits(word uint64) bool {
+// withinLimits reports whether the counts in word are within the limits.
+func (g *Gate) withinLimits(word uint64) bool {
 	return word&activeMask <= uint64(g.limit.Load()) && inFlight(word) <= uint64(g.slots.Load())
 }
 
-// enter takes capacity for one visit, if there is any and no call is queued.
+// takeCapacity takes capacity for one visit, if there is any and no call is queued.
 //
 // Without a reserve it adds first and reverts the addition if the sum exceeds
 // the limits: under contention one addition costs far less than a
@@ -41,25 +41,25 @@
 // visit is within the limits, so the limits always hold. Another call may see
 // the sum before it is reverted and fail without need; a call that fails
 // therefore checks again under the lock.
-func (g *Gate) enter(shard *statShard) bool {
+func (g *Gate) takeCapacity(shard *statShard) bool {
 	word := g.word.Load()
-	if word&queuedFlag == 0 && g.fits(word) && shard.takeReserve() {
+	if word&queuedFlag == 0 && g.withinLimits(word) && shard.takeReserve() {
 		return true
 	}
 	word = g.word.Add(oneVisit)
-	if word&queuedFlag == 0 && g.fits(word) {
+	if word&queuedFlag == 0 && g.withinLimits(word) {
 		return true
 	}
 	g.word.Add(^oneVisit + 1)
 	return false
 }
 
-// enterQueued takes capacity for a queued visit, if there is any. The gate's
+// takeQueuedCapacity takes capacity for a queued visit, if there is any. The gate's
 // lock is held.
-func (g *Gate) enterQueued() bool {
+func (g *Gate) takeQueuedCapacity() bool {
 	for {
 		word := g.word.Load()
-		if !g.fits(word + oneVisit) {
+		if !g.withinLimits(word + oneVisit) {
 			return false
 		}
 		if g.word.CompareAndSwap(word, word+oneVisit) {
@@ -68,10 +68,11 @@
 	}
 }
 
-// leave returns the capacity of a visit, to the shard's reserve if possible.
-func (g *Gate) leave(shard *statShard) {
+// returnCapacity returns the capacity of a visit, to the shard's reserve if
+// possible.
+func (g *Gate) returnCapacity(shard *statShard) {
 	if g.limit.Load() < minReserveLimit || !shard.addReserve() {
-		g.giveBack(oneVisit)
+		g.lowerCounts(oneVisit)
 		return
 	}
 	// A call that is queued sets queuedFlag and then reclaims all reserves. So
@@ -81,13 +82,13 @@
 		return
 	}
 	g.mu.Lock()
-	g.reclaim()
+	g.reclaimReserves()
 	g.dispatch(g.now())
 	g.mu.Unlock()
 }
 
-// giveBack lowers the counts by n and dispatches queued calls.
-func (g *Gate) giveBack(n uint64) {
+// lowerCounts lowers the counts by n and dispatches queued calls.
+func (g *Gate) lowerCounts(n uint64) {
 	if g.word.Add(-n)&queuedFlag == 0 {
 		return
 	}
@@ -96,8 +97,8 @@
 	g.mu.Unlock()
 }
 
-// reclaim empties all reserves. The gate's lock is held.
-func (g *Gate) reclaim() {
+// reclaimReserves empties all reserves. The gate's lock is held.
+func (g *Gate) reclaimReserves() {
 	n := uint64(0)
 	for i := range g.shards {
 		n += uint64(g.shards[i].reserve.Swap(0))
@@ -118,17 +119,17 @@
 	return active, inflight
 }
 
-// leaveActive stops counting a blocked visit as active.
-func (g *Gate) leaveActive() {
+// markBlocked stops counting a blocked visit as active.
+func (g *Gate) markBlocked() {
 	if g.config.DepthAware {
-		g.giveBack(oneActive)
+		g.lowerCounts(oneActive)
 	}
 }
 
-// resumeActive counts a visit as active again. The active count may exceed the
+// markUnblocked counts a visit as active again. The active count may exceed the
 // limit: a visit that occupies a slot and has done work must not wait behind
 // new calls.
-func (g *Gate) resumeActive() {
+func (g *Gate) markUnblocked() {
 	if g.config.DepthAware {
 		g.word.Add(oneActive)
 	}
--- a/admission/shedder.go
+++ b/admission/shedder.go
@@ -13,16 +13,16 @@
 	// shedderDecay is the factor on the counted arrivals after each shedderTick.
 	shedderTick  = 250 * time.Millisecond
 	shedderDecay = 0.7
-	// heardSpan is the time constant for averaging the responses to a profile's
-	// pressure. The responses come from several upstreams of different speed.
-	// At a hundred responses a second each counts 6 %; a response after a
-	// second without any counts almost fully.
-	heardSpan = 160 * time.Millisecond
-	// heardLife is how long a pressure is used unchanged without a response.
-	// After that it decays by heardKept, so that some requests are admitted
+	// pressureSmoothing is the time constant for averaging the responses to a
+	// profile's pressure. The responses come from several upstreams of
+	// different speed. At a hundred responses a second each counts 6 %; a
+	// response after a second without any counts almost fully.
+	pressureSmoothing = 160 * time.Millisecond
+	// pressureTTL is how long a pressure is used unchanged without a response.
+	// After that it decays by pressureDecay, so that some requests are admitted
 	// again and bring back a current value.
-	heardLife = time.Second
-	heardKept = 0.8
+	pressureTTL   = time.Second
+	pressureDecay = 0.8
 	// workWeight is the weight of one response in the mean work of a profile's
 	// requests. Work varies more than pressure, and changes with releases
 	// rather than with load.
@@ -35,42 +35,43 @@
 // Load pattern: more requests arrive than the downstream upstreams can serve.
 // The least important ones are refused before any work is done; within a
 // priority, the refused ones are those of the callers that send most and of the
-// profiles that take most of the overloaded upstream (see place). Which levels
-// these are depends on the requests that arrive: the Shedder counts the
+// profiles that take most of the overloaded upstream (see weightedLevel). Which
+// levels these are depends on the requests that arrive: the Shedder counts the
 // arrivals under pressure by level, each weighted with its work, and refuses
 // the requests below the level at which the wanted share of the work is
 // refused.
 type Shedder struct {
 	mu       sync.Mutex
-	profiles map[string]*heard
+	profiles map[string]*profilePressure
 	arrivals [levels]float64
 	total    float64
 	next     time.Time
-	// usual is the work assumed for a profile whose work is unknown.
-	usual float64
+	// fallbackWork is the work assumed for a profile whose work is unknown.
+	fallbackWork float64
 	// thresholds caches the levels computed since the last tick, by share in
 	// tenths of a percent.
 	thresholds map[int]call.Level
 }
 
-// heard is the state of one profile, learned from responses.
-type heard struct {
+// profilePressure is the state of one profile, learned from responses.
+type profilePressure struct {
 	value float64
-	// at is when value was last updated, heardAt when the last response came.
-	at, heardAt time.Time
+	// updatedAt is when value was last updated, respondedAt when the last
+	// response came.
+	updatedAt, respondedAt time.Time
 	// work is how much of the overloaded upstream a request takes, in
 	// milliseconds of its slots; 0 means unknown. priority is the priority of
 	// the latest request.
 	work     float64
 	priority call.Priority
-	// weight is the weight passed to place, computed at each tick.
+	// weight is the weight passed to weightedLevel, computed at each tick.
 	weight float64
 }
 
 // NewShedder returns a Shedder that refuses nothing until it learns of a
 // pressure.
 func NewShedder() *Shedder {
-	return &Shedder{profiles: make(map[string]*heard), usual: usualWork, thresholds: make(map[int]call.Level)}
+	return &Shedder{profiles: make(map[string]*profilePressure), fallbackWork: defaultWork, thresholds: make(map[int]call.Level)}
 }
 
 // Heard records the pressure, from 0 to 1, that a response reported for a
@@ -83,12 +84,12 @@
 		if len(s.profiles) >= maxProfiles {
 			return
 		}
-		h = &heard{value: value, heardAt: now, weight: 1}
+		h = &profilePressure{value: value, respondedAt: now, weight: 1}
 		s.profiles[profile] = h
 	}
-	weight := 1 - math.Exp(-float64(now.Sub(h.heardAt))/float64(heardSpan))
+	weight := 1 - math.Exp(-float64(now.Sub(h.respondedAt))/float64(pressureSmoothing))
 	h.value += max(weight, 0) * (value - h.value)
-	h.at, h.heardAt = now, now
+	h.updatedAt, h.respondedAt = now, now
 }
 
 // HeardWork records the work of a request of the profile at the overloaded
@@ -118,20 +119,21 @@
 	if h == nil {
 		return 0
 	}
-	return s.decayed(h, now)
+	return s.decayedPressure(h, now)
 }
 
-// decayed returns a profile's pressure, which decays while no response comes.
-func (s *Shedder) decayed(h *heard, now time.Time) float64 {
-	if now.Sub(h.at) > heardLife {
-		h.value *= heardKept
-		h.at = now
+// decayedPressure returns a profile's pressure, which decays while no response
+// comes.
+func (s *Shedder) decayedPressure(h *profilePressure, now time.Time) float64 {
+	if now.Sub(h.updatedAt) > pressureTTL {
+		h.value *= pressureDecay
+		h.updatedAt = now
 	}
 	return h.value
 }
 
-// noPressure is the pressure below which nothing is refused.
-const noPressure = 0.005
+// negligiblePressure is the pressure below which nothing is refused.
+const negligiblePressure = 0.005
 
 // Admission is the decision of a Shedder.
 type Admission struct {
@@ -148,16 +150,16 @@
 	defer s.mu.Unlock()
 	s.tick(now)
 	value := s.pressure(profile, now)
-	if value < noPressure {
+	if value < negligiblePressure {
 		return Admission{Admitted: true}
 	}
 	h := s.profiles[profile]
 	h.priority = level.Priority()
 	work := h.work
 	if work == 0 {
-		work = s.usual
+		work = s.fallbackWork
 	}
-	placed := place(min(level, call.MaxLevel), h.weight)
+	placed := weightedLevel(min(level, call.MaxLevel), h.weight)
 	s.arrivals[placed] += work
 	s.total += work
 	threshold := s.threshold(value)
@@ -176,30 +178,30 @@
 		s.arrivals[i] *= shedderDecay
 		s.total += s.arrivals[i]
 	}
-	s.compare(now)
+	s.updateWeights(now)
 }
 
-// compare sets the weight of each profile and the work assumed for profiles
+// updateWeights sets the weight of each profile and the work assumed for profiles
 // whose work is unknown: the mean of the known ones under pressure.
-func (s *Shedder) compare(now time.Time) {
-	var least [call.MaxPriority + 1]float64
+func (s *Shedder) updateWeights(now time.Time) {
+	var cheapest [call.MaxPriority + 1]float64
 	sum, known := 0.0, 0
 	for _, h := range s.profiles {
-		if h.work == 0 || s.decayed(h, now) < noPressure {
+		if h.work == 0 || s.decayedPressure(h, now) < negligiblePressure {
 			continue
 		}
 		sum += h.work
 		known++
-		if first := least[h.priority] == 0; first || h.work < least[h.priority] {
-			least[h.priority] = h.work
+		if first := cheapest[h.priority] == 0; first || h.work < cheapest[h.priority] {
+			cheapest[h.priority] = h.work
 		}
 	}
-	s.usual = usualWork
+	s.fallbackWork = defaultWork
 	if known > 0 {
-		s.usual = sum / float64(known)
+		s.fallbackWork = sum / float64(known)
 	}
 	for _, h := range s.profiles {
-		h.weight = weightOf(h.work, least[h.priority])
+		h.weight = costWeight(h.work, cheapest[h.priority])
 	}
 }
 
--- a/admission/sim_test.go
+++ b/admission/sim_test.go
@@ -18,18 +18,18 @@
 // processors, in the fake time of synctest. Arrivals are random with a fixed
 // seed.
 type simulation struct {
-	config   Config
-	cpus     int
-	work     time.Duration
-	deep     func(at time.Duration) time.Duration // time blocked in a downstream call
-	rate     func(at time.Duration) float64       // calls per second
-	level    func(r *rand.Rand) call.Level
-	feedback bool
-	length   time.Duration
-	seed     uint64
-	deadline time.Duration
-	retries  int
-	each     func(at time.Duration, g *Gate)
+	config    Config
+	cpus      int
+	work      time.Duration
+	deep      func(at time.Duration) time.Duration // time blocked in a downstream call
+	rate      func(at time.Duration) float64       // calls per second
+	level     func(r *rand.Rand) call.Level
+	feedback  bool
+	length    time.Duration
+	seed      uint64
+	deadline  time.Duration
+	retries   int
+	onArrival func(at time.Duration, g *Gate)
 }
 
 // bin counts the calls that arrived within one tenth of a second.
@@ -63,8 +63,8 @@
 		for time.Since(start) < s.length {
 			at := time.Since(start)
 			b := &bins[at/binWidth]
-			if s.each != nil {
-				s.each(at, g)
+			if s.onArrival != nil {
+				s.onArrival(at, g)
 			}
 			level := s.level(r)
 			calls.Go(func() {
--- a/admission/snapshot.go
+++ b/admission/snapshot.go
@@ -53,7 +53,7 @@
 	s.InFlight = inflight
 	s.Blocked = max(inflight-active, 0)
 	s.Queued = g.queue.size
-	s.AdmitLevel = g.leveler.level
+	s.AdmitLevel = g.levelController.level
 	if since, ok := g.queue.oldest(); ok {
 		s.OldestWait = now - since
 	}
--- a/admission/state.go
+++ b/admission/state.go
@@ -17,12 +17,12 @@
 // roots should refuse, in thousandths.
 func (g *Gate) Pressure() int {
 	g.tickIfDue(g.now())
-	return int(g.pressed.Load())
+	return int(g.pressurePerMille.Load())
 }
 
-// loadLife is how long a computed load is reused. Every response reports the
+// loadTTL is how long a computed load is reused. Every response reports the
 // load, and computing it reads memory that all processors write to.
-const loadLife = time.Millisecond
+const loadTTL = time.Millisecond
 
 // Load returns the utilization in thousandths, queued calls included: that of
 // the limit or that of the slots, whichever is higher. The value may be a
@@ -34,7 +34,7 @@
 	}
 	load := g.currentLoad()
 	g.load.Store(int32(load))
-	g.loadUntil.Store(now + int64(loadLife))
+	g.loadUntil.Store(now + int64(loadTTL))
 	return load
 }
 
@@ -77,7 +77,7 @@
 	now := g.now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.limiter.setHint(reportedLoad, now)
+	g.limiter.setReportedLoad(reportedLoad, now)
 	g.limit.Store(int32(g.limiter.effective(now)))
 }
 
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -60,10 +60,10 @@
 	// nanoseconds. The gate's lock guards it.
 	baseline float64
 	// mean is the moving mean of the total service time, in nanoseconds, and
-	// counted the value of demand when offered last read it. The gate's lock
+	// lastDemand the value of demand when offered last read it. The gate's lock
 	// guards both.
-	mean    float64
-	counted uint64
+	mean       float64
+	lastDemand uint64
 	// demand counts the calls that the arrivals stand for, refused ones
 	// included, in thousandths of a call; see demandOf.
 	demand atomic.Uint64
@@ -139,15 +139,15 @@
 // thousandths: the call itself, and its part of the calls whose requests were
 // refused at their roots.
 func demandOf(heldBack float64) uint64 {
-	return uint64(thousand / (1 - min(max(heldBack, 0), pressureMost)))
+	return uint64(thousand / (1 - min(max(heldBack, 0), maxPressure)))
 }
 
 // offered returns the service time, in seconds, of the demand since its last
 // call, including requests refused at their roots. The gate's lock is held.
 func (p *profileStats) offered() float64 {
 	demand := p.demand.Load()
-	fresh := demand - p.counted
-	p.counted = demand
+	fresh := demand - p.lastDemand
+	p.lastDemand = demand
 	return float64(fresh) / thousand * p.mean / float64(time.Second)
 }
 
--- a/admission/ticket.go
+++ b/admission/ticket.go
@@ -63,7 +63,7 @@
 		return
 	}
 	v.blockedAt = v.gate.now()
-	v.gate.leaveActive()
+	v.gate.markBlocked()
 }
 
 // Unblock reverts one call of Block. A visit that resumes never waits for
@@ -82,7 +82,7 @@
 		return
 	}
 	v.blocked += v.gate.now() - v.blockedAt
-	v.gate.resumeActive()
+	v.gate.markUnblocked()
 }
 
 // Release ends the visit. Only the first call on any copy of the ticket has an
--- a/admission/wait.go
+++ b/admission/wait.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// minTimer is the shortest duration passed to time.NewTimer. Under
+	// minTimerDuration is the shortest duration passed to time.NewTimer. Under
 	// testing/synctest, a timer that has already expired when it is created
 	// runs on the thread of its creator, and two such timers at the same time
 	// share one context of the race detector, which crashes the tests.
-	minTimer = time.Nanosecond
+	minTimerDuration = time.Nanosecond
 )
 
 // acquireQueued implements Acquire for a call that found no free capacity.
 func (g *Gate) acquireQueued(ctx context.Context, r Request, v *visit, p *profileStats, now time.Duration) (Ticket, error) {
 	g.mu.Lock()
-	g.reclaim()
+	g.reclaimReserves()
 	shard := &g.shards[v.shard]
-	if g.queue.size == 0 && g.enterQueued() {
+	if g.queue.size == 0 && g.takeQueuedCapacity() {
 		g.mu.Unlock()
 		shard.admitted.Add(1)
 		return v.begin(p, now, 0), nil
 	}
-	g.window.limited = true
+	g.window.capacityExhausted = true
 	w, reason := g.enqueue(ctx, r, p, now)
-	g.reclaim()
+	g.reclaimReserves()
 	g.dispatch(now)
 	g.mu.Unlock()
 	if reason != call.ReasonNone {
@@ -49,33 +49,33 @@
 // enqueue queues the call, or returns the reason why queueing it would be
 // useless. The gate's lock is held.
 func (g *Gate) enqueue(ctx context.Context, r Request, p *profileStats, now time.Duration) (*waiter, call.Reason) {
-	patience := g.config.patience(r.Preference)
+	maxWait := g.config.queueWaitLimit(r.Preference)
 	g.window.preferenceSum += r.Preference
 	g.window.preferenceCount++
 	switch {
 	case r.Hold && r.MaxWait > 0:
-		patience = r.MaxWait
+		maxWait = r.MaxWait
 	case r.MaxWait != 0:
-		patience = min(patience, max(r.MaxWait, 0))
+		maxWait = min(maxWait, max(r.MaxWait, 0))
 	}
 	reason := call.ReasonQueueWait
 	if !r.Deadline.IsZero() {
 		left := r.Deadline.Sub(g.epoch) - now - time.Duration(p.service.Load())
-		if left < patience {
-			patience = left
+		if left < maxWait {
+			maxWait = left
 			reason = call.ReasonDeadline
 		}
 	}
 	c := classOf(r)
-	if g.expectedWait(c) >= patience {
+	if g.expectedWait(c) >= maxWait {
 		g.window.queueRefused++
 		return nil, reason
 	}
 	w := g.newWaiter()
 	w.class = c
-	w.since = now
-	w.expires = now + patience
-	w.expiry = reason
+	w.queuedAt = now
+	w.expires = now + maxWait
+	w.expiryReason = reason
 	w.ctx = ctx
 	evicted, ok := g.queue.push(w)
 	if !ok {
@@ -84,7 +84,7 @@
 		return nil, call.ReasonQueueFull
 	}
 	if evicted != nil {
-		g.settle(evicted, call.ReasonQueueFull, now)
+		g.resolve(evicted, call.ReasonQueueFull, now)
 	}
 	g.word.Or(queuedFlag)
 	return w, call.ReasonNone
@@ -98,13 +98,13 @@
 // learned limit the spacing of visits is too inaccurate for this: calls were
 // refused that would have been dispatched in time.
 func (g *Gate) expectedWait(c class) time.Duration {
-	ahead := g.queue.ahead(c, g.config.SlotShare > 0)
+	ahead := g.queue.countAhead(c, g.config.SlotShare > 0)
 	return time.Duration(float64(ahead) * g.window.spacing)
 }
 
 // await returns when w has left the queue.
 func (g *Gate) await(ctx context.Context, w *waiter, now time.Duration) {
-	timer := time.NewTimer(max(w.expires-now, minTimer))
+	timer := time.NewTimer(max(w.expires-now, minTimerDuration))
 	defer timer.Stop()
 	select {
 	case <-w.done:
@@ -112,7 +112,7 @@
 	case <-ctx.Done():
 		g.abandon(w, call.ReasonCancelled)
 	case <-timer.C:
-		g.abandon(w, w.expiry)
+		g.abandon(w, w.expiryReason)
 	}
 	<-w.done
 }
@@ -126,60 +126,60 @@
 		return
 	}
 	g.queue.remove(w)
-	g.settle(w, reason, now)
-	g.clearFlag()
+	g.resolve(w, reason, now)
+	g.clearQueuedFlag()
 }
 
 // dispatch admits queued calls while there is free capacity. The gate's lock is
 // held.
 func (g *Gate) dispatch(now time.Duration) {
-	newestFirst := g.leveler.calm == 0
+	newestFirst := g.levelController.calmWindows == 0
 	for {
-		w := g.queue.best(newestFirst)
+		w := g.queue.mostImportant(newestFirst)
 		if w == nil {
 			break
 		}
-		if reason := w.vain(now); reason != call.ReasonNone {
+		if reason := w.wasteReason(now); reason != call.ReasonNone {
 			g.queue.remove(w)
-			g.settle(w, reason, now)
+			g.resolve(w, reason, now)
 			continue
 		}
-		if !g.enterQueued() {
+		if !g.takeQueuedCapacity() {
 			break
 		}
 		g.queue.remove(w)
-		g.settle(w, call.ReasonNone, now)
+		g.resolve(w, call.ReasonNone, now)
 	}
-	g.clearFlag()
+	g.clearQueuedFlag()
 }
 
-// clearFlag clears queuedFlag if the queue is empty, so that new calls no
+// clearQueuedFlag clears queuedFlag if the queue is empty, so that new calls no
 // longer take the lock. The gate's lock is held.
-func (g *Gate) clearFlag() {
+func (g *Gate) clearQueuedFlag() {
 	if g.queue.size == 0 {
 		g.word.And(^queuedFlag)
 	}
 }
 
-// settle notifies a waiter that has been removed from the queue; reason is
+// resolve notifies a waiter that has been removed from the queue; reason is
 // ReasonNone if it was dispatched. The gate's lock is held.
-func (g *Gate) settle(w *waiter, reason call.Reason, now time.Duration) {
-	g.window.waitSum += now - w.since
+func (g *Gate) resolve(w *waiter, reason call.Reason, now time.Duration) {
+	g.window.waitSum += now - w.queuedAt
 	g.window.waitCount++
-	if reason == call.ReasonQueueFull || reason == w.expiry {
+	if reason == call.ReasonQueueFull || reason == w.expiryReason {
 		g.window.queueRefused++
 	}
 	w.reason = reason
 	w.done <- struct{}{}
 }
 
-// vain returns the reason why running w would be wasted work, or ReasonNone.
-func (w *waiter) vain(now time.Duration) call.Reason {
+// wasteReason returns the reason why running w would be wasted work, or ReasonNone.
+func (w *waiter) wasteReason(now time.Duration) call.Reason {
 	if w.ctx.Err() != nil {
 		return call.ReasonCancelled
 	}
 	if now >= w.expires {
-		return w.expiry
+		return w.expiryReason
 	}
 	return call.ReasonNone
 }
@@ -195,7 +195,7 @@
 	return &waiter{done: make(chan struct{}, 1)}
 }
 
-// recycle returns a settled waiter to the free list.
+// recycle returns a resolved waiter to the free list.
 func (g *Gate) recycle(w *waiter) {
 	w.ctx = nil
 	g.mu.Lock()
--- a/admission/window.go
+++ b/admission/window.go
@@ -16,15 +16,15 @@
 	// capacity.
 	preferenceSum   float64
 	preferenceCount int
-	// limited is set if a call found no free capacity.
-	limited bool
+	// capacityExhausted is set if a call found no free capacity.
+	capacityExhausted bool
 
-	arrived  [levels]uint32
-	arrivals [levels]uint32
-	ok       uint64
-	shed     uint64
-	done     float64
-	samples  []sample
+	previousTotals [levels]uint32
+	arrivals       [levels]uint32
+	ok             uint64
+	shed           uint64
+	finished       float64
+	samples        []sample
 	// meanSelf and meanService are moving means over all profiles, in
 	// nanoseconds.
 	meanSelf    float64
@@ -34,9 +34,9 @@
 	spacing float64
 }
 
-// pressingState is the state of the pressure computation. The gate's lock
+// pressureState is the state of the pressure computation. The gate's lock
 // guards it.
-type pressingState struct {
+type pressureState struct {
 	value pressure
 	since time.Duration
 	// The remaining fields belong to the current pressure window.
@@ -78,13 +78,13 @@
 	g.limit.Store(int32(g.limiter.effective(now)))
 	g.learnCapacity()
 	if g.config.SlotShare == 0 {
-		g.leveler.update(g.demand(elapsed, now))
-		g.level.Store(uint32(g.leveler.level))
-		g.inherited.Store(uint32(g.leveler.inheritedLevel()))
+		g.levelController.update(g.measureDemand(elapsed, now))
+		g.level.Store(uint32(g.levelController.level))
+		g.inherited.Store(uint32(g.levelController.inheritedLevel()))
 	}
 	g.updatePressure(now)
 	w.start = now
-	w.waitSum, w.waitCount, w.queueRefused, w.limited = 0, 0, 0, false
+	w.waitSum, w.waitCount, w.queueRefused, w.capacityExhausted = 0, 0, 0, false
 	w.preferenceSum, w.preferenceCount = 0, 0
 	if g.queue.size > 0 {
 		g.dispatch(now)
@@ -94,7 +94,7 @@
 // updatePressure adds the window to the pressure window, and updates the
 // pressure at the end of the latter. The gate's lock is held.
 func (g *Gate) updatePressure(now time.Duration) {
-	w, p := &g.window, &g.pressing
+	w, p := &g.window, &g.pressureState
 	p.waitSum += w.waitSum
 	p.waitCount += w.waitCount
 	p.refused += w.queueRefused
@@ -122,7 +122,7 @@
 	}
 	p.value.update(load)
 	p.waitSum, p.waitCount, p.refused = 0, 0, 0
-	g.pressed.Store(int32(p.value.value * thousand))
+	g.pressurePerMille.Store(int32(p.value.value * thousand))
 }
 
 // measure collects the limiter's input from the window.
@@ -153,13 +153,13 @@
 	}
 	m.samples = w.samples
 	m.peakActive, _ = g.counts()
-	if w.limited {
+	if w.capacityExhausted {
 		m.peakActive = int(g.limit.Load())
 	}
 	if count > 0 {
 		w.learnMeans(float64(self)/float64(count), float64(service)/float64(count))
 	}
-	w.done += meanWeight * (float64(m.ok)*float64(g.config.Window)/float64(elapsed) - w.done)
+	w.finished += meanWeight * (float64(m.ok)*float64(g.config.Window)/float64(elapsed) - w.finished)
 	return m
 }
 
@@ -185,20 +185,20 @@
 	w.spacing = math.Max(bySelf, bySlots)
 }
 
-// demand collects the leveler's input from the window.
-func (g *Gate) demand(elapsed, now time.Duration) load {
+// measureDemand collects the level controller's input from the window.
+func (g *Gate) measureDemand(elapsed, now time.Duration) windowDemand {
 	w := &g.window
 	for i := range w.arrivals {
 		total := uint32(0)
 		for s := range g.shards {
 			total += g.shards[s].arrivals[i].Load()
 		}
-		w.arrivals[i] = total - w.arrived[i]
-		w.arrived[i] = total
+		w.arrivals[i] = total - w.previousTotals[i]
+		w.previousTotals[i] = total
 	}
-	d := load{
+	d := windowDemand{
 		arrivals:     &w.arrivals,
-		capacity:     w.done,
+		capacity:     w.finished,
 		queueRefused: w.queueRefused,
 		preference:   g.config.Preference,
 		windows:      max(int(elapsed/g.config.Window), 1),
