--- a/admission/gate.go
+++ b/admission/gate.go
@@ -50,7 +50,7 @@
 
 	_ [cacheLine]byte
 	// word packs the number of active visits, the number of visits in flight,
-	// and queuedFlag; see room.go.
+	// and queuedFlag; see capacity.go.
 	word atomic.Uint64
 	_    [cacheLine]byte
 
--- a/admission/placement.go
+++ b/admission/placement.go
@@ -9,10 +9,10 @@
 	// overloaded upstream one of its requests takes. A lower weight would leave
 	// too few levels to distinguish the profile's requests.
 	minCostWeight = 0.25
-	// minRelativeShare bounds the unfairness. The admitted share of a profile is at
-	// least this fraction of the admitted share of the best-served profile of
-	// its priority. A costly request is therefore admitted half as often at
-	// worst, and every profile continues to be served.
+	// minRelativeShare bounds the unfairness. The admitted share of a profile
+	// is at least this fraction of the admitted share of the best-served
+	// profile of its priority. A costly request is therefore admitted half as
+	// often at worst, and every profile continues to be served.
 	minRelativeShare = 0.5
 	// defaultWork is the work assumed for every profile while no response has
 	// reported any.
@@ -29,9 +29,9 @@
 	return min(max(least/work, minCostWeight), 1)
 }
 
-// weightedLevel moves a level within its priority by the weight of its profile. The
-// levels of a profile's requests are evenly distributed; the lower the weight,
-// the more of them end up below a given level.
+// weightedLevel moves a level within its priority by the weight of its profile.
+// The levels of a profile's requests are evenly distributed; the lower the
+// weight, the more of them end up below a given level.
 //
 // Load pattern: two profiles of one priority need an overloaded upstream, one
 // of them four times as much of it as the other. If both were refused alike,
--- a/admission/pressure.go
+++ b/admission/pressure.go
@@ -34,8 +34,8 @@
 	// second, and those calls find no capacity whatever the target is now.
 	trimDelayWindows = 10
 	trimTolerance    = 0.03
-	// trimMinFactor is the smallest factor on the target, because short bursts find
-	// no free capacity at any load.
+	// trimMinFactor is the smallest factor on the target, because short bursts
+	// find no free capacity at any load.
 	//
 	// Without a bound, each window with a refusal raised the pressure further:
 	// an upstream of 17 slots at three times its capacity refuses some calls in
--- a/admission/shedder.go
+++ b/admission/shedder.go
@@ -13,9 +13,9 @@
 	// shedderDecay is the factor on the counted arrivals after each shedderTick.
 	shedderTick  = 250 * time.Millisecond
 	shedderDecay = 0.7
-	// pressureSmoothing is the time constant for averaging the responses to a
-	// profile's pressure. The responses come from several upstreams of
-	// different speed. At a hundred responses a second each counts 6 %; a
+	// pressureSmoothing is the time constant for averaging the pressures that
+	// responses report for a profile. The responses come from several upstreams
+	// of different speed. At a hundred responses a second each counts 6 %; a
 	// response after a second without any counts almost fully.
 	pressureSmoothing = 160 * time.Millisecond
 	// pressureTTL is how long a pressure is used unchanged without a response.
@@ -29,17 +29,16 @@
 	workWeight = 0.05
 )
 
-// Shedder refuses requests at the root, by the pressure of the most loaded
-// upstream that they lead to.
+// Shedder refuses requests at the root, by the pressure of the upstreams that
+// they lead to, as responses report it.
 //
-// Load pattern: more requests arrive than the downstream upstreams can serve.
-// The least important ones are refused before any work is done; within a
-// priority, the refused ones are those of the callers that send most and of the
-// profiles that take most of the overloaded upstream (see weightedLevel). Which
-// levels these are depends on the requests that arrive: the Shedder counts the
-// arrivals under pressure by level, each weighted with its work, and refuses
-// the requests below the level at which the wanted share of the work is
-// refused.
+// Load pattern: more requests arrive than those upstreams can serve. The least
+// important ones are refused before any work is done; within a priority, the
+// refused ones are those of the callers that send most and of the profiles that
+// take most of the overloaded upstream (see weightedLevel). Which levels these
+// are depends on the requests that arrive: the Shedder counts the arrivals
+// under pressure by level, each weighted with its work, and refuses the
+// requests below the level at which the wanted share of the work is refused.
 type Shedder struct {
 	mu       sync.Mutex
 	profiles map[string]*profilePressure
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -47,7 +47,7 @@
 	ignored  atomic.Uint64
 	refused  [len(reasons)]atomic.Uint64
 	// reserve is the number of visits whose capacity is reserved for the next
-	// calls of the shard; see room.go.
+	// calls of the shard; see capacity.go.
 	reserve atomic.Int32
 	_       [cacheLine]byte
 }
--- a/admission/window.go
+++ b/admission/window.go
@@ -19,6 +19,8 @@
 	// capacityExhausted is set if a call found no free capacity.
 	capacityExhausted bool
 
+	// previousTotals are the arrivals by level since the gate was created, as
+	// of the start of the window; arrivals are those of the last window.
 	previousTotals [levels]uint32
 	arrivals       [levels]uint32
 	ok             uint64
