--- a/admission/callgraph_test.go
+++ b/admission/callgraph_test.go
@@ -11,7 +11,7 @@
 // visits end at their first failed call. If they counted, a visit of four calls
 // would seem to need one or two just when calls fail, and its first call would
 // look like its last.
-func TestNeedsComeFromRunsThatEndWell(t *testing.T) {
+func TestNeedsComeFromSuccessfulVisits(t *testing.T) {
 	c := qt.New(t)
 	g := NewCallGraph()
 	now := time.Unix(0, 0)
--- a/admission/pressure.go
+++ b/admission/pressure.go
@@ -24,8 +24,8 @@
 	trimWeight       = 0.2
 	// trimStep is how much the target is lowered by a window with more
 	// refusals, and trimRecovery how much it is raised again by a window with
-	// fewer: an error of the estimate is corrected within a second, and a
-	// higher target is tried over ten.
+	// fewer: an error of the estimate is corrected within a second, and the
+	// original target is tried again over ten seconds.
 	trimStep     = 0.02
 	trimRecovery = 0.004
 	// trimDelayWindows is the number of windows for which the pressure must
--- a/admission/pressure_test.go
+++ b/admission/pressure_test.go
@@ -54,7 +54,7 @@
 // belong to pressures of different times. A pressure computed against the value
 // of 0.4 s earlier rose to 0.86 where 0.65 was wanted, and stayed high for
 // 2.7 s after the load was gone.
-func TestPressureFitsCallsThatTakeTheirTime(t *testing.T) {
+func TestPressureFitsRequestsWithLateCalls(t *testing.T) {
 	c := qt.New(t)
 	const capacity, calls = 29, 8
 	ch := &simulatedUpstream{capacity: capacity, calls: calls, delay: 3, spread: 20}
--- a/admission/progress_test.go
+++ b/admission/progress_test.go
@@ -15,7 +15,7 @@
 // call, with all its other work done and a lower tie-break. If it were refused,
 // its work would be lost and the fate of its keyed calls unknown; it must
 // replace a queued call that loses no work.
-func TestWorkDoneGoesFirst(t *testing.T) {
+func TestCallWithProgressGoesFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		g := fixed(c, Config{Slots: 1, InitialLimit: 1, QueueLimit: 2, Preference: 1})
@@ -43,7 +43,7 @@
 
 // Between two calls of a filing, the level rises above the filing's level. New
 // filings are refused; this one has work to lose and is admitted.
-func TestRisenLevelSparesWorkDone(t *testing.T) {
+func TestRaisedLevelAdmitsCallWithProgress(t *testing.T) {
 	c := qt.New(t)
 	g := fixed(c, Config{Slots: 1, InitialLimit: 1})
 	g.level.Store(uint32(call.MakeLevel(13, 0)))
