--- a/admission/leveler.go
+++ b/admission/leveler.go
@@ -7,117 +7,126 @@
 	"pollengauge.dev/call"
 )
 
-// levels is how many levels there are.
+// levels is the number of levels.
 const levels = int(call.MaxLevel) + 1
 
-// Tuning of the leveler.
+// Parameters of the level controller.
 const (
-	// firstAllowance is the share of what is admitted that the first calm
-	// window takes back; each further calm window multiplies it.
-	firstAllowance = 1.0 / 64
-	// growth multiplies the allowance with each further calm window.
-	growth = 1.6
-	// margin is what an overloaded window keeps, as a share of capacity, apart
-	// from chance.
-	margin = 1.05
-	// deviations is how many standard deviations of a window's arrivals it
-	// keeps beyond that.
-	deviations = 3
-	// mostKept bounds the sum, for upstreams that end few visits in a window.
-	mostKept = 3
-	// toleranceRecovery and toleranceGoodput scale TargetWait at Preference 0
-	// and 1.
+	// initialAllowance is the allowance of the first calm window, as a share of
+	// the admitted arrivals: how many more arrivals the level may let in.
+	initialAllowance = 1.0 / 64
+	// allowanceGrowth is the factor on the allowance for each further calm window.
+	allowanceGrowth = 1.6
+	// targetMargin is the target for admitted arrivals after an overloaded
+	// window, as a share of the capacity, before targetDeviations is added.
+	targetMargin = 1.05
+	// targetDeviations is the number of standard targetDeviations of a window's
+	// arrivals that are added to the target.
+	targetDeviations = 3
+	// maxTargetFactor bounds the target as a multiple of the capacity, for
+	// upstreams that finish few visits in a window.
+	maxTargetFactor = 3
+	// toleranceRecovery and toleranceGoodput are the factors on TargetWait at
+	// Preference 0 and 1.
 	toleranceRecovery = 2.0
 	toleranceGoodput  = 8.0
-	// largestCut is the least share of arrivals that one window may keep.
-	largestCut = 0.25
-	// visibleWeight is the weight of a window in the expected arrivals.
-	visibleWeight = 0.5
-	// arrivalNoise is the relative error of the expected arrivals that chance
-	// alone may cause.
+	// minAdmittedShare is the smallest share of the admitted arrivals that one
+	// raise of the level may leave.
+	minAdmittedShare = 0.25
+	// maxArrivalWeight is the highest weight of one window in the expected
+	// arrivals.
+	maxArrivalWeight = 0.5
+	// arrivalNoise is the relative error that random variation may cause in the
+	// expected arrivals.
 	arrivalNoise = 0.06
-	// hiddenDecay is what a window leaves of expected arrivals that roots
-	// keep away, and so can't be counted.
-	hiddenDecay = 0.98
-	// visibleShare of the expected arrivals below the level must come for
-	// them to count as not kept away.
-	visibleShare = 0.1
-	// refusalShare of the arrivals refused by the queue is overload.
+	// filteredDecay is the factor per window on expected arrivals that are
+	// refused by the roots and so can't be counted.
+	filteredDecay = 0.98
+	// minVisibleShare is the share of the arrivals expected below the level that
+	// must come, or else the roots are taken to refuse them.
+	minVisibleShare = 0.1
+	// refusalShare is the share of arrivals refused by the queue from which a
+	// window counts as overloaded.
 	refusalShare = 0.1
-	// provenWeight is the weight of an overloaded window in the capacity.
-	provenWeight = 0.5
-	// spareShare of what the capacity leaves free is taken back at once. More
-	// recovers sooner; less refuses fewer calls that roots have let in.
+	// provenCapacityWeight is the weight of an overloaded window in the proven
+	// capacity.
+	provenCapacityWeight = 0.5
+	// spareShare is the share of the unused capacity that the level lets in
+	// again at once. A higher share recovers sooner; a lower share refuses
+	// fewer calls that the roots have admitted.
 	spareShare = 0.8
-	// leastUse is the share of the capacity that a level, let in or refused
-	// whole, must not leave idle.
-	leastUse = 0.5
-	// maxCalm bounds the count of calm windows.
-	maxCalm = 64
-	// graceWindows is for how many windows a raise spares calls whose root was
-	// admitted above before the raise.
+	// minUtilization is the share of the capacity that must stay in use: a level is
+	// admitted as a whole rather than leave less than that in use.
+	minUtilization = 0.5
+	// maxCalmWindows bounds the count of calm windows.
+	maxCalmWindows = 64
+	// graceWindows is the number of windows for which a raise of the level
+	// spares calls whose root admitted them before the raise.
 	graceWindows = 3
 )
 
-// load is what one window measured of the demand.
-type load struct {
-	// arrivals counts calls by level since the last window.
+// windowDemand is the level controller's input from one window.
+type windowDemand struct {
+	// arrivals counts the calls of the window by level.
 	arrivals *[levels]uint32
-	// capacity is how many visits a window can end.
+	// capacity is the number of visits that the upstream can finish in a
+	// window.
 	capacity float64
-	// meanWait is the mean queue wait of what left the queue.
+	// meanWait is the mean queue wait of the calls that left the queue.
 	meanWait time.Duration
-	// oldestWait is the wait of the oldest queued call.
+	// oldestWait is the wait of the oldest call still queued.
 	oldestWait time.Duration
-	// queueRefused counts calls refused because of the queue.
+	// queueRefused counts the calls refused because of the queue.
 	queueRefused int
-	// windows is how many windows have passed, at least 1.
+	// windows is the number of windows since the last update, at least 1.
 	windows int
-	// preference is the mean of the calls that found no room.
+	// preference is the mean preference of the calls that found no free
+	// capacity.
 	preference float64
 }
 
-// leveler holds the admission level. It is pure; its owner locks.
-type leveler struct {
-	target   time.Duration
-	level    call.Level
-	expected [levels]float32
-	calm     int
-	// proven is the capacity that overloaded windows showed. A calm window
-	// shows no capacity: its limit is not used up.
-	proven float64
-	recent [graceWindows]call.Level
+// levelController computes the admission level. It is pure. The caller must
+// hold the gate's lock.
+type levelController struct {
+	target      time.Duration
+	level       call.Level
+	expected    [levels]float32
+	calmWindows int
+	// provenCapacity is the capacity measured in overloaded windows. A calm window
+	// doesn't show the capacity, because its limit is not used up.
+	provenCapacity float64
+	recentLevels   [graceWindows]call.Level
 }
 
-func newLeveler(c Config) *leveler {
-	return &leveler{target: c.TargetWait, calm: 1}
+func newLevelController(c Config) *levelController {
+	return &levelController{target: c.TargetWait, calmWindows: 1}
 }
 
-// update sets the level from what a window measured.
-func (v *leveler) update(w load) {
+// update adjusts the level to the measurement of a window.
+func (v *levelController) update(w windowDemand) {
 	arrived := v.learn(w)
-	copy(v.recent[1:], v.recent[:])
-	v.recent[0] = v.level
+	copy(v.recentLevels[1:], v.recentLevels[:])
+	v.recentLevels[0] = v.level
 	if v.overloaded(w, arrived) {
-		v.calm = 0
-		v.proven += provenWeight * (w.capacity - v.proven)
+		v.calmWindows = 0
+		v.provenCapacity += provenCapacityWeight * (w.capacity - v.provenCapacity)
 		v.raise(w.capacity)
 		return
 	}
-	v.calm = min(v.calm+w.windows, maxCalm)
+	v.calmWindows = min(v.calmWindows+w.windows, maxCalmWindows)
 	v.lower()
 }
 
-// inheritedLevel is the level for calls that a root has let in.
-func (v *leveler) inheritedLevel() call.Level {
+// inheritedLevel returns the level for calls that a root has already admitted.
+func (v *levelController) inheritedLevel() call.Level {
 	lowest := v.level
-	for _, l := range v.recent {
+	for _, l := range v.recentLevels {
 		lowest = min(lowest, l)
 	}
 	return lowest
 }
 
-func (v *leveler) overloaded(w load, arrived int) bool {
+func (v *levelController) overloaded(w windowDemand, arrived int) bool {
 	tolerance := toleranceRecovery + w.preference*(toleranceGoodput-toleranceRecovery)
 	target := time.Duration(float64(v.target) * tolerance)
 	if w.meanWait > target || w.oldestWait > target {
@@ -126,74 +135,78 @@
 	return w.queueRefused > 0 && float64(w.queueRefused) >= refusalShare*float64(arrived)
 }
 
-// learn folds a window into the expected arrivals. Once roots enforce the
-// level, arrivals below it are no longer seen; taking their absence for lack
-// of demand would open the gate to all of it at once, so what was last seen
-// there fades slowly instead.
-func (v *leveler) learn(w load) int {
+// learn updates the expected arrivals from a window and returns the number of
+// arrivals. Once the roots enforce the level, the arrivals below it can't be
+// seen any more. If their absence were taken for a lack of demand, the level
+// would fall and let in all of it at once. The last known arrivals below the
+// level therefore decay slowly.
+func (v *levelController) learn(w windowDemand) int {
 	arrived := 0
 	windows := float32(w.windows)
-	hidden := v.hidden(w)
-	weight := visibleWeightAt(w.capacity)
+	filtered := v.filteredByRoots(w)
+	weight := arrivalWeight(w.capacity)
 	for i := range v.expected {
 		n := w.arrivals[i]
 		arrived += int(n)
 		seen := float32(n) / windows
 		e := &v.expected[i]
 		switch {
-		case !hidden || i >= int(v.level) || seen > *e:
+		case !filtered || i >= int(v.level) || seen > *e:
 			*e += weight * (seen - *e)
 		default:
-			*e *= hiddenDecay
+			*e *= filteredDecay
 		}
 	}
 	return arrived
 }
 
-// hidden tells whether roots keep away what is below the level: of what is
-// expected there, no more came than probes.
-func (v *leveler) hidden(w load) bool {
+// filteredByRoots reports whether the roots refuse the calls below the level:
+// of the arrivals expected there, only about as many came as the roots let
+// through as probes.
+func (v *levelController) filteredByRoots(w windowDemand) bool {
 	seen, expected := 0.0, 0.0
 	for i := range v.level {
 		seen += float64(w.arrivals[i])
 		expected += float64(v.expected[i])
 	}
-	return w.windows == 1 && seen < visibleShare*expected
+	return w.windows == 1 && seen < minVisibleShare*expected
 }
 
-// visibleWeightAt is the weight of a window in the expected arrivals. The fewer
-// calls a window has, the more of its count is chance; a level that follows
-// chance is too high in every other window.
-func visibleWeightAt(capacity float64) float32 {
+// arrivalWeight returns the weight of a window in the expected arrivals. The
+// fewer calls a window has, the larger is the random part of its count. A level
+// that follows the random variation is too high in every other window.
+func arrivalWeight(capacity float64) float32 {
 	precise := arrivalNoise * arrivalNoise * max(capacity, 1)
-	return float32(min(2*precise/(1+precise), visibleWeight))
+	return float32(min(2*precise/(1+precise), maxArrivalWeight))
 }
 
-// kept is how many arrivals a window should let in for a capacity.
+// admissionTarget returns the target for the number of admitted arrivals in a
+// window, for a given capacity.
 //
-// The failure: a window that can end ten visits is sent 1.35 times as many on
-// average, every eighth window brings fewer than ten, and the upstream idles in
-// the middle of a surge. So the margin is wide where chance is: what comes over
-// the capacity is refused by the queue, in the order of importance and before
-// any work.
-func kept(capacity float64) float64 {
-	return min(margin*capacity+deviations*math.Sqrt(capacity), mostKept*capacity)
+// The smaller the capacity, the further the target is above it, because of
+// random variation: a window that can finish ten visits and receives 1.35 times
+// as many calls on average still receives fewer than ten in one case out of
+// eight, and the upstream idles in the middle of a surge. The queue refuses the
+// excess calls, in the order of importance and before any work is done.
+func admissionTarget(capacity float64) float64 {
+	return min(targetMargin*capacity+targetDeviations*math.Sqrt(capacity), maxTargetFactor*capacity)
 }
 
-// raise lifts the level until what is expected above it fits the capacity.
-func (v *leveler) raise(capacity float64) {
-	keep := max(kept(capacity), largestCut*v.admitted())
+// raise lifts the level until the arrivals expected at or above it fit the
+// capacity.
+func (v *levelController) raise(capacity float64) {
+	target := max(admissionTarget(capacity), minAdmittedShare*v.admitted())
 	sum := 0.0
 	for i := levels - 1; i >= int(v.level); i-- {
 		next := sum + float64(v.expected[i])
-		if next <= keep {
+		if next <= target {
 			sum = next
 			continue
 		}
-		// A level is refused whole. Where that would leave half the capacity
-		// idle, because many calls share one level, it is let in and the
-		// queue refuses what is too much.
-		if sum < leastUse*keep {
+		// A level can only be refused as a whole. If that would leave half of
+		// the capacity unused, because many calls share one level, the level is
+		// admitted and the queue refuses the excess calls.
+		if sum < minUtilization*target {
 			i--
 		}
 		v.level = call.Level(min(i+1, levels-1))
@@ -201,24 +214,25 @@
 	}
 }
 
-// lower takes back what the proven capacity leaves free, and at least a share
-// of what is admitted that grows with each calm window. So a standing overload
-// is held near capacity, and after a surge, when what was expected below no
-// longer comes, a few windows take back everything.
-func (v *leveler) lower() {
+// lower lets in as many arrivals as the unused part of the proven capacity
+// allows, and at least a share of the admitted arrivals that grows with each
+// calm window. So a lasting overload is held near the capacity, and after a
+// surge, when the arrivals expected below the level no longer come, the level
+// falls to zero within a few windows.
+func (v *levelController) lower() {
 	if v.level == 0 {
 		return
 	}
 	admitted := v.admitted()
-	allowance := firstAllowance * max(admitted, 1)
-	for range v.calm - 1 {
-		allowance *= growth
+	allowance := initialAllowance * max(admitted, 1)
+	for range v.calmWindows - 1 {
+		allowance *= allowanceGrowth
 	}
-	allowance = max(allowance, spareShare*(kept(v.proven)-admitted))
+	allowance = max(allowance, spareShare*(admissionTarget(v.provenCapacity)-admitted))
 	sum := 0.0
 	for v.level > 0 {
 		next := sum + float64(v.expected[v.level-1])
-		if next > allowance && admitted+sum >= leastUse*v.proven {
+		if next > allowance && admitted+sum >= minUtilization*v.provenCapacity {
 			return
 		}
 		sum = next
@@ -226,8 +240,8 @@
 	}
 }
 
-// admitted is how many arrivals are expected at or above the level.
-func (v *leveler) admitted() float64 {
+// admitted returns the number of arrivals expected at or above the level.
+func (v *levelController) admitted() float64 {
 	sum := 0.0
 	for i := int(v.level); i < levels; i++ {
 		sum += float64(v.expected[i])
--- a/admission/oracle_test.go
+++ b/admission/oracle_test.go
@@ -14,7 +14,7 @@
 	"pollengauge.dev/call"
 )
 
-// operation is one step of a run; n picks what it acts on.
+// operation is one step of a generated run. n selects the call that it acts on.
 type operation struct {
 	kind, n int
 	request Request
@@ -31,10 +31,10 @@
 	opCancelRelease
 )
 
-// waiting stands for no outcome yet.
+// waiting means that a call has no outcome yet.
 const waiting = call.Reason("waiting")
 
-// entry is a call as the oracle sees it.
+// entry is the oracle's record of a call.
 type entry struct {
 	try     *try
 	request Request
@@ -44,20 +44,20 @@
 	want    call.Reason
 }
 
-// oracle is the gate written the plain way: lists, searched in full.
+// oracle is a simple model of the gate: lists that are searched in full.
 type oracle struct {
-	gate         *Gate
-	limit, queue int
-	all          []*entry
-	held, waits  []*entry
-	draining     bool
+	gate             *Gate
+	limit, queue     int
+	all              []*entry
+	inFlight, queued []*entry
+	draining         bool
 }
 
-// Calls come, go, block, hang up, wait too long and meet a drain, in any order.
-// Each must have the one outcome that the rules give it: the important before
-// the rest, those with more work done before the rest, nobody gone is dispatched,
-// nobody in flight or queued is cut off by a drain, and never do more hold a
-// ticket than there are slots.
+// Calls arrive, end, block, are cancelled, time out in the queue and meet a
+// drain, in any order. Each must get the one outcome that the rules define:
+// more important calls first, then calls of requests with more progress; no
+// cancelled call is dispatched; a drain interrupts no call in flight or queued;
+// and the tickets in use never exceed the slots.
 func TestGateAgainstOracle(t *testing.T) {
 	operations := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) operation {
 		return operation{
@@ -76,7 +76,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		ops := operations.Draw(rt, "operations")
 		slack := rapid.IntRange(0, 3).Draw(rt, "slack")
-		// From minReserveLimit on, room is kept in reserve.
+		// From minReserveLimit on, shards reserve capacity.
 		limit := rapid.SampledFrom([]int{2, minReserveLimit}).Draw(rt, "limit")
 		fault := ""
 		synctest.Test(t, func(t *testing.T) { fault = runOracle(t, ops, limit, slack) })
@@ -100,7 +100,7 @@
 			return fmt.Sprintf("after operation %d %+v: %s", i, op, fault)
 		}
 	}
-	for _, e := range o.waits {
+	for _, e := range o.queued {
 		e.cancel()
 	}
 	synctest.Wait()
@@ -112,12 +112,12 @@
 	case opAcquire:
 		o.acquire(t, op.request)
 	case opCancel, opCancelRelease:
-		if len(o.waits) > 0 {
-			o.settle(o.waits[op.n%len(o.waits)], call.ReasonCancelled).cancel()
+		if len(o.queued) > 0 {
+			o.resolve(o.queued[op.n%len(o.queued)], call.ReasonCancelled).cancel()
 		}
-		if op.kind == opCancelRelease && len(o.held) > 0 {
-			// Room becomes free before the gate hears of the cancellation.
-			o.visit(opRelease, o.held[op.n%len(o.held)])
+		if op.kind == opCancelRelease && len(o.inFlight) > 0 {
+			// Capacity becomes free before the gate notices the cancellation.
+			o.visit(opRelease, o.inFlight[op.n%len(o.inFlight)])
 		}
 	case opSleep:
 		o.sleep(time.Duration(op.n) * time.Millisecond)
@@ -125,8 +125,8 @@
 		o.draining = !o.draining
 		o.gate.draining.Store(o.draining)
 	default:
-		if len(o.held) > 0 {
-			o.visit(op.kind, o.held[op.n%len(o.held)])
+		if len(o.inFlight) > 0 {
+			o.visit(op.kind, o.inFlight[op.n%len(o.inFlight)])
 		}
 	}
 	o.dispatch()
@@ -137,7 +137,7 @@
 	switch kind {
 	case opRelease:
 		e.try.ticket.Release(Ignore)
-		o.held = slices.DeleteFunc(o.held, func(x *entry) bool { return x == e })
+		o.inFlight = slices.DeleteFunc(o.inFlight, func(x *entry) bool { return x == e })
 	case opBlock:
 		e.try.ticket.Block()
 		e.blocks++
@@ -161,24 +161,25 @@
 		e.want = call.ReasonDraining
 		return
 	}
-	o.waits = append(o.waits, e)
+	o.queued = append(o.queued, e)
 	o.dispatch()
 	if e.want != waiting {
 		return
 	}
 	if wait < 0 {
-		o.settle(e, call.ReasonQueueWait)
-	} else if len(o.waits) > o.queue {
-		worst := slices.MinFunc(o.waits, less)
-		if less(worst, e) == 0 {
+		o.resolve(e, call.ReasonQueueWait)
+	} else if len(o.queued) > o.queue {
+		worst := slices.MinFunc(o.queued, compareImportance)
+		if compareImportance(worst, e) == 0 {
 			worst = e
 		}
-		o.settle(worst, call.ReasonQueueFull)
+		o.resolve(worst, call.ReasonQueueFull)
 	}
 }
 
-// less compares the importance of two calls.
-func less(a, b *entry) int {
+// compareImportance compares the importance of two calls. The result is
+// negative if a is compareImportance important.
+func compareImportance(a, b *entry) int {
 	x, y := a.request, b.request
 	if d := int(x.Level.Priority()) - int(y.Level.Priority()); d != 0 {
 		return d
@@ -191,34 +192,34 @@
 
 func (o *oracle) sleep(d time.Duration) {
 	time.Sleep(d)
-	for _, e := range slices.Clone(o.waits) {
+	for _, e := range slices.Clone(o.queued) {
 		if !e.expires.After(time.Now()) {
-			o.settle(e, call.ReasonQueueWait)
+			o.resolve(e, call.ReasonQueueWait)
 		}
 	}
 }
 
-func (o *oracle) settle(e *entry, reason call.Reason) *entry {
+func (o *oracle) resolve(e *entry, reason call.Reason) *entry {
 	e.want = reason
-	o.waits = slices.DeleteFunc(o.waits, func(x *entry) bool { return x == e })
+	o.queued = slices.DeleteFunc(o.queued, func(x *entry) bool { return x == e })
 	return e
 }
 
 func (o *oracle) dispatch() {
-	for len(o.waits) > 0 && len(o.held) < int(o.gate.slots.Load()) && o.active() < o.limit {
-		best := o.waits[0]
-		for _, e := range o.waits {
-			if less(e, best) > 0 {
+	for len(o.queued) > 0 && len(o.inFlight) < int(o.gate.slots.Load()) && o.active() < o.limit {
+		best := o.queued[0]
+		for _, e := range o.queued {
+			if compareImportance(e, best) > 0 {
 				best = e
 			}
 		}
-		o.held = append(o.held, o.settle(best, call.ReasonNone))
+		o.inFlight = append(o.inFlight, o.resolve(best, call.ReasonNone))
 	}
 }
 
 func (o *oracle) active() int {
 	n := 0
-	for _, e := range o.held {
+	for _, e := range o.inFlight {
 		if e.blocks == 0 {
 			n++
 		}
@@ -226,7 +227,8 @@
 	return n
 }
 
-// compare returns how gate and oracle differ, or nothing.
+// compare describes the first difference between the gate and the oracle, or
+// returns an empty string.
 func (o *oracle) compare() string {
 	for i, e := range o.all {
 		got := waiting
@@ -238,14 +240,14 @@
 		}
 	}
 	s := o.gate.Snapshot()
-	if s.InFlight != len(o.held) || s.InFlight > s.Slots || s.Queued != len(o.waits) || s.InFlight-s.Blocked != o.active() {
-		return fmt.Sprintf("counts: %+v, want %d in flight, %d active, %d queued", s, len(o.held), o.active(), len(o.waits))
+	if s.InFlight != len(o.inFlight) || s.InFlight > s.Slots || s.Queued != len(o.queued) || s.InFlight-s.Blocked != o.active() {
+		return fmt.Sprintf("counts: %+v, want %d in flight, %d active, %d queued", s, len(o.inFlight), o.active(), len(o.queued))
 	}
 	return ""
 }
 
-// TestMain fixes the seed of generated runs; -rapid.seed on the command line
-// still sets another.
+// TestMain fixes the seed of the generated runs. The flag -rapid.seed overrides
+// it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		panic(err)
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -8,13 +8,13 @@
 	"pollengauge.dev/call"
 )
 
-// A class is the place of a waiting call in the order of dispatch: priority
-// first, then calls whose request has more work done, then the tie-break.
+// class is the rank of a queued call in the order of dispatch: by priority,
+// then by the progress of its request (more first), then by tie-break.
 type class uint16
 
 const (
-	// progressSteps is how many counts of work done are told apart; the last
-	// one stands for all further ones.
+	// progressSteps is the number of distinguished values of Request.Progress.
+	// The last one stands for all higher values.
 	progressSteps = 4
 	classes       = levels * progressSteps
 	wordBits      = 64
@@ -29,51 +29,54 @@
 	return group*groupSize + class(level.Tiebreak())
 }
 
-// group is the class without its tie-break.
+// group returns the class without its tie-break.
 func (c class) group() int { return int(c / groupSize) }
 
-// waiter is a call in the queue.
+// waiter is a queued call.
 type waiter struct {
-	ctx     context.Context
-	class   class
-	since   time.Duration
-	expires time.Duration
-	// expiry is the reason of the refusal when expires passes.
-	expiry call.Reason
-	queued bool
-	// reason is set, and done signalled, by the one step that takes the
-	// waiter out of the queue. ReasonNone means dispatched.
+	ctx      context.Context
+	class    class
+	queuedAt time.Duration
+	expires  time.Duration
+	// expiryReason is the reason for the refusal if the waiter is still queued at
+	// expires.
+	expiryReason call.Reason
+	queued       bool
+	// reason is set, and done is signalled, in the one step that removes the
+	// waiter from the queue. ReasonNone means dispatched.
 	reason call.Reason
 	done   chan struct{}
 
 	prev, next *waiter
 }
 
-// waitList is a list of one class, oldest first.
+// waitList is the list of waiters of one class, oldest first.
 type waitList struct{ first, last *waiter }
 
-// queue is bounded and ordered by class. Every operation takes constant time.
-// Its owner locks.
+// queue is a bounded queue ordered by class. The time of every operation is
+// bounded, whatever the number of waiters. The caller must hold the gate's
+// lock.
 type queue struct {
 	limit int
 	size  int
 	lists [classes]waitList
-	// occupied has a bit for each class with a waiter.
+	// occupied has a bit for each class, set if the class has waiters.
 	occupied [classes / wordBits]uint64
-	// inClass counts the waiters of each class, and inGroup those of each group,
-	// for the estimate of the wait.
-	inClass [classes]uint16
-	inGroup [groups]int
+	// classSizes counts the waiters of each class and groupSizes those of each
+	// group, to estimate the wait of a new call.
+	classSizes [classes]uint16
+	groupSizes [groups]int
 }
 
-// push adds w. If the queue is full, the least important waiter makes room,
-// or push reports false when w itself is the least important.
+// push adds w. If the queue is full, push evicts and returns the least
+// important waiter, or reports false if w is no more important than that
+// waiter.
 func (q *queue) push(w *waiter) (evicted *waiter, ok bool) {
 	if q.limit == 0 {
 		return nil, false
 	}
 	if q.size >= q.limit {
-		evicted = q.worst()
+		evicted = q.leastImportant()
 		if evicted.class >= w.class {
 			return nil, false
 		}
@@ -95,8 +98,8 @@
 	list.last = w
 	w.queued = true
 	q.occupied[w.class/wordBits] |= 1 << (w.class % wordBits)
-	q.inGroup[w.class.group()]++
-	q.inClass[w.class]++
+	q.groupSizes[w.class.group()]++
+	q.classSizes[w.class]++
 	q.size++
 }
 
@@ -117,13 +120,13 @@
 	if list.first == nil {
 		q.occupied[w.class/wordBits] &^= 1 << (w.class % wordBits)
 	}
-	q.inGroup[w.class.group()]--
-	q.inClass[w.class]--
+	q.groupSizes[w.class.group()]--
+	q.classSizes[w.class]--
 	q.size--
 }
 
-// best is the waiter to dispatch next, or nil.
-func (q *queue) best(newestFirst bool) *waiter {
+// mostImportant returns the waiter to dispatch next, or nil if the queue is empty.
+func (q *queue) mostImportant(newestFirst bool) *waiter {
 	for i := len(q.occupied) - 1; i >= 0; i-- {
 		if q.occupied[i] == 0 {
 			continue
@@ -137,9 +140,9 @@
 	return nil
 }
 
-// worst is the waiter to push out, or nil: of the lowest class the oldest,
-// which has the least time left.
-func (q *queue) worst() *waiter {
+// leastImportant returns the waiter to evict, or nil if the queue is empty. It
+// is the oldest waiter of the lowest class, which has the least time left.
+func (q *queue) leastImportant() *waiter {
 	for i, word := range q.occupied {
 		if word != 0 {
 			return q.lists[i*wordBits+bits.TrailingZeros64(word)].first
@@ -148,31 +151,33 @@
 	return nil
 }
 
-// ahead counts the waiters that go before a newcomer of class c. Without
-// withinGroup tie-breaks are left aside.
-func (q *queue) ahead(c class, withinGroup bool) int {
+// countAhead returns the number of waiters that are dispatched before a new call of
+// class c. With withinGroup it also counts the waiters of the same group by
+// their tie-breaks; otherwise it counts only those of higher groups.
+func (q *queue) countAhead(c class, withinGroup bool) int {
 	n := 0
 	for i := c.group() + 1; i < groups; i++ {
-		n += q.inGroup[i]
+		n += q.groupSizes[i]
 	}
 	if !withinGroup {
 		return n
 	}
 	for i := c; i.group() == c.group() && int(i) < classes; i++ {
-		n += int(q.inClass[i])
+		n += int(q.classSizes[i])
 	}
 	return n
 }
 
-// oldest is when the longest-waiting call was queued.
+// oldest returns when the longest-waiting call was queued. It reports false if
+// the queue is empty.
 func (q *queue) oldest() (time.Duration, bool) {
 	var since time.Duration
 	found := false
 	for i, word := range q.occupied {
 		for ; word != 0; word &= word - 1 {
 			first := q.lists[i*wordBits+bits.TrailingZeros64(word)].first
-			if !found || first.since < since {
-				since, found = first.since, true
+			if !found || first.queuedAt < since {
+				since, found = first.queuedAt, true
 			}
 		}
 	}
--- a/admission/window.go
+++ b/admission/window.go
@@ -5,49 +5,56 @@
 	"time"
 )
 
-// windowState is what the lock guards of the measurements.
+// windowState holds the measurements of the current window. The gate's lock
+// guards it.
 type windowState struct {
 	start        time.Duration
 	waitSum      time.Duration
 	waitCount    int
 	queueRefused int
-	// The preferences of the calls that found no room.
+	// The sum and number of the preferences of calls that found no free
+	// capacity.
 	preferenceSum   float64
 	preferenceCount int
-	// limited tells that a call found no room.
-	limited bool
+	// capacityExhausted is set if a call found no free capacity.
+	capacityExhausted bool
 
-	arrived  [levels]uint32
-	arrivals [levels]uint32
-	ok       uint64
-	shed     uint64
-	done     float64
-	samples  []sample
-	// meanSelf and meanService are over all profiles, in nanoseconds.
+	// previousTotals are the arrivals by level since the gate was created, as
+	// of the start of the window; arrivals are those of the last window.
+	previousTotals [levels]uint32
+	arrivals       [levels]uint32
+	ok             uint64
+	shed           uint64
+	finished       float64
+	samples        []sample
+	// meanSelf and meanService are moving means over all profiles, in
+	// nanoseconds.
 	meanSelf    float64
 	meanService float64
-	// spacing is the mean time between two visits that end, in nanoseconds.
+	// spacing is the mean time between the ends of two visits at full load, in
+	// nanoseconds.
 	spacing float64
 }
 
-// pressingState is what the lock guards of the pressure.
-type pressingState struct {
+// pressureState is the state of the pressure computation. The gate's lock
+// guards it.
+type pressureState struct {
 	value pressure
 	since time.Duration
-	// The rest is of the window under way.
+	// The remaining fields belong to the current pressure window.
 	waitSum            time.Duration
 	waitCount, refused int
-	// admitted is the count of admitted calls at its begin.
+	// admitted is the total of admitted calls at the start of the window.
 	admitted uint64
 }
 
 const thousand = 1000
 
-// meanWeight is the weight of a window in the means over all profiles.
+// meanWeight is the weight of one window in the moving means.
 const meanWeight = 0.3
 
-// tickIfDue ends the window when its time has come. No goroutine does it: a
-// gate without calls has nothing to decide.
+// tickIfDue closes the window if its time has passed. Calls do this instead of
+// a goroutine, because a gate without calls has nothing to decide.
 func (g *Gate) tickIfDue(now time.Duration) {
 	due := g.nextTick.Load()
 	if int64(now) < due {
@@ -61,7 +68,7 @@
 	g.tick(now)
 }
 
-// tick ends the window. The lock is held.
+// tick closes the window. The gate's lock is held.
 func (g *Gate) tick(now time.Duration) {
 	w := &g.window
 	elapsed := now - w.start
@@ -73,22 +80,23 @@
 	g.limit.Store(int32(g.limiter.effective(now)))
 	g.learnCapacity()
 	if g.config.SlotShare == 0 {
-		g.leveler.update(g.demand(elapsed, now))
-		g.level.Store(uint32(g.leveler.level))
-		g.inherited.Store(uint32(g.leveler.inheritedLevel()))
+		g.levelController.update(g.measureDemand(elapsed, now))
+		g.level.Store(uint32(g.levelController.level))
+		g.inherited.Store(uint32(g.levelController.inheritedLevel()))
 	}
 	g.updatePressure(now)
 	w.start = now
-	w.waitSum, w.waitCount, w.queueRefused, w.limited = 0, 0, 0, false
+	w.waitSum, w.waitCount, w.queueRefused, w.capacityExhausted = 0, 0, 0, false
 	w.preferenceSum, w.preferenceCount = 0, 0
 	if g.queue.size > 0 {
 		g.dispatch(now)
 	}
 }
 
-// updatePressure folds the window into the pressure. The lock is held.
+// updatePressure adds the window to the pressure window, and updates the
+// pressure at the end of the latter. The gate's lock is held.
 func (g *Gate) updatePressure(now time.Duration) {
-	w, p := &g.window, &g.pressing
+	w, p := &g.window, &g.pressureState
 	p.waitSum += w.waitSum
 	p.waitCount += w.waitCount
 	p.refused += w.queueRefused
@@ -116,10 +124,10 @@
 	}
 	p.value.update(load)
 	p.waitSum, p.waitCount, p.refused = 0, 0, 0
-	g.pressed.Store(int32(p.value.value * thousand))
+	g.pressurePerMille.Store(int32(p.value.value * thousand))
 }
 
-// measure collects what the limiter needs.
+// measure collects the limiter's input from the window.
 func (g *Gate) measure(elapsed time.Duration) measurement {
 	w := &g.window
 	var ok, shed uint64
@@ -147,13 +155,13 @@
 	}
 	m.samples = w.samples
 	m.peakActive, _ = g.counts()
-	if w.limited {
+	if w.capacityExhausted {
 		m.peakActive = int(g.limit.Load())
 	}
 	if count > 0 {
 		w.learnMeans(float64(self)/float64(count), float64(service)/float64(count))
 	}
-	w.done += meanWeight * (float64(m.ok)*float64(g.config.Window)/float64(elapsed) - w.done)
+	w.finished += meanWeight * (float64(m.ok)*float64(g.config.Window)/float64(elapsed) - w.finished)
 	return m
 }
 
@@ -166,8 +174,9 @@
 	w.meanService += meanWeight * (service - w.meanService)
 }
 
-// learnCapacity sets the spacing of visits that end, by Little's law from the
-// limits and the mean times. Counting ended visits would read idle as slow.
+// learnCapacity derives the spacing of visits from the limits and the mean
+// times by Little's law. A count of finished visits would make an idle upstream
+// look slow.
 func (g *Gate) learnCapacity() {
 	w := &g.window
 	if w.meanSelf == 0 {
@@ -178,20 +187,20 @@
 	w.spacing = math.Max(bySelf, bySlots)
 }
 
-// demand collects what the leveler needs.
-func (g *Gate) demand(elapsed, now time.Duration) load {
+// measureDemand collects the level controller's input from the window.
+func (g *Gate) measureDemand(elapsed, now time.Duration) windowDemand {
 	w := &g.window
 	for i := range w.arrivals {
 		total := uint32(0)
 		for s := range g.shards {
 			total += g.shards[s].arrivals[i].Load()
 		}
-		w.arrivals[i] = total - w.arrived[i]
-		w.arrived[i] = total
+		w.arrivals[i] = total - w.previousTotals[i]
+		w.previousTotals[i] = total
 	}
-	d := load{
+	d := windowDemand{
 		arrivals:     &w.arrivals,
-		capacity:     w.done,
+		capacity:     w.finished,
 		queueRefused: w.queueRefused,
 		preference:   g.config.Preference,
 		windows:      max(int(elapsed/g.config.Window), 1),
