--- a/membership/apart_test.go
+++ b/membership/apart_test.go
@@ -7,11 +7,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Two members are each other's only peers after a cut in which each took the
-// other for dead and refuted its own death, which came to it by way of members
-// that are gone. When the link is back each tells the other only claims that
-// the other has refuted before, and hears nothing new. Callers of the one were
-// never sent to the other again.
+// Two members are each other's only peers after a network partition in which each
+// declared the other dead. Each has refuted its own death, which it received from members
+// that are gone. When the link is back, each sends the other only claims that the other
+// has refuted before, so neither receives anything new. Callers of the one must
+// nevertheless be routed to the other again.
 func TestOldClaimsDontKeepMembersApart(t *testing.T) {
 	cluster(t, 2, func(w *network) {
 		w.block(func(from, to *testNode) bool { return true })
@@ -22,18 +22,18 @@
 			n.cfg.Seeds = nil
 			e := Entry{ID: string(n.table.self.id[:]), State: Dead, Seq: own.Seq + 3}
 			n.applyAll([]Entry{e}, true, n.cfg.Clock())
-			n.rumors = newRumors() // told to those who are gone
+			n.rumors = newRumors() // already sent to the members that are gone
 			n.Gossip.unlockAndPublish()
 		}
 		w.block(nil)
 		took := w.within(15*time.Second, func(n *testNode) bool { return n.sees(Alive) == 2 })
-		w.c.Logf("together %v after the link was back", took)
+		w.c.Logf("merged %v after the link was back", took)
 	})
 }
 
-// One member holds another for dead by an old claim, while the other holds it
-// for alive and goes on probing it. The first answer must be put right at
-// once, not when the one who errs next tries the dead.
+// One member believes another dead because of an outdated claim, while the other believes
+// it alive and keeps probing it. The first answer must be corrected at once, not when the
+// member with the outdated claim next probes dead members.
 func TestOldClaimInAnAnswerIsPutRight(t *testing.T) {
 	cluster(t, 2, func(w *network) {
 		wrong, other := w.nodes[0], w.nodes[1]
@@ -48,7 +48,7 @@
 		other.due.sync = time.Now().Add(time.Hour)
 		other.unlockAndPublish()
 		took := w.within(3*time.Second, func(n *testNode) bool { return n.sees(Alive) == 2 })
-		w.c.Logf("put right after %v", took)
+		w.c.Logf("corrected after %v", took)
 		w.c.Assert(wrong.Stats().Dead, qt.Equals, 0)
 	})
 }
--- a/membership/claims.go
+++ b/membership/claims.go
@@ -5,30 +5,34 @@
 	"time"
 )
 
-// verdict is what became of a claim.
+// verdict is the outcome of applying a claim to the table.
 type verdict uint8
 
 const (
-	// claimKnown: nothing new, or older than what is known.
+	// claimKnown: the claim is already known, or older than the claim in the table.
 	claimKnown verdict = iota
-	// claimTaken: the table changed; the claim deserves to be forwarded.
+	// claimTaken: the claim changed the table and must be forwarded.
 	claimTaken
-	// claimDoubted: someone says Dead of a member that is Alive here, or
-	// Alive of one that is Dead here. A probe of the member decides.
+	// claimDoubted: the claim says Dead of a member that is Alive in this table, or Alive
+	// of one that is Dead. A probe of the member decides.
 	claimDoubted
-	// claimRefuted: it was about this process, and false.
+	// claimRefuted: the claim is about this process and false; this process has refuted
+	// it.
 	claimRefuted
-	// claimOutdated: it was about this process, which has refuted it before.
+	// claimOutdated: the claim is about this process, which has refuted it earlier.
 	claimOutdated
-	// claimRefused: it conflicts with what is known, or is out of bounds.
+	// claimRefused: the claim conflicts with the known identity or is out of bounds.
 	claimRefused
-	// claimLacking: the member lives, by a claim too short to tell who it is.
+	// claimLacking: the claim says Alive, but is a short claim and the description it
+	// refers to is missing here.
 	claimLacking
-	// claimIgnored: it is about a member that is not known, and says too little.
+	// claimIgnored: the claim is about an unknown member and can't add it to the table:
+	// it is short, says that the member is gone, or the table is full.
 	claimIgnored
 )
 
-// newer is the total order between two claims about one incarnation.
+// newer reports whether claim a supersedes claim b in the total order of the claims about
+// one incarnation.
 func newer(seqA uint64, stateA State, seqB uint64, stateB State) bool {
 	if seqA != seqB {
 		return seqA > seqB
@@ -36,7 +40,7 @@
 	return stateA > stateB
 }
 
-// apply takes in one validated claim.
+// apply applies one validated claim to the table.
 func (t *table) apply(e *Entry, now time.Time) (verdict, error) {
 	id := rawID(e.ID)
 	if id == t.self.id {
@@ -47,9 +51,9 @@
 		return t.applyNew(id, e, now), nil
 	}
 	if e.full() && !row.m.State.gone() {
-		// A gone row may be replaced: if the first claim heard of a member was
-		// the false one, it died for want of an answer, and the true one must
-		// still have a way in.
+		// The identity of a gone row may be replaced. If the first claim received about a
+		// member was false, the row was declared dead because no probe was answered, and
+		// the true claim must still be accepted.
 		claimed := e.member()
 		if err := sameIdentity(&row.m, &claimed); err != nil {
 			t.counts.conflicts++
@@ -69,7 +73,7 @@
 	return t.applyNewer(row, e, now), nil
 }
 
-// applyNewer takes in a claim that beats what is known.
+// applyNewer applies a claim that supersedes the row.
 func (t *table) applyNewer(row *record, e *Entry, now time.Time) verdict {
 	switch e.State {
 	case Alive:
@@ -80,16 +84,16 @@
 		t.settleHolder(row, now)
 		return claimTaken
 	case Dead:
-		// A member that is Alive here is not dropped on hearsay: when a cut
-		// heals, each side holds the whole other side for dead, and believing
-		// that would empty every routing table at once. A probe decides, and
-		// lets the member refute the claim.
+		// A member that is Alive in this table is not declared dead on another member's
+		// word. When a network partition heals, each side believes the whole other side
+		// dead, and accepting that would empty all routing tables at once. A probe
+		// decides instead, and carries the claim so that the member can refute it.
 		if row.m.State == Alive {
 			return claimDoubted
 		}
 	case Suspect:
-		// It came back and was suspected since, but its own claim of life was
-		// missed here.
+		// The member came back and was suspected again, but this process missed its Alive
+		// claim.
 		if row.m.State.gone() {
 			return claimDoubted
 		}
@@ -99,9 +103,9 @@
 	return claimTaken
 }
 
-// unforge forgets a member whose Seq here is far above the one that the
-// member itself shows. The first claim heard of it was corrupt, and would make
-// each true one look old for ever.
+// unforge forgets a member whose Seq in this table is far above the Seq that the member
+// itself sends. The first claim received about it was corrupt, and would make every true
+// claim look outdated for ever.
 func (t *table) unforge(id memberID, seq uint64) {
 	row := t.rows[id]
 	if row == nil || row == t.self || row.m.Seq <= seq+maxSeqAhead {
@@ -111,7 +115,7 @@
 	t.forget(row)
 }
 
-// applyNew takes in a claim about an incarnation that is not in the table.
+// applyNew applies a claim about an incarnation that is not in the table.
 func (t *table) applyNew(id memberID, e *Entry, now time.Time) verdict {
 	if !e.full() && e.State == Alive {
 		return claimLacking
@@ -133,7 +137,8 @@
 	return claimTaken
 }
 
-// applySelf refutes whatever is said about this process that it did not say.
+// applySelf applies a claim about this process, and refutes it if this process did not
+// make it.
 func (t *table) applySelf(e *Entry) (verdict, error) {
 	self := &t.self.m
 	var conflict error
--- a/membership/compare_test.go
+++ b/membership/compare_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// The protocols that were weighed against the one in use. Ages and heartbeat
-// counters spread alike: in each cycle every member exchanges what it knows
-// with one random other. They differ in what a message costs.
+// The types below model the protocols that were considered instead of the one in use.
+// Ages and heartbeat counters spread alike: in each cycle every member exchanges its
+// knowledge with one random other member. The protocols differ in the size of a message.
 
-// agePing is a whole age vector: one byte for each member of an ordered list,
-// the digest of the list and a Lamport clock. ageReply holds only what is
+// agePing contains a complete age vector: one byte for each member of an ordered list,
+// the digest of the list and a Lamport clock. ageReply contains only the ages that are
 // newer by more than the laziness factor.
 type agePing struct {
 	From  string
@@ -28,7 +28,7 @@
 	Ages    []byte
 }
 
-// heartbeats is a whole list, sent both ways.
+// heartbeats contains a complete list, sent in both directions.
 type heartbeats struct {
 	From string
 	List []heartbeat
@@ -44,9 +44,9 @@
 	ages  [][]int
 	lazy  int
 	loss  float64
-	dead  int // member that no longer takes part, or -1
+	dead  int // index of the stopped member, or -1
 	pings int
-	reply int // entries in all replies
+	reply int // number of entries in all replies
 }
 
 func newAgeSim(size int) *ageSim {
@@ -88,8 +88,8 @@
 	}
 }
 
-// oldest returns the highest age over some cycles, and how often a member
-// crossed threshold at another.
+// oldest returns the highest age during some cycles, and how often a member's age
+// exceeded threshold at another member.
 func (s *ageSim) oldest(cycles, threshold int) (highest, crossings int) {
 	for range cycles {
 		s.cycle()
@@ -105,7 +105,8 @@
 	return highest, crossings
 }
 
-// detect stops member 0 and returns the cycles until all others hold it dead.
+// detect stops member 0 and returns the number of cycles until all other members consider
+// it dead.
 func (s *ageSim) detect(threshold int) int {
 	s.dead = 0
 	for cycles := 0; ; cycles++ {
@@ -122,7 +123,8 @@
 	}
 }
 
-// encoded is the length of the n-th message of a connection.
+// encoded returns the length of a message on a connection that has already carried one of
+// the same type.
 func encoded(header, body any) int {
 	var n counter
 	enc := gob.NewEncoder(&n)
@@ -134,8 +136,8 @@
 	return int(n) + int(n)/segmentPayload*segmentHeader
 }
 
-// TestCompare prints the figures of the protocols that lost, per node in+out
-// at one exchange a second, on connections that are never reopened.
+// TestCompare prints the figures of the rejected protocols: bytes per node in and out at
+// one exchange a second, on connections that are never reopened.
 func TestCompare(t *testing.T) {
 	request, response := &rpc.Request{ServiceMethod: rpcMethod, Seq: 1000}, &rpc.Response{ServiceMethod: rpcMethod, Seq: 1000}
 	for _, size := range measuredSizes() {
--- a/membership/config.go
+++ b/membership/config.go
@@ -7,116 +7,122 @@
 	"time"
 )
 
-// Delegate lets configuration versions travel with gossip. Its methods are
-// called without locks held and may be called concurrently; a slow Offer
+// Delegate connects the owner's configuration, which gossip distributes, to the protocol.
+// Its methods are called without locks held and may be called concurrently; a slow Offer
 // delays only the next payload.
 type Delegate interface {
-	// LocalVersion returns the version in force here. It is called for each message.
+	// LocalVersion returns the configuration version in force in this process. It is
+	// called for each message.
 	LocalVersion() uint64
 	// Payload returns the version in force and its encoding.
 	Payload() (version uint64, data []byte)
-	// Offer hands over the payload of a peer that showed a higher version.
-	// The delegate validates it; a rise of LocalVersion tells that it was taken.
+	// Offer delivers the payload of a peer that announced a higher version. The delegate
+	// validates it. If LocalVersion is higher afterwards, the payload was accepted.
 	Offer(from string, version uint64, data []byte)
-	// NewestVersion returns the highest version that is known to exist, in force
-	// here or not, and how long ago that was last known. It is called for each message.
+	// NewestVersion returns the highest version that is known to exist, whether or not it
+	// is in force here, and the time since its existence was last confirmed. It is called
+	// for each message.
 	NewestVersion() (version uint64, age time.Duration)
-	// Hear tells of a version that some member knew of so long ago.
+	// Hear reports a version that some member knew to exist at the given age.
 	Hear(version uint64, age time.Duration)
-	// Places is how many places of the fleet this process has seen itself, 0 not to
-	// tell. It is asked for each message.
+	// Places returns the number of fleet places that this process has seen itself, where
+	// a place is a gossip address at which a member runs or ran; 0 leaves the count out
+	// of messages. It is called for each message.
 	Places() int
-	// HearPlaces takes in what another member told of that.
+	// HearPlaces reports the number of places that another member has seen.
 	HearPlaces(count int)
 }
 
-// Config is the set of choices of one Gossip. Zero fields take the defaults.
+// Config configures a Gossip. Zero fields take the defaults.
 type Config struct {
-	// Self describes this process. ID, Service, Addr, GossipAddr, Zone and
-	// Region are needed and stay fixed.
+	// Self describes this process. ID, Service, Addr, GossipAddr, Zone and Region are
+	// required and stay fixed.
 	Self Member
 
-	// Listener takes exchanges of peers. TLS can be put under it. With a nil
+	// Listener accepts exchanges from peers; it may be a TLS listener. With a nil
 	// Listener the owner calls Handle itself.
 	Listener net.Listener
-	// Dial opens a connection to a peer; nil is plain TCP.
+	// Dial opens a connection to a peer; nil means plain TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
-	// Transport replaces net/rpc over Dial, in tests say.
+	// Transport replaces net/rpc over Dial, for example in tests.
 	Transport Transport
 
-	// Interval is the time between two probes by one member. Each member is
-	// probed about once an interval by its neighbours together. Half the
-	// interval halves the first part of the detection time and doubles the
-	// steady traffic. Default 1 s.
+	// Interval is the time between two probes sent by one member. All neighbours together
+	// probe each member about once per Interval. Halving it halves the first part of the
+	// detection time, which ends with a failed probe, and doubles the steady traffic.
+	// Default 1 s.
 	Interval time.Duration
-	// ProbeTimeout bounds a direct probe, and each leg of an indirect one, up to
-	// four times longer while members answer late. It must be well above the
-	// round trip between regions. Default 500 ms.
+	// ProbeTimeout bounds a direct probe, and each leg of an indirect one. While members
+	// answer late, the bound grows up to four times. ProbeTimeout must be well above the
+	// round-trip time between regions. Default 500 ms.
 	ProbeTimeout time.Duration
-	// SuspicionMult scales the time that a suspect has to refute:
-	// SuspicionMult * Interval * log10(members), with log10 at least 2. Lower
-	// detects sooner, and takes more paused or slow members for dead. Default 1.
+	// SuspicionMult scales the time that a suspect has to refute the suspicion:
+	// SuspicionMult * Interval * log10(members), with log10 at least 2. A lower value
+	// detects failures sooner, and declares more paused or slow members dead. Default 1.
 	SuspicionMult float64
-	// Neighbors is the number of members that each member probes in turn, and
-	// so of connections that stay open in each direction. More spread the
-	// news sooner and cost memory. Default 8.
+	// Neighbors is the number of members that each member probes in turn, which is also
+	// the number of persistent connections in each direction. More neighbours spread
+	// updates sooner and use more memory. Default 8.
 	Neighbors int
-	// Fanout is the number of peers told in one round of rumors. Default 3.
+	// Fanout is the number of peers that receive one round of rumors. Default 3.
 	Fanout int
-	// RumorInterval is the least time between two rounds of rumors. Longer
-	// puts more news into one message and spreads it later. Default 100 ms.
+	// RumorInterval is the minimum time between two rounds of rumors. A longer interval
+	// batches more updates into one message and spreads them later. Default 100 ms.
 	RumorInterval time.Duration
-	// SyncInterval is the time between two comparisons with a random member.
-	// It bounds how long a missed rumor stays missed. Default 10 s.
+	// SyncInterval is the time between two table comparisons with a random member. It
+	// bounds the time until a missed rumor is repaired. Default 10 s.
 	SyncInterval time.Duration
-	// HealInterval is the time between two attempts to reach a dead member.
-	// It bounds how soon a cut heals, and the traffic towards VMs that are
-	// gone for good. Default 10 s.
+	// HealInterval is the time between two attempts to reach a dead member. It bounds the
+	// time until a network partition merges, and the traffic sent to VMs that are gone
+	// for good. Default 10 s.
 	HealInterval time.Duration
-	// TryLeft has members that left tried like dead ones. A VM is restarted at
-	// its old address while its seeds can't be read; then only the others can
-	// find it. Off, one that left is believed to be gone for good.
+	// TryLeft includes members that left in the attempts to reach dead members. It is
+	// meant for a VM that restarts at its old address while its seeds can't be read, so
+	// that only other members can find it. Without TryLeft, a member that left is
+	// considered gone for good.
 	TryLeft bool
-	// DeadRetention is how long dead members are remembered and tried; a cut
-	// that lasts longer heals through the seeds. Default 30 min.
+	// DeadRetention is the time for which dead members are remembered and probed; a
+	// partition that lasts longer merges through the seeds. Default 30 min.
 	DeadRetention time.Duration
 
-	// MaxMessageBytes bounds a message in either direction, without the payload
-	// that a reply may carry. Default 2 MiB.
+	// MaxMessageBytes bounds a message in either direction, excluding the payload that a
+	// reply may carry. Default 2 MiB.
 	MaxMessageBytes int
 	// MaxPayloadBytes bounds the configuration payload. Default 1 MiB.
 	MaxPayloadBytes int
-	// RumorBytes bounds the rumors in one message, and so the traffic of a
-	// storm: Fanout * RumorBytes each RumorInterval at most. Default 4 KiB.
+	// RumorBytes bounds the rumors in one message. It thereby bounds the traffic of a
+	// burst of changes to Fanout * RumorBytes per RumorInterval. Default 4 KiB.
 	RumorBytes int
-	// MaxMembers bounds the table, remembered dead included. Default 4096.
+	// MaxMembers bounds the table, including remembered dead members. Default 4096.
 	MaxMembers int
-	// MaxClients bounds open connections to peers. Default 3 * Neighbors.
+	// MaxClients bounds the open connections to peers. Default 3 * Neighbors.
 	MaxClients int
-	// MaxInbound bounds open connections from peers. Default 256.
+	// MaxInbound bounds the open connections from peers. Default 256.
 	MaxInbound int
 
-	// Seeds returns gossip addresses to join through. It is asked at the start.
-	// After that, a node that lost members lately, or that doesn't know or
-	// can't reach all seeds, asks after half a second for each member that it
-	// knows: a small group asks often, and a fleet as a whole no more the
-	// larger it is. The wait doubles while all seeds are known.
+	// Seeds returns gossip addresses to join through. It is called at the start.
+	// Afterwards, a node that lost members recently, or that doesn't know or can't reach
+	// all seeds, calls it again after half a second per member that it knows: a small
+	// group calls it often, and the rate of the whole fleet does not grow with the size
+	// of the fleet. The wait doubles while all seeds are known.
 	Seeds func(ctx context.Context) ([]string, error)
-	// SeedBackoff is the first wait of a node that knows nobody. It doubles
-	// up to MinSeedWait. Default 1 s.
+	// SeedBackoff is the first wait between two calls of Seeds on a node that knows no
+	// other member. It doubles up to MinSeedWait. Default 1 s.
 	SeedBackoff time.Duration
-	// MinSeedWait is the shortest wait otherwise. It bounds how soon a small
-	// group finds the rest once it can be reached. Default 10 s.
+	// MinSeedWait is the shortest wait between two calls of Seeds on a node that knows
+	// other members. It bounds the time until a small group finds the rest of the fleet
+	// once it can be reached. Default 10 s.
 	MinSeedWait time.Duration
-	// MaxSeedWait is the longest wait. Default 5 min.
+	// MaxSeedWait is the longest wait between two calls of Seeds. Default 5 min.
 	MaxSeedWait time.Duration
 
-	// Rand is the source of choices; nil is seeded at random. It is used under
-	// a lock of the Gossip, so it must not be shared.
+	// Rand is the source of random choices; nil is seeded at random. It is used under a
+	// lock of the Gossip, so it must not be shared.
 	Rand *rand.Rand
-	// Clock is the time; nil is time.Now. A jump tells of a pause.
+	// Clock returns the current time; nil means time.Now. A jump of the clock is treated
+	// as a pause of the process.
 	Clock func() time.Time
-	// Delegate carries configuration; nil carries none.
+	// Delegate supplies and accepts configuration; nil disables its distribution.
 	Delegate Delegate
 }
 
@@ -127,7 +133,8 @@
 	}
 }
 
-// withDefaults fills in zero fields and checks the rest.
+// withDefaults returns c with defaults in its zero fields, or an error if a field is
+// invalid.
 func (c Config) withDefaults() (Config, error) {
 	setDefault(&c.Interval, time.Second)
 	setDefault(&c.ProbeTimeout, 500*time.Millisecond)
@@ -217,7 +224,7 @@
 	return nil
 }
 
-// minMessageBytes has room for a full round of rumors.
+// minMessageBytes is large enough for a full round of rumors.
 const minMessageBytes = 64 << 10
 
 // maxReplyBytes bounds the answer to a request.
@@ -245,7 +252,7 @@
 	return nil
 }
 
-// noDelegate stands for a process without configuration.
+// noDelegate is the Delegate of a process without configuration.
 type noDelegate struct{}
 
 func (noDelegate) LocalVersion() uint64                   { return 0 }
--- a/membership/converge_test.go
+++ b/membership/converge_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// Two members hear the same claims, some twice, in different orders, and then
-// tell each other what they hold, as a sync does. However news was delayed,
-// they must end with the same view; where one holds Alive what the other holds
-// Dead, one must doubt, because then a probe decides.
+// Two members receive the same claims, some of them twice, in different orders, and then
+// send each other their tables, as a sync does. Whatever the delays, they must end with
+// the same view. Where one holds Alive and the other Dead, one of them must doubt,
+// because then a probe decides.
 func TestTablesConverge(t *testing.T) {
 	start := time.Unix(1_800_000_000, 0)
 	rapid.Check(t, func(t *rapid.T) {
@@ -64,7 +64,7 @@
 		for _, row := range tables[0].order {
 			other := tables[1].rows[row.id]
 			if row == tables[0].self || (other == nil && row.m.State.gone()) {
-				continue // nobody spreads the dead to those who never knew them
+				continue // Dead claims are not added to tables that never had the member
 			}
 			if other == nil || (!reflect.DeepEqual(row.m, other.m) && !doubted[string(row.id[:])]) {
 				t.Fatalf("%+v against %+v", row, other)
@@ -73,9 +73,9 @@
 	})
 }
 
-// A member tells how quick its upstream is, and later that it turned slow. The
-// others place their calls by it, so each must have the latest figures; more of
-// them than a message holds are refused where they come from.
+// A member announces that its upstream is fast, and later that it has become slow. Other
+// members place their calls by these figures, so each must have the latest ones. Update
+// must reject more figures than a message can hold.
 func TestWorkTimesReachEveryMember(t *testing.T) {
 	cluster(t, 10, func(w *network) {
 		for _, micros := range []uint32{90_000, 360_000} {
--- a/membership/errors.go
+++ b/membership/errors.go
@@ -4,7 +4,7 @@
 
 const maxShownValue = 48
 
-// shorten keeps hostile input from filling a log.
+// shorten quotes a value and truncates it, so that hostile input can't flood a log.
 func shorten(value string) string {
 	if len(value) > maxShownValue {
 		value = value[:maxShownValue] + "..."
@@ -12,7 +12,7 @@
 	return strconv.Quote(value)
 }
 
-// ConfigError tells which field of a Config can't be used.
+// ConfigError reports a Config field with an unusable value.
 type ConfigError struct {
 	Field string
 	Want  string
@@ -21,7 +21,7 @@
 // Error implements error.
 func (e *ConfigError) Error() string { return "membership config: " + e.Field + ": want " + e.Want }
 
-// InvalidError tells which field of a peer's message is malformed.
+// InvalidError reports a malformed field of a peer's message.
 type InvalidError struct {
 	Field string
 	Value string
@@ -33,8 +33,8 @@
 	return "membership message: " + e.Field + " " + shorten(e.Value) + ": want " + e.Want
 }
 
-// ConflictError is a claim that contradicts what is known about an
-// incarnation. The claim is not taken in.
+// ConflictError reports a claim that contradicts the known identity of an incarnation.
+// The claim is rejected.
 type ConflictError struct {
 	ID      string
 	Field   string
@@ -47,10 +47,10 @@
 	return "member " + shorten(e.ID) + ": " + e.Field + " is " + shorten(e.Known) + ", claimed " + shorten(e.Claimed)
 }
 
-// TransportError is a failed exchange with a peer.
+// TransportError reports a failed exchange with a peer.
 type TransportError struct {
 	Addr string
-	// Stage is dial, call or reply.
+	// Stage is the failed step: dial, call or reply.
 	Stage string
 	Err   error
 }
@@ -63,8 +63,8 @@
 // Unwrap returns the cause.
 func (e *TransportError) Unwrap() error { return e.Err }
 
-// OversizeError is a message longer than Config.MaxMessageBytes, or a reply that
-// is longer than that and Config.MaxPayloadBytes together.
+// OversizeError reports a request longer than Config.MaxMessageBytes, or a reply longer
+// than Config.MaxMessageBytes and Config.MaxPayloadBytes together.
 type OversizeError struct{ Limit int }
 
 // Error implements error.
@@ -72,25 +72,25 @@
 	return "gossip message is longer than " + strconv.Itoa(e.Limit) + " bytes"
 }
 
-// BusyError means that a peer has many exchanges to answer, so that another
-// one was not sent.
+// BusyError reports that an exchange was not sent because too many exchanges on the
+// connection to the peer await a reply.
 type BusyError struct{ Pending int }
 
 // Error implements error.
 func (e *BusyError) Error() string {
-	return strconv.Itoa(e.Pending) + " exchanges have no answer yet"
+	return strconv.Itoa(e.Pending) + " exchanges with this peer already await a reply"
 }
 
-// ClosedError is returned after Close, and for a second Start.
+// ClosedError is returned after Close, and by a second Start.
 type ClosedError struct{}
 
 // Error implements error.
-func (e *ClosedError) Error() string { return "membership is closed or has been started before" }
+func (e *ClosedError) Error() string { return "membership is closed or was already started" }
 
-// UnheardError is returned by Leave when no peer took the news.
+// UnheardError is returned by Leave when no peer confirmed the departure.
 type UnheardError struct{ Asked int }
 
 // Error implements error.
 func (e *UnheardError) Error() string {
-	return "leave was heard by none of " + strconv.Itoa(e.Asked) + " peers"
+	return "none of " + strconv.Itoa(e.Asked) + " peers confirmed the departure"
 }
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// newsHop is what each hop adds to the age of a version that is only known of.
-	// It is above the time of a message, so that the age rises on any way round.
+	// newsHop is added, at each hop, to the age of a configuration version that the
+	// sender doesn't have in force. It is above the transmission time of a message, so
+	// that the age grows along every path and every cycle.
 	newsHop = time.Second
-	// maxPlaces is the most places that a member can tell of.
+	// maxPlaces is the highest count of places that a member can report.
 	maxPlaces = 1 << 20
-	// maxNewestAge keeps an age far from overflow, in milliseconds.
+	// maxNewestAge, in milliseconds, bounds a received age far below overflow.
 	maxNewestAge = 1 << 40
 )
 
-// replyRumors is the share of RumorBytes that a reply may carry.
+// replyRumors divides RumorBytes to give the bytes of rumors that a reply may carry.
 const replyRumors = 4
 
-// exchange sends a request, takes in the reply and counts the rumors told.
+// exchange sends a request, applies the reply and counts the rumors that were delivered.
 func (g *Gossip) exchange(ctx context.Context, peer target, m *Message) (*Message, error) {
 	g.sign(m)
 	g.stats.sent.Add(1)
@@ -62,8 +63,8 @@
 	return reply, nil
 }
 
-// ask makes an exchange and waits for the answer for a time. One that comes
-// later is taken in all the same: it is a sign of life.
+// ask starts an exchange and waits up to wait for the reply. A reply that arrives later
+// is still applied, because it proves that the peer is alive.
 func (g *Gossip) ask(ctx context.Context, wait time.Duration, peer target, m *Message) (*Message, error) {
 	type answer struct {
 		reply *Message
@@ -77,7 +78,7 @@
 		done <- answer{reply, err}
 	}
 	g.mu.Lock()
-	if g.closing.Load() { // Close may be waiting already
+	if g.closing.Load() { // running.Go must not follow the running.Wait of Close
 		g.mu.Unlock()
 		return nil, &ClosedError{}
 	}
@@ -94,14 +95,15 @@
 	}
 }
 
-// patience returns how long to wait now.
+// patience returns a copy of the current adaptive timeout.
 func (g *Gossip) patience() patience {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.patience
 }
 
-// sign fills in what every message carries.
+// sign sets the fields that every message carries: the sender and its configuration
+// versions.
 func (g *Gossip) sign(m *Message) {
 	m.Version = g.cfg.Delegate.LocalVersion()
 	if newest, age := g.cfg.Delegate.NewestVersion(); newest > m.Version {
@@ -114,8 +116,9 @@
 	g.mu.Unlock()
 }
 
-// afterMessage acts on what a message brought: rumors to forward, or a higher
-// configuration version to hear of or to fetch.
+// afterMessage acts on the content of a message outside the lock: it reports
+// configuration versions and places to the delegate, fetches a higher version, and wakes
+// the loop if there are rumors or doubts to process.
 func (g *Gossip) afterMessage(from memberID, m *Message) {
 	if m.Newest > m.Version {
 		age := time.Duration(min(m.NewestAge, maxNewestAge)) * time.Millisecond
@@ -136,8 +139,8 @@
 	}
 }
 
-// describeWanted returns in full those claims of a request that the replier
-// can't use without. The lock is held.
+// describeWanted returns the full descriptions of the members for which the replier set a
+// bit in wanted. The lock is held.
 func (g *Gossip) describeWanted(entries []Entry, wanted []byte) []Entry {
 	var out []Entry
 	room := 2 * g.cfg.RumorBytes
@@ -156,24 +159,23 @@
 	return out
 }
 
-// takenIn is what became of the claims in one message.
+// takenIn is the result of applying the claims of one message.
 type takenIn struct {
-	// known and wanted have a bit for each claim; see Message.
+	// known and wanted have one bit for each claim; see Message.
 	known, wanted []byte
-	// outdated tells that the peer believes of this process what it has
-	// refuted before.
+	// outdated is set if the peer still believes a claim about this process that this
+	// process has refuted earlier.
 	//
-	// The failure: two members held each other for dead by claims that both
-	// had refuted long ago. Each told the other its claim, which was no news
-	// there, so neither learned anything and callers of the one were never
-	// sent to the other. Whoever hears such a claim answers with its own
-	// entry, which is higher, and so ends the matter with one message.
+	// Without an answer to such a claim, two members stayed dead to each other: each held
+	// a claim about the other that the other had refuted long ago. Neither claim was new
+	// to its receiver, so neither member learned anything, and callers of the one were
+	// never routed to the other. A process that receives such a claim therefore replies
+	// with its own entry, whose Seq is higher, which settles the conflict in one message.
 	outdated bool
 }
 
-// applyAll takes in claims, and passes on those that are news; of members that
-// live only if tell is set.
-// The lock is held.
+// applyAll applies claims and queues those that changed the table as rumors; Alive claims
+// are queued only if tell is set. The lock is held.
 func (g *Gossip) applyAll(entries []Entry, tell bool, now time.Time) takenIn {
 	var in takenIn
 	for i := range entries {
@@ -213,8 +215,9 @@
 	return in
 }
 
-// want reports whether to ask for a description. Many peers tell the same news
-// at about the same time; one is asked, and another if it didn't answer.
+// want reports whether to request a member's description. Many peers send the same claim
+// at about the same time; the description is requested from one of them, and from another
+// one if the first doesn't answer.
 func (g *Gossip) want(id memberID, now time.Time) bool {
 	if now.Before(g.wanted[id]) {
 		return false
@@ -227,7 +230,8 @@
 	return true
 }
 
-// forgetWanted takes back what can't be asked for: a reply gets no answer.
+// forgetWanted cancels the requests for descriptions of claims that arrived in a reply: a
+// reply can't be answered, so they were never sent.
 func (g *Gossip) forgetWanted(entries []Entry, wanted []byte) {
 	for i := range entries {
 		if bit(wanted, i) {
@@ -236,9 +240,9 @@
 	}
 }
 
-// Handle answers a peer's request. The rpc server calls it; an owner with a
-// transport of its own calls it itself. A malformed request is refused whole
-// with a *InvalidError.
+// Handle answers a peer's request. The rpc server calls it; an owner with its own
+// transport calls it directly. A malformed request is rejected as a whole with an
+// *InvalidError.
 func (g *Gossip) Handle(ctx context.Context, m *Message) (*Message, error) {
 	if err := m.validate(&g.cfg); err != nil {
 		g.stats.refused.Add(1)
@@ -255,8 +259,9 @@
 	alone := g.table.alive == 1
 	taken := g.applyAll(m.Entries, isNews(m.Kind, m.Entries), now)
 	if alone && g.table.alive > 1 {
-		// The sender takes this process for known, and won't tell it of others;
-		// until its own next sync it would know the sender only.
+		// The sender assumes that other members know this process, and won't send it any
+		// other entries. Without a sync now, this process would know only the sender
+		// until its next scheduled sync.
 		g.due.sync = now
 		defer g.wakeLoop()
 	}
@@ -282,8 +287,9 @@
 	return reply, nil
 }
 
-// answerSender tells a sender that is not Alive here so. A process that was
-// paused learns in this way that it was taken for dead.
+// answerSender adds the sender's own state to the reply if the sender is Suspect or Dead
+// here, and sets Stranger if it is unknown. A process that was paused learns this way
+// that it was declared dead.
 func (g *Gossip) answerSender(reply *Message, from memberID) {
 	row := g.table.rows[from]
 	if row == nil {
@@ -295,9 +301,9 @@
 	}
 }
 
-// piggyback adds rumors that the request didn't bring. Of those that are told
-// short it leaves out the living: a reply gets no answer that could ask for
-// the description.
+// piggyback adds rumors to a reply that the request didn't contain. When claims are sent
+// without descriptions, Alive claims are left out: the receiver of a reply can't request
+// the missing description.
 func (g *Gossip) piggyback(reply, request *Message) {
 	brief := len(g.rumors.byID) > maxDescribed
 	if len(g.rumors.byID) == 0 {
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// largest is the size of today's fleet; tests of failures that don't depend on
-// it run smaller, unless figures are measured.
+// largest is the size of today's fleet. Tests of failures that don't depend on the size
+// run with fewer members, unless figures are measured.
 const largest = 560
 
 func sizeOr(size int) int {
@@ -22,13 +22,13 @@
 
 func (n *testNode) id() string { return n.cfg.Self.ID }
 
-// sees tells how many members of one's own view are in a state.
+// sees returns the number of members that are in a state in the node's own view.
 func (n *testNode) sees(s State) int { return n.view.Load().states[s] }
 
-// A process stands still for a minute and is taken for dead. It resumes and
-// still believes that it is a member in good standing, and that the others,
-// whose answers it missed, are silent. It must learn of its death, refute it
-// under its old ID with a higher Seq, and drag nobody else down.
+// A process is stopped for a minute and declared dead. When it resumes, it still
+// considers itself a healthy member, and the others silent because it missed their
+// answers. It must learn of its death, refute it under its old ID with a higher Seq, and
+// not cause any other member to be suspected.
 func TestPausedProcessRejoins(t *testing.T) {
 	cluster(t, 40, func(w *network) {
 		paused := w.nodes[9]
@@ -49,9 +49,9 @@
 	})
 }
 
-// A process restarts at its old address within a second, under a clock that
-// went back an hour: the address answers, so no probe misses the old
-// incarnation, and the new one looks older. All must take the new one.
+// A process restarts at its old address within a second, with a clock that went back an
+// hour. The address answers, so no probe of the old incarnation fails, and the new
+// incarnation looks older. All members must accept the new one.
 func TestRestartReplacesTheOldIncarnation(t *testing.T) {
 	cluster(t, 40, func(w *network) {
 		old := w.nodes[11].id()
@@ -67,11 +67,11 @@
 	})
 }
 
-// The link between two regions is cut for minutes, at last for so long that
-// each side has forgotten the other and only the seeds tell of it. Each side must go on
-// with its own half. When the link is back, neither side may lose sight of its
-// own half while both learn that the other lives, and the configuration that
-// one side accepted meanwhile must reach the other, with no operator's help.
+// The link between two regions fails for minutes, and in the last case for so long that
+// each side has forgotten the other and can find it only through the seeds. Each side
+// must go on with its own half. When the link is back, neither side may lose members of
+// its own half while both learn that the other side is alive, and the configuration that
+// one side accepted meanwhile must reach the other, without an operator.
 func TestRegionCutHeals(t *testing.T) {
 	cuts := []time.Duration{2 * time.Minute, 31 * time.Minute}
 	if *measure {
@@ -87,7 +87,7 @@
 		w.block(func(from, to *testNode) bool { return from.region != to.region })
 		m := w.metered()
 		took := w.within(40*time.Second, func(n *testNode) bool { return n.sees(Alive) == size/2 && n.sees(Dead) == size/2 })
-		w.c.Logf("halves apart after %v, %d bytes a node", took, m.perNode(size))
+		w.c.Logf("partition sides separated after %v, %d bytes a node", took, m.perNode(size))
 		w.nodes[0].config.Offer("", 5, []byte("accepted during the cut"))
 		w.nodes[0].Broadcast()
 		time.Sleep(cut)
@@ -98,14 +98,14 @@
 			lowest = min(lowest, len(n.Members()))
 			return n.sees(Alive) == size && n.config.LocalVersion() == 5
 		})
-		w.c.Logf("whole again %v after a cut of %v, %d bytes a node", took, cut, m.perNode(size))
+		w.c.Logf("merged %v after a partition of %v, %d bytes a node", took, cut, m.perNode(size))
 		w.c.Assert(lowest >= size/2, qt.IsTrue)
 	})
 }
 
-// A tenth of the members can't be reached by another tenth, in one direction
-// only, so exchanges between these fail both ways. Everybody can reach them
-// through others; a suspicion would take healthy upstreams out of service.
+// A tenth of the members can't be reached by another tenth, in one direction only, so
+// exchanges between them fail both ways. All members can reach them through others; a
+// suspicion would take healthy upstreams out of service.
 func TestAsymmetricReachability(t *testing.T) {
 	cluster(t, 40, func(w *network) {
 		before := w.sum(deathsOf)
@@ -119,9 +119,9 @@
 	})
 }
 
-// In a full fleet an upstream drains and an operator changes a profile: both
-// must be known everywhere within two seconds. Then 48 VMs, a rack and more,
-// are replaced at once, seeds among them, and 48 others are lost for good.
+// In a full fleet an upstream drains and an operator changes a profile: both must be
+// known everywhere within two seconds. Then 48 VMs, more than a rack, are replaced at
+// once, including seeds, and another 48 are lost for good.
 func TestLargestFleet(t *testing.T) {
 	cluster(t, largest, func(w *network) {
 		w.metered()
@@ -170,29 +170,30 @@
 	})
 }
 
-// A member hears all others, but nothing that it sends arrives, neither
-// requests nor replies. The others must do without it; it learns that it was
-// taken for dead and can't say otherwise, and must not take healthy members
-// out. As soon as it is heard again it must be back.
+// A member receives everything, but nothing that it sends arrives, neither requests nor
+// replies. The others must exclude it. It learns that it was declared dead and can't
+// refute that, and must not cause healthy members to be excluded. As soon as its messages
+// arrive again, it must be back.
 func TestUnheardMemberComesBack(t *testing.T) {
 	cluster(t, 40, func(w *network) {
 		mute := w.nodes[7]
 		w.block(func(from, to *testNode) bool { return from == mute })
 		took := w.within(30*time.Second, func(n *testNode) bool { return n == mute || n.state(mute.id()) == Dead })
-		w.c.Logf("out everywhere after %v", took)
+		w.c.Logf("excluded everywhere after %v", took)
 		time.Sleep(time.Minute)
 		w.within(0, func(n *testNode) bool { return n == mute || n.sees(Alive) == 39 })
 		w.block(nil)
 		took = w.within(15*time.Second, func(n *testNode) bool { return n.sees(Alive) == 40 })
-		w.c.Logf("back everywhere %v after it was heard again", took)
+		w.c.Logf("back everywhere %v after its messages arrived again", took)
 		w.c.Assert(mute.Stats().Refutations > 0, qt.IsTrue)
 	})
 }
 
-// A VM is restarted in an orderly way: its process leaves and starts again at
-// its address, while the store with the seeds is away. Nobody tries a member
-// that left, so it would stay alone, without configuration, until the store is
-// back. With TryLeft the others find it within a few seconds.
+// A VM restarts in an orderly way: its process leaves and starts again at the same
+// address, while the store that contains the seeds is unavailable. Without TryLeft no
+// other member probes a member that left, so the new process would stay alone, without
+// configuration, until the store is back. With TryLeft the others find it within a few
+// seconds.
 func TestMemberThatLeftIsFoundAtItsAddress(t *testing.T) {
 	cluster(t, 12, func(w *network) {
 		for _, n := range w.nodes {
@@ -216,10 +217,10 @@
 	})
 }
 
-// A process starts while nobody can tell it of the others, and the first that
-// probes it happens to bring news of itself, so it is no stranger to it any
-// more. It must ask for the rest at once: calls are sent to it from then on, and
-// those that its upstream makes would find no target.
+// A process starts while no source can provide the other members' addresses. The first
+// member that probes it also sends its own entry, and is therefore known to it. The
+// process must request the rest of the table at once: from then on calls are routed to
+// it, and the calls that its upstream makes would find no target.
 func TestFirstMemberHeardOfIsAskedForTheRest(t *testing.T) {
 	cluster(t, 12, func(w *network) {
 		fresh := w.add(12, func(c *Config) {
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// maxInFlight bounds the exchanges that one member has under way.
+// maxInFlight bounds the concurrent exchanges that one member starts.
 const maxInFlight = 64
 
-// Gossip is one process's part in the membership. Make it with New.
+// Gossip runs the membership protocol for one process. New creates it.
 type Gossip struct {
 	cfg       Config
 	transport Transport
@@ -20,25 +20,25 @@
 	mu     sync.Mutex
 	table  *table
 	rumors *rumors
-	// doubts are members to be probed out of turn, because someone
-	// contradicts what is believed here of them, with the claim.
+	// doubts holds the claims that contradict the table, by member. These members are
+	// probed out of turn.
 	doubts map[memberID]Entry
-	// wanted are the descriptions asked for, and until when the answer is
-	// awaited.
+	// wanted holds, by member, the time until which a requested description is awaited.
 	wanted map[memberID]time.Time
-	// peers are the neighbours; turn counts the probes of them.
+	// peers are the neighbours; turn counts the probes sent to them.
 	peers []memberID
 	turn  int
-	// tellTurn is the next neighbour to tell rumors to.
+	// tellTurn selects the next neighbour to send rumors to.
 	tellTurn int
-	// telling counts the exchanges with a peer that tell it rumors.
+	// telling counts, by peer, the running exchanges that send it rumors.
 	telling map[memberID]int
-	// pauses counts the pauses of this process that were noticed. A probe
-	// that spans one proves nothing.
+	// pauses counts the detected pauses of this process. A probe during which a pause
+	// occurred proves nothing about its target.
 	pauses int
 	pull   pullState
 	packer packer
-	// ahead is a member that was seen to know far more, and is asked next.
+	// ahead is a member that knows far more members than this process; the next sync goes
+	// to it.
 	ahead memberID
 	due   schedule
 	subs  []func()
@@ -47,7 +47,7 @@
 	version  atomic.Uint64
 	stats    stats
 	inFlight atomic.Int32
-	// relaying counts the probes on behalf of others.
+	// relaying counts the running probes on behalf of other members.
 	relaying atomic.Int32
 
 	wake    chan struct{}
@@ -55,12 +55,12 @@
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 	started atomic.Bool
-	// joining is set while this process learns the whole table.
+	// joining is set while this process fetches the complete table.
 	joining atomic.Bool
 	closing atomic.Bool
 }
 
-// New checks the configuration. The Gossip does nothing until Start.
+// New validates the configuration and returns a Gossip, which is idle until Start.
 func New(cfg Config) (*Gossip, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -77,8 +77,8 @@
 	return g, nil
 }
 
-// Start begins to serve and to gossip. It returns at once; ctx ends both, as
-// Close does. A second Start is a *ClosedError.
+// Start starts serving and gossiping, and returns immediately. Both stop when ctx ends or
+// Close is called. A second Start returns a *ClosedError.
 func (g *Gossip) Start(ctx context.Context) error {
 	if g.closing.Load() || g.started.Swap(true) {
 		return &ClosedError{}
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// Close stops everything and waits for it. It tells nobody; see Leave.
+// Close stops all goroutines and waits for them. It does not announce the departure to
+// peers; see Leave.
 func (g *Gossip) Close() error {
 	g.mu.Lock()
 	again := g.closing.Swap(true)
@@ -107,11 +108,11 @@
 	return err
 }
 
-// Members returns the members that are Alive or Suspect, this process
-// included, ordered by ID. The slice and what it refers to must not be changed.
+// Members returns the members that are Alive or Suspect, including this process, ordered
+// by ID. The slice and the data it refers to must not be changed.
 func (g *Gossip) Members() []Member { return g.view.Load().members() }
 
-// Lookup returns what is known of an incarnation, also of one that is gone.
+// Lookup returns the known entry and state of an incarnation, including one that is gone.
 func (g *Gossip) Lookup(id string) (Member, State, bool) {
 	all := g.view.Load().all
 	i, ok := slices.BinarySearchFunc(all, id, func(m *Member, id string) int { return cmp.Compare(m.ID, id) })
@@ -121,17 +122,17 @@
 	return *all[i], all[i].State, true
 }
 
-// Self returns the own entry.
+// Self returns this process's own entry.
 func (g *Gossip) Self() Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.self.m.clone()
 }
 
-// Version rises whenever Members or Lookup would answer differently.
+// Version returns a counter that rises whenever the results of Members or Lookup change.
 func (g *Gossip) Version() uint64 { return g.version.Load() }
 
-// Subscribe calls fn after each change, without locks held. fn must not
+// Subscribe registers fn to be called after each change, without locks held. fn must not
 // block, and may be called concurrently.
 func (g *Gossip) Subscribe(fn func()) {
 	g.mu.Lock()
@@ -139,8 +140,9 @@
 	g.subs = append(slices.Clone(g.subs), fn)
 }
 
-// Update changes the own entry and tells it at once. Only Slots, Draining,
-// WorkTimes, Held and Inherits can be changed; an invalid change is a *ConfigError and has no effect.
+// Update changes this process's own entry and announces it immediately. Only Slots,
+// Draining, WorkTimes, Held and Inherits can be changed; an invalid change returns a
+// *ConfigError and has no effect.
 func (g *Gossip) Update(change func(*Member)) error {
 	g.mu.Lock()
 	next := g.table.self.m.clone()
@@ -160,8 +162,8 @@
 	return nil
 }
 
-// Broadcast tells peers of a new configuration version. Each that lacks it
-// pulls the payload and does the same.
+// Broadcast announces a new configuration version to peers. Each peer that lacks it pulls
+// the payload and announces it in turn.
 func (g *Gossip) Broadcast() {
 	g.mu.Lock()
 	g.rumors.addVersion()
@@ -169,8 +171,8 @@
 	g.wakeLoop()
 }
 
-// Leave tells peers that this process goes, and waits until at least one has
-// heard it. Call Close afterwards.
+// Leave announces to peers that this process leaves, and waits for the peers' replies. It
+// returns an *UnheardError if none of them confirmed. Call Close afterwards.
 func (g *Gossip) Leave(ctx context.Context) error {
 	g.mu.Lock()
 	g.table.leave(g.cfg.Clock())
@@ -198,7 +200,7 @@
 	return nil
 }
 
-// target is a peer to exchange with.
+// target is a peer to exchange messages with.
 type target struct {
 	id    memberID
 	addr  string
@@ -206,7 +208,7 @@
 	state State
 }
 
-// addrs looks up where members are. The lock is held.
+// addrs returns the targets of the given members. The lock is held.
 func (g *Gossip) addrs(ids []memberID) []target {
 	var out []target
 	for _, id := range ids {
@@ -217,7 +219,7 @@
 	return out
 }
 
-// wakeLoop makes the loop look for work at once.
+// wakeLoop makes the loop check for due work immediately.
 func (g *Gossip) wakeLoop() {
 	select {
 	case g.wake <- struct{}{}:
--- a/membership/hostile_test.go
+++ b/membership/hostile_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// silent is a transport that reaches nobody.
+// silent is a transport that reaches no peer.
 type silent struct{}
 
 func (silent) Exchange(context.Context, string, *Message) (*Message, error) {
@@ -37,9 +37,9 @@
 	return Entry{ID: string(peerID[:]), Seq: 5, Revision: 1, Epoch: 1, Service: "billing", Addr: "10.0.0.2:7000", GossipAddr: "10.0.0.2:7946", Zone: "b", Region: "hu"}
 }
 
-// A faulty peer claims that others are gone, moved, or far ahead in Seq, and
-// that this process is dead or lives elsewhere. Taking any of that in would
-// send callers to the wrong VM, or hide a running member for good.
+// A faulty peer claims that other members are gone, have moved or are far ahead in Seq,
+// and that this process is dead or at another address. Accepting any of these claims
+// would route callers to the wrong VM, or hide a running member for good.
 func TestFalseClaims(t *testing.T) {
 	c := qt.New(t)
 	g := quiet(c)
@@ -73,9 +73,9 @@
 	c.Assert(g.Update(func(m *Member) { m.Slots = -1 }), qt.ErrorMatches, "membership config: Slots.*")
 }
 
-// The first claim heard of a member is corrupt, with a Seq near the end of the
-// range. Every true announcement then looks old, until a probe of the member
-// shows its own Seq.
+// The first claim received about a member is corrupt and has a Seq near the end of the
+// range. Every true announcement then looks outdated, until a probe of the member shows
+// the member's own Seq.
 func TestForgedSeqIsForgotten(t *testing.T) {
 	c := qt.New(t)
 	g := quiet(c)
@@ -89,8 +89,9 @@
 	c.Assert(v, qt.Equals, claimTaken)
 }
 
-// FuzzHandle sends one arbitrary message after two plausible ones. Whatever it
-// says, the table must stay consistent, and nobody may speak for this process.
+// FuzzHandle sends a Gossip that knows one peer three messages with arbitrary claims.
+// Whatever they contain, the table must stay consistent, and no peer may change this
+// process's own entry.
 func FuzzHandle(f *testing.F) {
 	f.Add(uint8(0), string(peerID[:]), string(peerID[:]), uint8(2), uint64(5), uint64(1), "billing", "10.0.0.2:7946", uint32(3), []byte{1}, uint64(0))
 	f.Add(uint8(2), "another-sender-1", string(ownID[:]), uint8(3), uint64(9), uint64(1<<47), "filing", "10.0.0.1:7946", uint32(0), make([]byte, bucketCount*bucketBytes), uint64(7))
@@ -113,8 +114,8 @@
 	})
 }
 
-// tableFault recomputes what the table keeps beside its rows, and names what
-// doesn't agree.
+// tableFault recomputes the data that the table derives from its rows, and returns the
+// name of the part that doesn't match, or "".
 func tableFault(t *table) string {
 	own := fullEntry(t.self.id, &t.self.m)
 	if err := own.validate(); err != nil {
--- a/membership/join.go
+++ b/membership/join.go
@@ -1,18 +1,19 @@
 package membership
 
 const (
-	// joinRounds bounds the exchanges in which a member that knows few others
-	// learns the whole table. Each brings 2 * RumorBytes at most.
+	// joinRounds bounds the exchanges in which a member that knows few others fetches the
+	// complete table. Each exchange transfers at most 2 * RumorBytes.
 	joinRounds = 64
-	// maxFruitless is how many of them in a row may bring nothing new: the one
-	// asked may be joining itself.
+	// maxFruitless is the number of consecutive exchanges without a new member after
+	// which a join stops: the queried peer may be joining itself.
 	maxFruitless = 3
 )
 
-// joinThrough learns the whole table, a part from each of several members. All
-// join through the same few seeds; if these gave each of them everything, a
-// mass restart would cost a seed megabytes. One that joins itself has little to
-// give, and sends this process back to the one that knew most.
+// joinThrough fetches the complete table, a part from each of several members. All
+// joining processes use the same few seeds; if the seeds sent the complete table to each
+// of them, a mass restart would cost a seed megabytes. A member that is joining itself
+// has few entries to send; after a fruitless exchange the next one goes to the member
+// that knew most.
 func (g *Gossip) joinThrough(best target, reply *Message) {
 	most, learned, fruitless := reply.Size, 0, 0
 	for range joinRounds {
@@ -37,12 +38,12 @@
 	}
 }
 
-// lags reports whether a peer knows clearly more members.
+// lags reports whether a peer knows many more members than this process.
 func (g *Gossip) lags(peerSize uint32) bool {
 	return g.Stats().Alive+maxDescribed < int(peerSize)
 }
 
-// anyMember returns a random living member, or else the one given.
+// anyMember returns a random member that is not gone, or the given one if there is none.
 func (g *Gossip) anyMember(or target) target {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -6,47 +6,50 @@
 )
 
 const (
-	// minWait is the least wait of a timer. One that has expired when it is made
-	// runs on its maker's thread under testing/synctest, and two that do so at
-	// once share one context of the race detector, which crashes the tests.
+	// minWait is the shortest duration of a timer. A timer that has already expired when
+	// it is created runs on its creator's thread under testing/synctest, and two of them
+	// at once share one context of the race detector, which crashes the tests.
 	minWait = time.Nanosecond
-	// expireStep is how often suspicions are checked while there are any.
+	// expireStep is the interval of the expiry checks while there are suspicions.
 	expireStep = 100 * time.Millisecond
-	// tombstoneStep is how often dead members are checked.
+	// tombstoneStep is the interval of the expiry checks of dead members.
 	tombstoneStep = 10 * time.Second
-	// doubtStep is the least time between two probes out of turn.
+	// doubtStep is the minimum time between two out-of-turn probes.
 	doubtStep = 100 * time.Millisecond
-	// resumeSyncs is how many peers a process asks after a pause.
+	// resumeSyncs is the number of peers with which a process syncs after a pause.
 	resumeSyncs = 3
-	// seedTries is how many seeds are asked in one attempt.
+	// seedTries is the number of seeds that are tried in one attempt to join.
 	seedTries = 3
 )
 
-// schedule is when each periodic task is due.
+// schedule holds the due times of the periodic tasks.
 type schedule struct {
 	probe, rumor, sync, heal, expire, doubt time.Time
-	// syncWait grows from Interval to SyncInterval after the start: processes
-	// that started together may agree on a part of the members.
+	// syncWait grows from Interval to SyncInterval after the start. The first syncs are
+	// frequent because processes that started together may agree on the same incomplete
+	// list of members.
 	syncWait time.Duration
-	// lacking is when to give up on descriptions that were asked for.
+	// lacking is the time at which requested descriptions are given up.
 	lacking time.Time
-	// storm is set while there are, or have just been, many rumors.
+	// storm is set from the time when there are many rumors until the sync that follows
+	// them.
 	storm bool
-	// introduce is when a stranger may be told of this process again: one
-	// whose table is full stays a stranger.
+	// introduce is the time from which this process may announce itself again after a
+	// peer replied that it doesn't know this process: a peer whose table is full never
+	// adds it.
 	introduce time.Time
-	// seedAsked is when the seeds were last asked for; see seedWait.
+	// seedAsked is the time of the last call of Config.Seeds; see seedWait.
 	seedAsked   time.Time
 	seedJitter  float64
 	seedBackoff time.Duration
-	// seedsKnown counts the latest asks that taught nothing, seedDeaths the
-	// deaths seen here before the latest ask.
+	// seedsKnown counts the latest consecutive calls after which every seed was known.
+	// seedDeaths is the number of deaths recorded in this table at the last call.
 	seedsKnown int
 	seedDeaths uint64
 }
 
-// loop runs the periodic tasks. Each exchange has a goroutine of its own, so a
-// slow peer delays nothing here.
+// loop runs the periodic tasks. Each exchange runs in its own goroutine, so a slow peer
+// doesn't delay the loop.
 func (g *Gossip) loop() {
 	now := g.cfg.Clock()
 	g.mu.Lock()
@@ -78,22 +81,22 @@
 	}
 }
 
-// jitter is a random time up to d. The lock is held.
+// jitter returns a random duration up to d. The lock is held.
 func (g *Gossip) jitter(d time.Duration) time.Duration {
 	return time.Duration(g.cfg.Rand.Int64N(int64(d)) + 1)
 }
 
-// spread is d give or take a tenth, so that members don't fall into step.
+// spread returns d plus or minus up to a tenth, so that members don't synchronize.
 func (g *Gossip) spread(d time.Duration) time.Duration {
 	return d - d/10 + g.jitter(d/5+1)
 }
 
-// noticePause handles a loop that ran late: by half a probe's time, and this
-// process is too slow to judge others; by more than an interval, and it
-// was stopped. While it was, suspects could not be heard and probes
-// could not be answered, so judging by the clock would take healthy members
-// for dead; and the others may have taken this process for dead, which it
-// learns by asking some of them.
+// noticePause handles a loop that ran late. A delay of half the probe timeout means that
+// this process is too slow to judge others; a delay of more than an interval means that
+// it was stopped. During the delay answers of suspects could not be received and probes
+// could not be answered, so judging by the clock would declare healthy members dead. The
+// others may also have declared this process dead, which it learns by syncing with some
+// of them.
 func (g *Gossip) noticePause(now, expected time.Time) {
 	late := now.Sub(expected)
 	if late < g.cfg.ProbeTimeout/2 {
@@ -114,7 +117,7 @@
 	}
 }
 
-// step runs what is due.
+// step runs the tasks that are due.
 func (g *Gossip) step(now time.Time) {
 	g.mu.Lock()
 	work := g.dueWork(now)
@@ -144,12 +147,14 @@
 		add(g.probeDoubted())
 	}
 	if len(g.wanted) > 0 && !now.Before(g.due.lacking) {
-		// Who was asked didn't answer, and the others may have ended telling.
+		// The queried peers didn't answer, and the other peers may have stopped sending
+		// the rumor. A sync fetches the descriptions instead.
 		clear(g.wanted)
 		g.due.sync = now
 	}
 	if g.due.storm && !g.rumors.pending() {
-		// What was told short may have reached somebody who was never answered.
+		// A claim sent without its description may have reached a peer whose request for
+		// the description was never answered.
 		g.due.storm = false
 		g.due.sync = now.Add(g.jitter(g.cfg.Interval))
 	}
@@ -173,7 +178,7 @@
 	return work
 }
 
-// expire ends suspicions and tells who died. The lock is held.
+// expire ends overdue suspicions and queues the deaths as rumors. The lock is held.
 func (g *Gossip) expire(now time.Time) {
 	for _, id := range g.table.expire(now) {
 		g.rumors.add(id, true)
@@ -187,7 +192,7 @@
 	}
 }
 
-// nextDue is when the loop has to run again.
+// nextDue returns the time at which the loop has to run again.
 func (g *Gossip) nextDue() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -207,8 +212,8 @@
 	return next
 }
 
-// spawn runs an exchange beside the loop, or drops it when too many are under
-// way. Nothing is lost by that: each task comes round again.
+// spawn runs an exchange in its own goroutine, or drops it when too many are in flight. A
+// dropped exchange is not lost: each task repeats periodically.
 func (g *Gossip) spawn(run func()) {
 	if g.inFlight.Add(1) > maxInFlight {
 		g.inFlight.Add(-1)
@@ -221,11 +226,11 @@
 	})
 }
 
-// tellRumors prepares one round: the same entries to the next Fanout
-// neighbours. Taking them in turn makes a rumor that is told often enough
-// reach each neighbour, where a random choice would tell some of them twice. One
-// that has not answered the last round is passed over: rounds at a fixed rate to
-// members that answer late are what an overload is made of.
+// tellRumors prepares one round of rumors: the same entries for the next Fanout
+// neighbours. Going through the neighbours in turn makes a rumor that is sent often
+// enough reach each of them, whereas a random choice would select some twice. A neighbour
+// that has not answered the last round is skipped: sending at a fixed rate to members
+// that answer late prolongs an overload.
 func (g *Gossip) tellRumors() []func() {
 	g.refreshPeers()
 	listening := g.rumorPeers()
@@ -252,7 +257,7 @@
 	return work
 }
 
-// rumorPeers are the neighbours that are thought to listen.
+// rumorPeers returns the neighbours that are Alive.
 func (g *Gossip) rumorPeers() []memberID {
 	peers := make([]memberID, 0, len(g.peers))
 	for _, id := range g.peers {
@@ -275,7 +280,7 @@
 	_, _ = g.exchange(ctx, peer, &Message{Kind: kind, Entries: entries})
 }
 
-// told ends the telling of a peer.
+// told records that an exchange started by tell has ended.
 func (g *Gossip) told(id memberID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -293,5 +298,5 @@
 	g.peers = nearNeighbors(g.table.self.id, g.table.livingInZone(), g.table.living(), g.cfg.Neighbors)
 }
 
-// sendLimit is the most times that one rumor is sent from here.
+// sendLimit returns the maximum number of times that this process sends one rumor.
 func (t *table) sendLimit() int { return rumorSends * int(t.magnitude()+0.999) }
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -18,11 +18,11 @@
 	return []int{40}
 }
 
-// Members crash one after the other: callers are routed to each until probes
-// and relayed probes have failed and the suspicion has run out. Before that,
-// one message in twenty is lost each way for a minute, probes and refutations
-// among them, and that must take nobody out of service. The figures are those
-// of the design note.
+// Members crash one after the other. Callers are routed to a crashed member until probes
+// and relayed probes have failed and the suspicion has run out. Before that, one message
+// in twenty is lost in each direction for a minute, including probes and refutations, and
+// no member may be declared dead because of it. The logged figures are the ones in the
+// design note.
 func TestDetection(t *testing.T) {
 	for _, size := range measuredSizes() {
 		victims := min(12, size/4)
@@ -50,7 +50,8 @@
 	}
 }
 
-// traffic measures a minute, after one in which lasting connections open.
+// traffic measures the traffic of a minute, after another minute in which the persistent
+// connections are opened.
 func (w *network) traffic(size int) (perNode int, dials float64) {
 	const window = time.Minute
 	m := w.metered()
--- a/membership/member.go
+++ b/membership/member.go
@@ -6,26 +6,26 @@
 	"slices"
 )
 
-// State is what is believed about a member.
+// State is the believed state of a member.
 type State uint8
 
 // The order is the precedence at equal Seq: a later state beats an earlier one.
 const (
-	// Alive members answered lately or were said to by others.
+	// Alive members answered recently, or other members reported them alive.
 	Alive State = iota
-	// Suspect members did not answer and have not refuted it yet. They may
-	// well be running; prefer others.
+	// Suspect members did not answer a probe and have not refuted the suspicion yet. They
+	// may well be running; prefer other members.
 	Suspect
-	// Dead members did not refute a suspicion in time, or another incarnation
-	// answers at their address. A paused process can come back from Dead.
+	// Dead members did not refute a suspicion in time, or another incarnation answers at
+	// their address. A paused process can come back from Dead.
 	Dead
-	// Left members said themselves that they go.
+	// Left members announced their departure themselves.
 	Left
 )
 
 var stateNames = [...]string{Alive: "alive", Suspect: "suspect", Dead: "dead", Left: "left"}
 
-// String returns the name used in logs and metrics.
+// String returns the state's name in logs and metrics.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -33,62 +33,62 @@
 	return "invalid"
 }
 
-// gone reports whether the member takes no further part.
+// gone reports whether the member no longer takes part: it is Dead or has Left.
 func (s State) gone() bool { return s >= Dead }
 
-// Member is one process incarnation of the system.
+// Member describes one process incarnation.
 type Member struct {
-	// ID is the process incarnation, 32 hexadecimal digits, new at each start.
+	// ID identifies the process incarnation: 32 hexadecimal digits, new at each start.
 	ID      string
 	Service string
-	// Addr is the listener for calls of peers, host:port.
+	// Addr is the listener for calls from peers, host:port.
 	Addr string
 	// GossipAddr is the listener of this package, host:port.
 	GossipAddr string
 	Zone       string
 	Region     string
-	// Slots is the announced capacity of the upstream.
+	// Slots is the announced capacity of the upstream, in concurrent calls.
 	Slots    int
 	Draining bool
-	// WorkTimes are how long the upstream works on a call, for the profiles that
-	// it serves most; at most 4.
+	// WorkTimes are the upstream's average processing times, for the profiles that it
+	// serves most; at most 4.
 	WorkTimes []WorkTime
 	// Inherits lists the incarnations whose key tables this member took over.
 	Inherits []string
-	// Held are the requests to the member's service that it says are held back, or
-	// cleared again; at most 16.
+	// Held lists the requests to the member's service that the member reports as
+	// quarantined, or as cleared again; at most 16.
 	Held []HeldRequest
-	// State is what the reading node believes; a member can't set it.
+	// State is the belief of the reading node; a member can't set it.
 	State State
-	// Seq counts the member's own announcements, refutations included.
+	// Seq counts the member's own announcements, including refutations.
 	Seq uint64
-	// Revision counts the changes of what the member announces of itself. A
-	// refutation raises Seq alone, and so can be told without repeating the rest.
+	// Revision counts the changes of the member's description. A refutation raises only
+	// Seq, so it can be sent without repeating the description.
 	Revision uint64
-	// Epoch orders incarnations at the same GossipAddr: the higher one holds
-	// the address. It starts from the wall clock, but only as a hint: the
-	// holder of the address raises it above any rival it hears of.
+	// Epoch orders incarnations at the same GossipAddr: the highest one holds the
+	// address. It starts from the wall clock, which serves only as a hint: the holder of
+	// the address raises its Epoch above that of any rival it learns of.
 	Epoch uint64
 }
 
-// WorkTime is how long an upstream works on a call of one profile on average.
+// WorkTime is the average time for which an upstream processes a call of one profile.
 type WorkTime struct {
-	// Profile is a hash of the profile's name on which the members agree.
+	// Profile is a hash of the profile's name; all members use the same hash.
 	Profile uint32
 	Micros  uint32
 }
 
-// HeldRequest is what a member says of one request under which upstreams have ended.
+// HeldRequest is a member's report on one request during which upstreams have crashed.
 type HeldRequest struct {
-	// Fingerprint stands for the request's content.
+	// Fingerprint identifies the request's content.
 	Fingerprint uint64
-	// Ends is how many upstreams have ended, 0 for a request that is cleared.
+	// Ends is the number of upstreams that have crashed, 0 for a request that is cleared.
 	Ends uint8
-	// Stamp orders what members say of the same request.
+	// Stamp orders the members' reports on the same request.
 	Stamp uint64
 }
 
-// NewID returns a random process incarnation.
+// NewID returns a random ID for a process incarnation.
 func NewID() string {
 	var raw memberID
 	rand.Read(raw[:])
@@ -100,7 +100,7 @@
 
 func (id memberID) hex() string { return hex.EncodeToString(id[:]) }
 
-// parseID reads the public, hexadecimal form.
+// parseID parses the public, hexadecimal form.
 func parseID(s string) (memberID, bool) {
 	var id memberID
 	if len(s) != 2*len(id) {
@@ -110,8 +110,8 @@
 	return id, err == nil && n == len(id) && id != memberID{}
 }
 
-// sameIdentity returns a ConflictError if a and b differ in a field that an
-// incarnation keeps for life.
+// sameIdentity returns a ConflictError if a and b differ in a field that is fixed for an
+// incarnation.
 func sameIdentity(a, b *Member) error {
 	fields := [...]struct{ name, known, claimed string }{
 		{"address", a.Addr, b.Addr},
--- a/membership/message.go
+++ b/membership/message.go
@@ -7,48 +7,51 @@
 	"pollengauge.dev/call"
 )
 
-// Kind says what a message asks for.
+// Kind is the type of a request.
 type Kind uint8
 
 const (
-	// KindPing asks for a sign of life and carries rumors.
+	// KindPing is a probe that also carries rumors.
 	KindPing Kind = iota
-	// KindRelay asks the receiver to ping Target on the sender's behalf.
+	// KindRelay requests the receiver to ping Target on the sender's behalf.
 	KindRelay
 	// KindSync compares the digests of two tables.
 	KindSync
-	// KindPull asks for the configuration payload.
+	// KindPull requests the configuration payload.
 	KindPull
 	kindCount
 )
 
-// Bounds on what a peer may send. A message over one of them is refused whole.
+// Bounds on a peer's message. A message that exceeds one of them is rejected as a whole.
 const (
 	maxName     = 63
 	maxAddr     = 64
 	maxInherits = 32
-	// maxWorkTimes bounds Member.WorkTimes, which each change of one sends to all.
+	// maxWorkTimes bounds Member.WorkTimes. All of them are sent to all members whenever
+	// one changes.
 	maxWorkTimes = 4
 	// maxHeld bounds Member.Held, for the same reason.
 	maxHeld  = 16
 	maxSlots = 1 << 20
-	// maxEntries bounds one message. A sync of a larger table takes several.
+	// maxEntries bounds the entries of one message. The sync of a larger table takes
+	// several messages.
 	maxEntries = 2048
-	// maxSeqAhead bounds how far a claim may jump. Without it one corrupt Seq
-	// would make every true announcement of that member look old for ever.
+	// maxSeqAhead bounds how far a claim may be above the known Seq. Without it one
+	// corrupt Seq would make every true announcement of that member look outdated for
+	// ever.
 	maxSeqAhead = 1 << 16
-	// maxSeq bounds the Seq and the Epoch of members not yet known; it holds
-	// the milliseconds of the wall clock.
+	// maxSeq bounds the Seq and the Epoch of members that are not yet known. It is large
+	// enough for the wall clock in milliseconds.
 	maxSeq = 1 << 48
-	// bucketCount is the number of digests into which a table is split, so
-	// that one difference costs the entries of one bucket.
+	// bucketCount is the number of buckets into which a table is split, each with its own
+	// digest, so that one difference costs only the entries of one bucket.
 	bucketCount = 64
 	bucketBytes = 4
 )
 
-// Entry is one claim about a member, in the form that travels. Suspect, Dead
-// and Left need only ID, State and Seq; so does a refutation, with the Revision
-// of the description that still holds.
+// Entry is the wire form of one claim about a member. Suspect, Dead and Left claims need
+// only ID, State and Seq. A refutation needs these and the Revision of the description
+// that still applies.
 type Entry struct {
 	// ID is the incarnation in its 16 byte form.
 	ID         string
@@ -68,46 +71,46 @@
 	Held       []HeldRequest
 }
 
-// Message is a request or a reply. Fields that are not set cost nothing.
+// Message is a request or a reply. Fields that are not set take no space on the wire.
 type Message struct {
 	Kind Kind
-	// From is the sender's incarnation, FromSeq the highest Seq it announced.
+	// From is the sender's incarnation, FromSeq the highest Seq that it has announced.
 	From    string
 	FromSeq uint64
-	// Target is the incarnation that a ping or a relay is meant for.
+	// Target is the incarnation that a ping or a relay addresses.
 	Target  string
 	Entries []Entry
-	// Known is, in a reply, one bit for each entry of the request: the
-	// replier knew it already.
+	// Known has, in a reply, one bit for each entry of the request, set if the replier
+	// knew the entry already.
 	Known []byte
-	// Wanted is, in a reply, one bit for each entry of the request that was
-	// too short: the replier lacks the description.
+	// Wanted has, in a reply, one bit for each entry of the request, set if the entry was
+	// short and the replier lacks the description.
 	Wanted []byte
-	// Buckets are the digests of the sender's table, and Size the number of
-	// members in it that are not gone (sync only).
+	// Buckets are the digests of the sender's table, and Size is the number of members in
+	// it that are not gone (sync only).
 	Buckets []byte
 	Size    uint32
-	// Reached is, in the reply to a relay, whether Target answered.
+	// Reached reports, in the reply to a relay, whether Target answered.
 	Reached bool
 	// Stranger is set in a reply to a sender that the replier doesn't know.
 	Stranger bool
 	// Version is the sender's configuration version, Data its payload (pull only).
 	Version uint64
 	Data    []byte
-	// Packed tells in a request that the sender can unpack Data, and in a reply
-	// that Data is packed.
+	// Packed means, in a request, that the sender can unpack a compressed Data, and in a
+	// reply that Data is compressed.
 	Packed bool
-	// Newest is the highest version that the sender knows of, set where it is
-	// above Version: the sender has refused it, or not got it yet. NewestAge is how
-	// long ago it was last known, in milliseconds.
+	// Newest is the highest version that the sender knows to exist. It is set only if it
+	// is above Version: the sender has rejected that version, or not received it yet.
+	// NewestAge is the time in milliseconds since its existence was last confirmed.
 	Newest    uint64
 	NewestAge uint64
-	// Places is how many places of the fleet the sender has seen itself, 0 if it does
-	// not tell.
+	// Places is the number of fleet places that the sender has seen itself, 0 if it does
+	// not report the number; see Delegate.Places.
 	Places uint32
 }
 
-// validate refuses a message with any malformed field.
+// validate returns an *InvalidError if any field is malformed.
 func (m *Message) validate(cfg *Config) error {
 	switch {
 	case m == nil:
@@ -171,7 +174,7 @@
 	return nil
 }
 
-// full reports whether the entry describes the member, not only its state.
+// full reports whether the entry contains the member's description, not only its state.
 func (e *Entry) full() bool { return e.GossipAddr != "" }
 
 func validIdentity(service, addr, gossipAddr, zone, region string) error {
@@ -210,7 +213,7 @@
 	return id
 }
 
-// fullEntry is the claim that describes m as it is known.
+// fullEntry returns a claim that includes the description of m.
 func fullEntry(id memberID, m *Member) Entry {
 	e := Entry{
 		ID: string(id[:]), State: m.State, Seq: m.Seq, Revision: m.Revision, Epoch: m.Epoch,
@@ -226,7 +229,8 @@
 	return e
 }
 
-// stateEntry is the short claim for a member that the receiver likely knows.
+// stateEntry returns the short claim, without a description, for receivers that likely
+// know the member.
 func stateEntry(id memberID, m *Member) Entry {
 	e := Entry{ID: string(id[:]), State: m.State, Seq: m.Seq}
 	if m.State == Alive {
@@ -249,16 +253,16 @@
 	return m
 }
 
-// entryOverhead is the length of a short claim in the codec, about.
+// entryOverhead is the approximate encoded length of a short claim in bytes.
 const entryOverhead = 26
 
-// workTimeSize is the length of a WorkTime in the codec, about.
+// workTimeSize is the approximate encoded length of a WorkTime in bytes.
 const workTimeSize = 12
 
-// heldSize is the length of a HeldRequest in the codec, about.
+// heldSize is the approximate encoded length of a HeldRequest in bytes.
 const heldSize = 16
 
-// size estimates the encoded length.
+// size estimates the encoded length in bytes.
 func (e *Entry) size() int {
 	n := entryOverhead + len(e.Inherits)*(len(memberID{})+1) + len(e.WorkTimes)*workTimeSize + len(e.Held)*heldSize
 	if e.full() {
--- a/membership/meter_test.go
+++ b/membership/meter_test.go
@@ -8,9 +8,9 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// Bytes on the wire besides the codec's: Ethernet, IP and TCP headers of a
-// segment, three segments an exchange (request, reply, acknowledgement), and
-// seven to open and close a connection.
+// Bytes on the wire in addition to the codec's: Ethernet, IP and TCP headers of a
+// segment, with three segments per exchange (request, reply, acknowledgement), and seven
+// to open and close a connection.
 const (
 	segmentHeader     = 66
 	exchangeSegments  = 3
@@ -18,15 +18,15 @@
 	segmentPayload    = 1448
 )
 
-// meter counts the bytes that the rpc transport would move: the real codec,
-// on connections that live as long as the real cache keeps them.
+// meter counts the bytes that the rpc transport would transfer, with the real codec, on
+// connections that stay open as long as they stay in the real connection cache.
 type meter struct {
 	mu    sync.Mutex
 	bytes int
 	dials int
 	calls int
-	// byNode counts both directions of each node, byKind requests of each
-	// kind and, behind them, the replies.
+	// byNode counts both directions of each node. byKind counts the requests of each
+	// kind, followed by the replies of each kind.
 	byNode map[string]int
 	byKind [2 * kindCount]int
 	conns  map[*testNode]*lru.Cache[*testNode, *meteredConn]
@@ -100,7 +100,7 @@
 	m.byKind[kind] += 2 * bytes
 }
 
-// perKind is the share of each node in what byKind counts.
+// perKind returns each node's average share of byKind.
 func (m *meter) perKind(size int) (kinds [2 * kindCount]int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -110,7 +110,7 @@
 	return kinds
 }
 
-// most is what the busiest of some nodes moved.
+// most returns the bytes of the busiest of the given nodes.
 func (m *meter) most(nodes []*testNode) (most int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -120,7 +120,7 @@
 	return most
 }
 
-// dialsPerNode is the share of each node in the connections opened.
+// dialsPerNode returns each node's average share of the opened connections.
 func (m *meter) dialsPerNode(size int) float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/membership/neighbors.go
+++ b/membership/neighbors.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// fleetRings of the rings go over the whole fleet, the others over the own
-// availability zone. Each ring alone connects all members, and a zone that is lost
-// is noticed by twice as many members outside as it has.
+// fleetRings is the number of rings that span the whole fleet; the other rings span the
+// process's own availability zone. Each ring alone connects all members of its span. When
+// a zone is lost, twice as many members outside the zone notice as the zone has.
 const fleetRings = 2
 
 // nearNeighbors returns the neighbours of self, most of them in its own zone.
 //
-// The failure: all neighbours were drawn from the whole fleet, so with five zones
-// four of five messages crossed between them, and each change of a member crossed as
-// often as there are members: in a restart of a whole fleet that grew with the square
-// of its size.
+// Neighbours drawn from the whole fleet would make four of five messages cross between
+// zones in a fleet of five zones, and each change of a member would cross as often as
+// there are members: during a restart of the whole fleet that traffic grew with the
+// square of the fleet's size.
 func nearNeighbors(self memberID, zone, all []memberID, count int) []memberID {
 	anywhere := neighbors(self, all, count)
 	if len(all) <= count || count <= fleetRings {
 		return anywhere
 	}
 	chosen := slices.Clone(anywhere[:min(fleetRings, len(anywhere))])
-	// What a small zone lacks is made up for from the whole fleet.
+	// If the zone is too small, the remaining neighbours come from the whole fleet.
 	for _, id := range slices.Concat(neighbors(self, zone, count-fleetRings), anywhere) {
 		if len(chosen) < count && !slices.Contains(chosen, id) {
 			chosen = append(chosen, id)
@@ -32,13 +32,13 @@
 	return chosen
 }
 
-// neighbors returns the members that self probes: its successor on each of
-// count rings, where ring k orders the members by a hash of their ID and k.
+// neighbors returns the members that self probes: its successor on each of count rings,
+// where ring k orders the members by a hash of their ID and k.
 //
-// Every member computes its own from its own view, so nothing has to be
-// agreed. Each member is probed by about count others; each ring alone
-// connects all members, so news can reach everyone over neighbours only; and
-// a lost rack or zone is spread over all rings.
+// Every member computes its own neighbours from its own view, so no agreement is needed.
+// Each member is probed by about count others. Each ring alone connects all members, so
+// an update can reach everyone over neighbours only. The members of a lost rack or zone
+// are spread over all rings.
 func neighbors(self memberID, ids []memberID, count int) []memberID {
 	if len(ids) <= count {
 		return ids
@@ -55,7 +55,7 @@
 	return chosen
 }
 
-// successor returns the first of ids after self on a ring.
+// successor returns the member that follows self on a ring.
 func successor(self memberID, ids []memberID, ring uint64) memberID {
 	start := position(self, ring)
 	best, bestGap := ids[0], ^uint64(0)
--- a/membership/neighbors_test.go
+++ b/membership/neighbors_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// zonedIDs returns ids of a fleet, each zone with as many.
+// zonedIDs returns the IDs of a fleet in which each zone has the same number of members.
 func zonedIDs(zones, each int) (all []memberID, byZone map[int][]memberID, zoneOf map[memberID]int) {
 	byZone, zoneOf = map[int][]memberID{}, map[memberID]int{}
 	for zone := range zones {
@@ -32,10 +32,10 @@
 	return out
 }
 
-// News of members goes to neighbours. With all of them drawn from the whole fleet
-// most of it crosses between zones, as often as there are members. Most must be
-// near; each member must still be watched from other zones, or the loss of a whole
-// zone would be noticed by nobody; and all must be connected.
+// Updates about members are sent to neighbours. If all neighbours were drawn from the
+// whole fleet, most updates would cross between zones, as often as there are members.
+// Most neighbours must be in the same zone. Most members must still be probed from other
+// zones, or nobody would notice the loss of a whole zone. All members must be connected.
 func TestMostNeighboursAreInTheZone(t *testing.T) {
 	c := qt.New(t)
 	const zones, each, count = 5, 60, 8
@@ -74,8 +74,8 @@
 	c.Check(len(reached), qt.Equals, len(all))
 }
 
-// A zone with two members, or a fleet with one zone, must have as many neighbours as
-// any.
+// A member of a zone with two members, or of a fleet with one zone, must have as many
+// neighbours as any other.
 func TestSmallZonesHaveEnoughNeighbours(t *testing.T) {
 	c := qt.New(t)
 	all, byZone, _ := zonedIDs(10, 2)
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -22,11 +22,11 @@
 	byAddr  map[string]*testNode
 	rng     *rand.Rand
 	loss    float64
-	blocked func(from, to *testNode) bool // one way
+	blocked func(from, to *testNode) bool // reports whether messages are lost in this direction
 	meter   *meter
 }
 
-// testNode is one process; a paused one stops at its next reading of the clock.
+// testNode is one process. A paused process blocks when it next reads the clock.
 type testNode struct {
 	*Gossip
 	net    *network
@@ -38,7 +38,7 @@
 	config *testConfig
 }
 
-// testConfig is a delegate that takes every higher version.
+// testConfig is a Delegate that accepts every higher version.
 type testConfig struct {
 	mu      sync.Mutex
 	version uint64
@@ -84,8 +84,8 @@
 
 var errLost = fmt.Errorf("lost")
 
-// Exchange delivers to the peer after the latency, or waits for ctx if either
-// direction loses the message.
+// Exchange delivers the message to the peer after the link's latency, or waits for ctx if
+// it is lost in either direction.
 func (n *testNode) Exchange(ctx context.Context, addr string, m *Message) (*Message, error) {
 	n.net.mu.Lock()
 	to := n.net.byAddr[addr]
@@ -111,7 +111,7 @@
 	return m, ctx.Err()
 }
 
-// latency is that of the link: between availability zones, or regions.
+// latency returns the latency of a link between availability zones or between regions.
 func latency(from, to *testNode) time.Duration {
 	if from.region != to.region {
 		return 40 * time.Millisecond
@@ -151,14 +151,14 @@
 	n.Gossip.Close()
 }
 
-// setDown cuts the node off, in both directions.
+// setDown disconnects the node in both directions, or reconnects it.
 func (n *testNode) setDown(down bool) {
 	n.net.mu.Lock()
 	defer n.net.mu.Unlock()
 	n.down = down
 }
 
-// now is the node's clock, where a paused process stands still.
+// now returns the time of the node's clock. It blocks while the process is paused.
 func (n *testNode) now() time.Time {
 	n.mu.Lock()
 	paused := n.paused
@@ -182,14 +182,14 @@
 	}
 }
 
-// start runs a process at slot i's address; it joins through three others.
+// start runs a process at the address of slot i, which joins through three other nodes.
 func (w *network) start(i int, change ...func(*Config)) *testNode {
 	n := w.add(i, change...)
 	w.c.Assert(n.Start(w.ctx), qt.IsNil)
 	return n
 }
 
-// add makes a process without starting it.
+// add creates a process at the address of slot i without starting it.
 func (w *network) add(i int, change ...func(*Config)) *testNode {
 	n := &testNode{net: w, addr: fmt.Sprintf("10.%d.%d.%d:7946", i%2, i/250, i%250+1), config: &testConfig{}}
 	n.region = []string{"hu-central", "us-northeast"}[i%2]
@@ -257,8 +257,7 @@
 	})
 }
 
-// within waits in steps until ok holds at every running node, and returns how
-// long that took.
+// within waits until ok holds at every running node, and returns the time that took.
 func (w *network) within(limit time.Duration, ok func(n *testNode) bool) time.Duration {
 	w.c.Helper()
 	start := time.Now()
@@ -275,7 +274,7 @@
 			return time.Since(start)
 		}
 		if time.Since(start) >= limit {
-			w.c.Fatalf("after %v, %d nodes are not there yet; %s: %+v", limit, failing, last.addr, last.Stats())
+			w.c.Fatalf("after %v, %d nodes don't meet the condition yet; %s: %+v", limit, failing, last.addr, last.Stats())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/membership/overload_test.go
+++ b/membership/overload_test.go
@@ -12,11 +12,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// processor is the one that all members of a fleet share. It does one thing
-// after the other, so what it has no time for is late.
+// processor simulates a CPU that all members of a fleet share. It runs one job at a time,
+// so excess work is late.
 type processor struct {
 	mu    sync.Mutex
-	cost  time.Duration // of a message at one side; a connection costs ten times that
+	cost  time.Duration // of a message at one side; opening a connection costs ten times as much
 	jobs  []job
 	ready chan struct{}
 	hosts map[string]chan net.Conn
@@ -24,7 +24,7 @@
 
 type job struct {
 	costs int
-	conn  *servedConn // nothing is done for one that is closed
+	conn  *servedConn // the job is skipped if the connection is closed
 	run   func()
 }
 
@@ -74,7 +74,8 @@
 	return p
 }
 
-// serve gives a member the real transport, over connections that it serves.
+// serve gives a member the real transport, over connections that are served by the
+// processor.
 func (p *processor) serve(c *Config) {
 	accepted := make(chan net.Conn, 1024)
 	p.hosts[c.Self.GossipAddr] = accepted
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// servedConn delivers what is written when the processor has come to it.
+// servedConn delivers written data when the processor runs the job of the write.
 type servedConn struct {
 	net.Conn
 	p       *processor
@@ -176,10 +177,10 @@
 	}
 }
 
-// Members share processors that are short for some seconds: all answers are
-// late. Probes were given up, asked again through others, told as suspicions,
-// refuted, and connections closed and dialled, which cost more than was short:
-// members that are well took each other for dead long after the shortage.
+// Members share CPUs that are overloaded for some seconds, so all answers are late. If
+// late probes are given up, repeated through other members, reported as suspicions and
+// refuted, and connections are closed and redialled, this costs more than the missing
+// capacity: healthy members declared each other dead long after the shortage.
 func TestOverloadEndsByItself(t *testing.T) {
 	const size = 40
 	cluster(t, 0, func(w *network) {
@@ -202,19 +203,19 @@
 		p.setCost(800 * time.Microsecond)
 		deaths, refuted := w.sum(deathsOf), w.sum(func(s Stats) uint64 { return s.Refutations })
 		time.Sleep(8 * time.Second)
-		w.c.Logf("8 s after the shortage: %d deaths and %d refutations more", w.sum(deathsOf)-deaths, w.sum(func(s Stats) uint64 { return s.Refutations })-refuted)
+		w.c.Logf("8 s after the shortage: %d more deaths and %d more refutations", w.sum(deathsOf)-deaths, w.sum(func(s Stats) uint64 { return s.Refutations })-refuted)
 		w.within(0, whole)
 		sent := w.sum(func(s Stats) uint64 { return s.Sent })
 		time.Sleep(10 * time.Second)
 		rate := (w.sum(func(s Stats) uint64 { return s.Sent }) - sent) / 10
-		w.c.Logf("%d exchanges a second after it", rate)
+		w.c.Logf("%d exchanges a second after the overload", rate)
 		w.c.Assert(rate < 3*size, qt.IsTrue)
 	})
 }
 
-// Several exchanges with one peer are under way at once; the first has its
-// answer in time, the others late. The connection was closed for each, which
-// broke the others on it, and each opened one more.
+// Several exchanges with one peer are in flight at once. The first is answered in time,
+// the others late. Closing the connection for each late answer broke the other exchanges
+// on it, and each of them dialled again.
 func TestLateAnswersKeepTheConnection(t *testing.T) {
 	cluster(t, 0, func(w *network) {
 		p := newProcessor(w.ctx, 20*time.Millisecond)
--- a/membership/packing.go
+++ b/membership/packing.go
@@ -8,20 +8,21 @@
 	"sync"
 )
 
-// packer keeps the payload of one version in the form in which it travels, for
-// all who ask for it.
+// packer caches the compressed payload of one configuration version for all peers that
+// pull it.
 //
-// The failure: an operator's configuration grows to hundreds of kilobytes of text,
-// which each member fetches. Over a narrow link a transfer outlasts its time, and
-// the bytes between availability zones rise with every change. Text of this kind
-// shrinks to a tenth.
+// An operator's configuration can grow to hundreds of kilobytes of text, which each
+// member fetches. Uncompressed, its transfer over a narrow link exceeds the timeout, and
+// each change of the configuration multiplies the bytes between availability zones. Text
+// of this kind compresses to a tenth.
 type packer struct {
 	mu      sync.Mutex
 	version uint64
 	packed  []byte
 }
 
-// pack returns data in packed form, or as it is where that is no longer.
+// pack returns the compressed data, or data itself and false if compression doesn't
+// shorten it.
 func (p *packer) pack(version uint64, data []byte) (packed []byte, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -34,7 +35,8 @@
 	return p.packed, true
 }
 
-// gzipped writes to memory, which does not fail, at a level that is known.
+// gzipped compresses data. The errors are ignored: writes to memory don't fail, and the
+// compression level is valid.
 func gzipped(data []byte) []byte {
 	var out bytes.Buffer
 	writer, _ := gzip.NewWriterLevel(&out, gzip.BestSpeed)
@@ -43,8 +45,8 @@
 	return out.Bytes()
 }
 
-// unpack is the inverse of pack. More than limit bytes are an *InvalidError: a few
-// packed bytes could otherwise fill the memory.
+// unpack is the inverse of pack. It returns an *InvalidError for more than limit bytes,
+// because a few compressed bytes could otherwise expand to fill the memory.
 func unpack(packed []byte, limit int) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/membership/patience.go
+++ b/membership/patience.go
@@ -3,33 +3,33 @@
 import "time"
 
 const (
-	// patienceMost is how many times longer than ProbeTimeout a probe waits at
-	// most. A member that is dead is found that much later in an overload.
+	// patienceMost is the maximum probe timeout in multiples of ProbeTimeout. It also
+	// bounds by how much an overload delays the detection of a dead member.
 	patienceMost = 4
-	// patienceMargin is how many times longer than the slowest late answer the
-	// next probes wait.
+	// patienceMargin is the timeout of the following probes in multiples of the slowest
+	// late answer.
 	patienceMargin = 2
-	// patienceDecay is the part of the additional wait that one prompt answer
-	// takes away: at two answers a second half of it is gone after 3 s.
+	// patienceDecay is the divisor of the extra timeout: each prompt answer removes
+	// 1/patienceDecay of it. At two answers a second, half of it is gone after 3 s.
 	patienceDecay = 8
-	// lateLegs * ProbeTimeout is how long an answer is awaited in all. It is
-	// above the longest wait, and long enough that a connection which is new
-	// in an overload has its first answer before it is taken for broken:
-	// opening the next one costs more than the answer.
+	// lateLegs * ProbeTimeout is the total time for which an answer is awaited. It is
+	// above the longest probe timeout, and long enough for the first answer on a
+	// connection that was opened during an overload: closing that connection early and
+	// opening another costs more than the answer.
 	lateLegs = 10
-	// usualWeight is the weight of past answers in the usual time of one.
+	// usualWeight is the weight of past answers in the moving average of answer times.
 	usualWeight = 7
 )
 
-// patience says how long to wait for answers, from how long they take. Only
-// answers change it: the dead and the unreachable make nobody wait longer, but
-// members that answer late do, since they are alive and short of processors,
-// as this process may be itself.
+// patience adapts the probe timeout to the time that answers take. Only answers change
+// it: dead and unreachable members don't raise the timeout, but members that answer late
+// do, since they are alive and short of CPU, as this process may be itself.
 //
-// The failure: exchanges took longer than ProbeTimeout for some seconds. Each
-// was given up, probed again through others and raised a suspicion, which cost
-// more than answering, so that all later answers were late as well. The fleet
-// never left this state, though it needed a tenth of its processors at rest.
+// With a fixed timeout, exchanges that took longer than ProbeTimeout for some seconds led
+// to a lasting overload. Each was given up, repeated through other members and turned
+// into a suspicion. That cost more than answering, so all later answers were late as
+// well. The fleet never left this state, although at rest it needed a tenth of its CPU
+// capacity.
 type patience struct {
 	least time.Duration
 	wait  time.Duration
@@ -38,21 +38,22 @@
 
 func newPatience(least time.Duration) patience { return patience{least: least, wait: least} }
 
-// answered takes in how long one answer took.
+// answered records the duration of one answered exchange.
 func (p *patience) answered(took time.Duration) {
 	p.usual = (p.usual*usualWeight + took) / (usualWeight + 1)
 	p.wait -= (p.wait - p.least) / patienceDecay
 	p.wait = min(max(p.wait, patienceMargin*took), patienceMost*p.least)
 }
 
-// late is how long an answer is awaited in all. One that comes after its probe
-// was given up is a sign of life. What is silent for longer is closed.
+// late returns the total time for which an answer is awaited. An answer that arrives
+// after its probe was given up still proves that the peer is alive. A connection that is
+// silent for longer is closed.
 func (p patience) late() time.Duration {
 	return lateLegs * p.least
 }
 
-// stretch is how much longer a suspicion lasts: the suspect may answer as late
-// as the others do.
+// stretch extends the duration of a suspicion in proportion to the current timeout,
+// because the suspect may answer as late as other members do.
 func (p patience) stretch(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * float64(p.wait) / float64(p.least))
 }
--- a/membership/payload.go
+++ b/membership/payload.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	// pullTimeout bounds the transfer of one payload. After one that is cut off, the
-	// next from the same member has twice the time, up to maxPullTimeout.
+	// pullTimeout bounds the transfer of one payload. After a transfer that timed out,
+	// the next one from the same member has twice the time, up to maxPullTimeout.
 	pullTimeout    = time.Second
 	maxPullTimeout = 16 * time.Second
-	// pullRetry is the wait after a transfer that failed.
+	// pullRetry is the wait after a failed transfer.
 	pullRetry = 250 * time.Millisecond
-	// pullRefused is the wait before a version that the delegate did not take
-	// is fetched again. Without it, each message of a peer that shows a
-	// version nobody can use would cost a transfer.
+	// pullRefused is the wait before a version that the delegate rejected is fetched
+	// again. Without it, each message of a peer that announces an unusable version would
+	// cost a transfer.
 	pullRefused = 10 * time.Second
 )
 
-// maxTransfers bounds the transfers of one member at a time.
+// maxTransfers bounds the concurrent transfers to this process.
 const maxTransfers = 2
 
-// pullState allows one transfer at a time, so that a payload that many peers
-// announce crosses the network once for each member; and one from another peer
-// where that takes long, since the first may have fallen silent.
+// pullState allows one transfer at a time, so that a payload that many peers announce is
+// sent only once to each member. It allows a second transfer from another peer if the
+// first takes long, since the first peer may have stopped responding.
 type pullState struct {
-	// running has when the transfers under way began.
+	// running holds the start times of the transfers in progress, by peer.
 	running map[memberID]time.Time
 	next    time.Time
 	refused uint64
 	until   time.Time
-	// slow has the time of the next transfer from members of which one was cut
-	// off, while version is not in force here.
+	// slow holds the timeout of the next transfer from each peer whose last transfer
+	// timed out. It applies to version, and is cleared for a higher one.
 	slow    map[memberID]time.Duration
 	version uint64
 }
 
-// busy tells whether no transfer from a member may begin now.
+// busy reports whether a transfer from the given member must not start now.
 func (p *pullState) busy(from memberID, now time.Time) bool {
 	if _, running := p.running[from]; running || len(p.running) >= maxTransfers {
 		return true
@@ -57,9 +57,9 @@
 	p.running[from] = now
 }
 
-// timeoutFor returns how long a transfer of a version from a member may take. What
-// was learnt about links ends with the version: the next one may have less to carry,
-// and must not wait for long on a member that has fallen silent.
+// timeoutFor returns the timeout of a transfer of a version from a member. Extended
+// timeouts apply to one version only: the next payload may be smaller, and this process
+// must not wait long for a member that has stopped responding.
 func (p *pullState) timeoutFor(from memberID, version uint64) time.Duration {
 	if version > p.version {
 		p.version, p.slow = version, nil
@@ -67,10 +67,9 @@
 	return max(p.slow[from], pullTimeout)
 }
 
-// cutOff gives the next transfer from a member more time.
-//
-// The failure: a payload that takes longer than its time is cut off and begun
-// anew, for ever, and this member never has the version.
+// cutOff doubles the timeout of the next transfer from a member, after one that timed
+// out. With a fixed timeout, a payload that takes longer would be cut off and restarted
+// for ever, and this member would never get the version.
 func (p *pullState) cutOff(from memberID, after time.Duration) {
 	if p.slow == nil {
 		p.slow = make(map[memberID]time.Duration)
@@ -78,10 +77,10 @@
 	p.slow[from] = min(2*after, maxPullTimeout)
 }
 
-// answerPull puts the configuration into the reply to a peer that has an older one.
+// answerPull adds the configuration to the reply if the peer has an older version.
 func (g *Gossip) answerPull(reply, request *Message) {
 	own, data := g.cfg.Delegate.Payload()
-	// The version must be that of the data, whatever came into force since.
+	// The version must match the data, even if another version has come into force since.
 	reply.Version = own
 	if own <= request.Version || len(data) > g.cfg.MaxPayloadBytes {
 		return
@@ -92,7 +91,7 @@
 	}
 }
 
-// payloadOf returns the configuration in a reply, nil if there is none.
+// payloadOf returns the configuration contained in a reply, nil if there is none.
 func (g *Gossip) payloadOf(reply *Message) ([]byte, error) {
 	if !reply.Packed {
 		return reply.Data, nil
@@ -100,7 +99,7 @@
 	return unpack(reply.Data, g.cfg.MaxPayloadBytes)
 }
 
-// fetch starts a transfer from the peer that showed a higher version.
+// fetch starts a transfer from a peer that announced a higher version.
 func (g *Gossip) fetch(from memberID, version uint64) {
 	now := g.cfg.Clock()
 	g.mu.Lock()
--- a/membership/payload_test.go
+++ b/membership/payload_test.go
@@ -17,7 +17,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// narrowLink connects members in memory at so many bytes a second.
+// narrowLink connects members in memory with a bandwidth of rate bytes a second.
 type narrowLink struct {
 	rate      int
 	listeners map[string]*narrowListener
@@ -76,8 +76,8 @@
 	}
 }
 
-// narrowPipe is one direction of a connection. Writes take no time, as into a
-// large buffer, and bytes arrive at the rate of the link.
+// narrowPipe is one direction of a connection. Writes take no time, as if into a large
+// buffer, and bytes arrive at the rate of the link.
 type narrowPipe struct {
 	link    *narrowLink
 	mu      sync.Mutex
@@ -121,7 +121,7 @@
 	return len(data), nil
 }
 
-// take returns bytes that have arrived, or how long to wait for the next.
+// take returns bytes that have arrived, or the time to wait for the next ones.
 func (p *narrowPipe) take(to []byte) (n int, wait time.Duration, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,7 +199,7 @@
 	return g
 }
 
-// routesText is a payload as operators' routes make it.
+// routesText returns a payload that resembles the routes of an operator's configuration.
 func routesText(size int) []byte {
 	var text bytes.Buffer
 	for i := 0; text.Len() < size; i++ {
@@ -208,7 +208,7 @@
 	return text.Bytes()
 }
 
-// noise is a payload that can't be made shorter.
+// noise returns a payload that can't be compressed.
 func noise(size int) []byte {
 	data := make([]byte, size)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -218,10 +218,11 @@
 	return data
 }
 
-// A configuration has grown to 700 KB, and a member's link carries 200 KB a second.
-// Each transfer is cut off after a second and begun anew, for ever, and callers
-// there meet the old routes. What is text must be there before its time is up, and
-// what takes longer must be given the time once it is seen to need it.
+// A configuration has grown to 700 KB, and a member's link carries 200 KB a second. With
+// a fixed timeout of a second each transfer would be cut off and restarted for ever, and
+// callers of that member would get the old routes. Compressible text must arrive before
+// the timeout, and a payload that takes longer must get a longer timeout after the first
+// one fails.
 func TestLongPayloadCrossesANarrowLink(t *testing.T) {
 	const size = 700_000
 	for _, tc := range []struct {
@@ -259,8 +260,9 @@
 	}
 }
 
-// A member of an earlier build asks for the configuration, and doesn't know packed
-// data. Given some, it would refuse the version and have it late or never.
+// A member of an earlier build requests the configuration, and doesn't support compressed
+// data. If it got compressed data, it would reject the version and receive it late or
+// never.
 func TestPayloadIsPackedOnlyForWhoCanUnpack(t *testing.T) {
 	c := qt.New(t)
 	link := &narrowLink{rate: 1 << 30, listeners: map[string]*narrowListener{}}
@@ -280,8 +282,8 @@
 	}
 }
 
-// A peer sends some kilobytes that unpack to gigabytes, or nonsense. Neither may
-// fill the memory, and each is a typed error.
+// A peer sends some kilobytes that decompress to gigabytes, or invalid data. Neither may
+// fill the memory, and each must return a typed error.
 func TestUnpackIsBounded(t *testing.T) {
 	c := qt.New(t)
 	const limit = 1 << 20
@@ -294,7 +296,7 @@
 	c.Check(data, qt.HasLen, limit)
 }
 
-// slowReader is a connection whose peer reads a part of what is written each time.
+// slowReader is a connection whose peer needs perPart to read writePart bytes.
 type slowReader struct {
 	net.Conn
 	deadline time.Time
@@ -316,8 +318,9 @@
 	return len(p), nil
 }
 
-// A long payload goes out slowly, and no part of it is late: it must not be broken
-// off. A peer that reads nothing for the write timeout must still be noticed.
+// A long payload is sent slowly, but each part within the write timeout: the transfer
+// must not be aborted. A peer that reads nothing for the write timeout must still be
+// detected.
 func TestWritesEndForWantOfProgressOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -6,24 +6,26 @@
 	"time"
 )
 
-// relays is the number of members asked to probe one that did not answer.
+// relays is the number of members that are requested to probe a member that did not
+// answer.
 const relays = 3
 
-// maxRelaying bounds the probes under way on behalf of others. Each holds one
-// of the requests that its sender may have here, for as long as a probe takes.
+// maxRelaying bounds the concurrent probes on behalf of other members. For the duration
+// of a probe, each one occupies one of the requests that its sender may have in progress
+// here.
 const maxRelaying = 16
 
-// probeLegs * patience.wait is the longest that a probe takes: for an answer,
-// for a late one, and by others. One that took much longer spans a pause of this
-// process.
+// probeLegs * patience.wait is the maximum duration of a probe: the direct probe, the
+// wait for a late answer, and the relayed probes. A probe that took much longer spans a
+// pause of this process.
 const probeLegs = 2 + relayLegs
 
-// relayLegs is the share of it for the probe by others.
+// relayLegs is the part of probeLegs for the relayed probes.
 const relayLegs = 3
 
-// probeNext picks the next neighbour. The order is fixed, which bounds the time
-// between two probes of one member; a random order leaves gaps of two rounds.
-// The lock is held.
+// probeNext prepares the probe of the next neighbour. The fixed order bounds the time
+// between two probes of one member; a random order leaves gaps of two rounds. The lock is
+// held.
 func (g *Gossip) probeNext() func() {
 	g.refreshPeers()
 	if len(g.peers) == 0 {
@@ -34,8 +36,8 @@
 	return g.probeOf(id, Entry{})
 }
 
-// probeDoubted picks one of the members about whom claims contradict each
-// other. The lock is held.
+// probeDoubted prepares the probe of one of the members about which claims contradict
+// each other. The lock is held.
 func (g *Gossip) probeDoubted() func() {
 	ids := make([]memberID, 0, len(g.doubts))
 	for id := range g.doubts {
@@ -48,8 +50,8 @@
 	return g.probeOf(id, claim)
 }
 
-// probeOf prepares the probe of a member. It carries what is said against the
-// member, which lets it refute. The lock is held.
+// probeOf prepares the probe of a member. The probe carries the claim against the member,
+// so that the member can refute it. The lock is held.
 func (g *Gossip) probeOf(id memberID, claim Entry) func() {
 	row := g.table.rows[id]
 	if row == nil || row == g.table.self || (row.m.State == Left && claim.Seq <= row.m.Seq) {
@@ -67,8 +69,8 @@
 	return func() { g.probe(peer, claims, pauses) }
 }
 
-// probe asks a member for a sign of life, first directly and then through
-// others, so that a fault between two members doesn't make one of them suspect.
+// probe pings a member directly, and then through other members, so that a network fault
+// between two members doesn't make either of them suspect.
 func (g *Gossip) probe(peer target, claims []Entry, pauses int) {
 	g.stats.probes.Add(1)
 	wait, begin := g.patience().wait, g.cfg.Clock()
@@ -90,7 +92,7 @@
 	}
 }
 
-// ping sends a direct probe with the claims and the rumors that fit.
+// ping sends a direct probe with the given claims and the rumors that fit.
 func (g *Gossip) ping(ctx context.Context, wait time.Duration, peer target, claims []Entry) (*Message, error) {
 	m := &Message{Target: string(peer.id[:]), Entries: claims}
 	g.mu.Lock()
@@ -99,11 +101,11 @@
 	return g.ask(ctx, wait, peer, m)
 }
 
-// reached asks some neighbours to probe peer, and probes it once more itself:
-// one lost message must not cost a suspicion, which everybody would hear of.
+// reached requests some neighbours to probe peer, and probes it directly once more: a
+// single lost message must not cause a suspicion, which would be sent to all members.
 func (g *Gossip) reached(peer target, wait time.Duration, claims []Entry) bool {
 	if wait > g.cfg.ProbeTimeout && g.heardWithin(wait, peer) {
-		// Where answers are late, more questions make them later.
+		// If answers are late because of an overload, further requests delay them more.
 		return true
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, relayLegs*wait)
@@ -139,7 +141,7 @@
 	return false
 }
 
-// heardWithin gives peer more time for a late answer.
+// heardWithin waits for a late answer of peer, and reports whether one arrived.
 func (g *Gossip) heardWithin(wait time.Duration, peer target) bool {
 	ctx, cancel := context.WithTimeout(g.ctx, wait)
 	defer cancel()
@@ -151,8 +153,9 @@
 	return row != nil && row.heard.After(begin)
 }
 
-// relay pings a member for a peer. The address comes from the own table, never
-// from the message, so that a peer can't make this process dial elsewhere.
+// relay pings a member on behalf of a peer. The address comes from this process's own
+// table, never from the message, so that a peer can't make this process dial an arbitrary
+// address.
 func (g *Gossip) relay(ctx context.Context, id memberID) bool {
 	defer g.relaying.Add(-1)
 	if g.relaying.Add(1) > maxRelaying {
@@ -171,8 +174,8 @@
 	return err == nil && rawID(reply.From) == id
 }
 
-// onSilent suspects a member that nobody reached, or takes it for dead if
-// another member had done so already.
+// onSilent marks an unreachable member as Suspect, or as Dead if another member had
+// already declared it dead.
 func (g *Gossip) onSilent(peer target, claimedDead bool, pauses int, begin, now time.Time) {
 	g.mu.Lock()
 	if g.pauses == pauses && g.table.suspect(peer.id, peer.seq, begin, now) {
@@ -187,16 +190,16 @@
 	g.wakeLoop()
 }
 
-// onReplaced drops a member whose address another incarnation answers for.
+// onReplaced marks a member dead if another incarnation answers at its address.
 //
-// The failure: a group that was cut off was restarted, and those who tried the
-// old incarnations reached the new ones, which they didn't know, and left it
-// at that. A process that answers and is a stranger here as we are there is
-// met by a sync.
+// If neither process knows the other, onReplaced also starts a sync. Without it, a group
+// that was restarted while it was partitioned stayed separate: the other members probed
+// the old incarnations and reached the new ones, which they didn't know, but took no
+// further action.
 //
-// The death is not told: all learn of it with the new incarnation, which holds
-// the address. Those who heard of the death first doubted it, and each of 560
-// dialled the one that had just started.
+// The death is not sent as a rumor: all members learn of it with the new incarnation,
+// which holds the address. Members that received the death first doubted it, and each of
+// 560 dialled the process that had just started.
 func (g *Gossip) onReplaced(peer target, reply *Message) {
 	g.mu.Lock()
 	known := g.table.rows[rawID(reply.From)] != nil
--- a/membership/rows.go
+++ b/membership/rows.go
@@ -10,15 +10,16 @@
 type record struct {
 	id memberID
 	m  Member
-	// shown is the copy of m that readers have, nil after a change.
+	// shown is the copy of m in the published snapshot, nil after a change.
 	shown *Member
-	// deadline ends a suspicion, or the memory of a dead member.
+	// deadline is the end of a suspicion, or the time at which a gone member is
+	// forgotten.
 	deadline time.Time
-	// heard is when the member last answered this process.
+	// heard is the time of the member's last answer to this process.
 	heard time.Time
 }
 
-// setSeq changes a Seq together with the digest.
+// setSeq changes the Seq of a row and updates the digest.
 func (t *table) setSeq(row *record, seq uint64) {
 	if !row.m.State.gone() {
 		t.hash(row.id, row.m.Seq)
@@ -28,7 +29,7 @@
 	t.touch(row)
 }
 
-// setState moves a row to another state at the same Seq.
+// setState changes the state of a row at the same Seq.
 func (t *table) setState(row *record, state State, now time.Time) {
 	if row.m.State == state {
 		return
@@ -50,7 +51,7 @@
 	}
 }
 
-// insert adds a row that is not gone, or that is no longer.
+// insert adds a new row that is not gone, or one that has just come back.
 func (t *table) insert(row *record) {
 	if t.rows[row.id] == nil {
 		i, _ := t.find(row.id)
@@ -66,7 +67,8 @@
 	t.moved = true
 }
 
-// retire takes a row out of what counts members that are not gone.
+// retire removes a row from the count, the digest and the address index of the members
+// that are not gone.
 func (t *table) retire(row *record) {
 	t.alive--
 	t.hash(row.id, row.m.Seq)
@@ -76,7 +78,7 @@
 	t.moved = true
 }
 
-// forget removes a row.
+// forget removes a row from the table.
 func (t *table) forget(row *record) {
 	if !row.m.State.gone() {
 		t.retire(row)
@@ -88,21 +90,22 @@
 	t.changed = true
 }
 
-// find returns where a member is, or would be, in the order by ID.
+// find returns the index of a member in the order by ID, or the index at which it would
+// be inserted.
 func (t *table) find(id memberID) (int, bool) {
 	return slices.BinarySearchFunc(t.order, id, func(row *record, id memberID) int {
 		return slices.Compare(row.id[:], id[:])
 	})
 }
 
-// touch makes readers see a change of a row.
+// touch invalidates the row's published copy, so that readers see the change.
 func (t *table) touch(row *record) {
 	row.shown = nil
 	t.changed = true
 }
 
-// evictGone makes room by forgetting the gone member that would be forgotten
-// first.
+// evictGone frees a row by forgetting the gone member with the earliest deadline, and
+// reports whether there was one.
 func (t *table) evictGone() bool {
 	var oldest *record
 	for _, row := range t.rows {
@@ -117,8 +120,9 @@
 	return true
 }
 
-// hash folds a row in or out of its bucket's digest. The digest covers the
-// members that are not gone: tombstones expire at different times.
+// hash adds a row to its bucket's digest, or removes it. The digest covers only the
+// members that are not gone, because tombstones expire at different times on different
+// members.
 func (t *table) hash(id memberID, seq uint64) {
 	x := position(id, seq)
 	t.digest[bucketOf(id)] ^= uint32(x)
@@ -143,7 +147,8 @@
 	return b
 }
 
-// differing returns which buckets a peer's digests don't match.
+// differing returns the buckets whose digests differ from the peer's, and whether there
+// are any.
 func (t *table) differing(peer []byte) (set [bucketCount]bool, any bool) {
 	if len(peer) != bucketCount*bucketBytes {
 		return set, false
--- a/membership/rumors.go
+++ b/membership/rumors.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// rumorSends * ceil(log10 members) is the most times that one member
+	// rumorSends * ceil(log10 members) is the maximum number of times that one member
 	// sends one rumor.
 	rumorSends = 4
-	// rumorKnown is the number of peers that knew a rumor already after which
-	// it is dropped. Once most peers know it, each further send is waste; the
-	// few that missed it are left to the syncs.
+	// rumorKnown is the number of peers that already knew a rumor after which it is
+	// dropped. Once most peers know it, further sends are wasted; the few that missed it
+	// get it by sync.
 	rumorKnown = 5
 )
 
-// maxDescribed is the number of rumors up to which descriptions are told at
-// once. Above it claims are told short, and a peer that lacks the description
-// asks for it: most sends of a rumor reach peers that know it, and in a storm
-// those repeated descriptions are most of the bytes.
+// maxDescribed is the number of pending rumors up to which claims are sent with
+// descriptions. Above it claims are sent short, and a peer that lacks a description
+// requests it: most sends of a rumor reach peers that know it, and during a burst of
+// changes those repeated descriptions would be most of the bytes.
 const maxDescribed = 8
 
-// rumor is one change that is being told.
+// rumor is one change that is being disseminated.
 type rumor struct {
 	id memberID
-	// short tells that everyone is thought to know the description already.
+	// short is set if all members are assumed to know the description already.
 	short bool
 	sends int
 	known int
 }
 
-// rumors is the queue of changes to tell. What is sent is always the latest
-// state of the table, so a newer change of a member replaces an older one.
+// rumors is the queue of changes to disseminate. A send always contains the latest state
+// of the table, so a newer change of a member replaces an older one.
 type rumors struct {
 	byID map[memberID]*rumor
-	// version is the same for the configuration version.
+	// version is the rumor of a new configuration version.
 	version *rumor
 }
 
 func newRumors() *rumors { return &rumors{byID: map[memberID]*rumor{}} }
 
-// add starts or restarts the telling of a member's row. A description that is
-// still being told is not cut short by a refutation.
+// add starts or restarts the dissemination of a member's row. If the description is still
+// being sent, a refutation does not shorten the rumor.
 func (r *rumors) add(id memberID, short bool) {
 	if old := r.byID[id]; old != nil && !old.short {
 		short = false
@@ -49,12 +49,12 @@
 	r.byID[id] = &rumor{id: id, short: short}
 }
 
-// addVersion starts or restarts the telling of the configuration version.
+// addVersion starts or restarts the dissemination of the configuration version.
 func (r *rumors) addVersion() { r.version = &rumor{} }
 
 func (r *rumors) pending() bool { return len(r.byID) > 0 || r.version != nil }
 
-// pick chooses the least told rumors that fit into limit bytes.
+// pick returns the entries of the least sent rumors that fit into limit bytes.
 func (r *rumors) pick(t *table, limit int) []Entry {
 	if len(r.byID) == 0 {
 		return nil
@@ -85,7 +85,8 @@
 	return entries
 }
 
-// rumorEntry is the claim to forward about a member.
+// rumorEntry returns the claim to send for a rumor, or false if the table no longer has
+// the member.
 func (t *table) rumorEntry(item *rumor, brief bool) (Entry, bool) {
 	row := t.rows[item.id]
 	if row == nil {
@@ -97,8 +98,8 @@
 	return stateEntry(item.id, &row.m), true
 }
 
-// told counts entries that reached a peer; known has a bit for each one that
-// the peer knew before, wanted for each that has to be told again in full.
+// told counts entries that reached a peer. known has a bit for each entry that the peer
+// knew before, wanted for each one that must be sent again in full.
 func (r *rumors) told(entries []Entry, known, wanted []byte, sendLimit int) {
 	for i := range entries {
 		item := r.byID[rawID(entries[i].ID)]
@@ -112,7 +113,7 @@
 	}
 }
 
-// toldVersion is told for the configuration version.
+// toldVersion is the counterpart of told for the configuration version.
 func (r *rumors) toldVersion(known bool, sendLimit int) {
 	if r.version == nil {
 		return
--- a/membership/seeds.go
+++ b/membership/seeds.go
@@ -8,22 +8,22 @@
 const (
 	// seedTimeout bounds one call of Config.Seeds.
 	seedTimeout = 5 * time.Second
-	// seedWaitPerMember is the time between two asks for seeds by one node,
-	// for each member that it knows, unless it takes its view for whole: a
-	// fleet of up to MaxSeedWait/seedWaitPerMember = 555 asks 1.9 times a second.
+	// seedWaitPerMember is the time between two calls of Config.Seeds by one node, for
+	// each member that it knows, unless the node considers its view complete: a fleet of
+	// up to MaxSeedWait/seedWaitPerMember = 555 nodes makes 1.9 calls a second in total.
 	seedWaitPerMember = 540 * time.Millisecond
-	// seedJitter is the width of the random share of a wait.
+	// seedJitter is the width of the random part of a wait, as a fraction of the wait.
 	seedJitter = 0.5
-	// maxSeedDoublings takes the shortest wait to the longest.
+	// maxSeedDoublings is the number of doublings from MinSeedWait to MaxSeedWait.
 	maxSeedDoublings = 5
 )
 
-// seedWait is the time between two asks for seeds. As long as there may be
-// members that this node doesn't know, it asks the sooner the fewer it knows: a
-// group that was cut off, or that started while nobody else could be reached,
-// finds the rest within seconds of its return, and all nodes of a fleet ask
-// less than twice a second together, whatever its size. While asking teaches
-// nothing, the wait doubles up to MaxSeedWait.
+// seedWait returns the time between two calls of Config.Seeds. As long as there may be
+// unknown members, the wait is proportional to the number of known ones. A group that was
+// partitioned, or that started while no other member could be reached, thus finds the
+// rest within seconds after the network recovers, and all nodes of a fleet together make
+// fewer than two calls a second, whatever the size of the fleet. While the calls return
+// no unknown seed, the wait doubles up to MaxSeedWait.
 func (g *Gossip) seedWait() time.Duration {
 	wait := max(time.Duration(g.table.alive)*seedWaitPerMember, g.cfg.MinSeedWait)
 	switch {
@@ -36,8 +36,8 @@
 	return time.Duration(float64(wait) * g.due.seedJitter)
 }
 
-// seedDue is when to ask for seeds again. It comes nearer when members are
-// lost, so it is not kept.
+// seedDue returns the time of the next call of Config.Seeds. It is computed on demand,
+// because it moves forward when members are lost.
 func (g *Gossip) seedDue() time.Time {
 	if g.due.seedAsked.IsZero() {
 		return time.Time{}
@@ -45,7 +45,7 @@
 	return g.due.seedAsked.Add(g.seedWait())
 }
 
-// askSeeds looks for members through the seeds. The lock is held.
+// askSeeds prepares a search for members through the seeds. The lock is held.
 func (g *Gossip) askSeeds(now time.Time) func() {
 	g.due.seedAsked = now
 	g.due.seedJitter = 1 - seedJitter/2 + seedJitter*g.cfg.Rand.Float64()
@@ -59,7 +59,7 @@
 	return g.joinSeeds
 }
 
-// joinSeeds asks the owner for addresses and syncs with a few of them.
+// joinSeeds gets addresses from Config.Seeds and syncs with a few unknown ones.
 func (g *Gossip) joinSeeds() {
 	g.stats.seedAsks.Add(1)
 	ctx, cancel := context.WithTimeout(g.ctx, seedTimeout)
@@ -81,11 +81,11 @@
 	if len(unknown) == 0 {
 		return
 	}
-	// A seed may be joining itself and know little, so another look follows.
+	// A seed may be joining itself and know few members, so another sync follows.
 	g.syncSoon()
 }
 
-// noteSeeds counts the asks in a row after which every seed was known.
+// noteSeeds counts the consecutive calls after which every seed was known.
 func (g *Gossip) noteSeeds(known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,8 +95,8 @@
 	}
 }
 
-// unknownSeeds returns the seeds at whose address no living member is known,
-// in random order. The others are met by the syncs with random members.
+// unknownSeeds returns, in random order, the seeds whose address no living member holds.
+// Seeds that a member holds are reached by the syncs with random members.
 func (g *Gossip) unknownSeeds(seeds []string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/membership/seeds_test.go
+++ b/membership/seeds_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// seeding makes a node join through these nodes.
+// seeding makes a node join through the given nodes.
 func seeding(nodes ...*testNode) func(*Config) {
 	return func(c *Config) {
 		c.Seeds = func(context.Context) ([]string, error) {
@@ -21,10 +21,10 @@
 	}
 }
 
-// Two nodes start while nobody else can be reached, and find only each other.
-// No one else has ever heard of them, so nobody tries them either: callers of
-// the one were sent to the other alone, until the two asked the seeds again,
-// five minutes after they had found each other.
+// Two nodes start while no other node can be reached, and find only each other. No other
+// member has ever known them, so none of them probes them. Callers of the one node were
+// routed only to the other until the two asked the seeds again, five minutes after they
+// had found each other.
 func TestSmallGroupFindsTheRest(t *testing.T) {
 	trials := 1
 	if *measure {
@@ -54,9 +54,9 @@
 	})
 }
 
-// A group that was cut off is restarted in place meanwhile: whoever tries the
-// dead gets an answer from a process that it doesn't know and that doesn't know
-// it. That is a way to find together, also with the platform and all seeds gone.
+// A partitioned group is restarted in place. A member that probes the dead incarnations
+// gets an answer from a process that it doesn't know and that doesn't know it. The two
+// sides must merge this way even if the platform and all seeds are unavailable.
 func TestStrangersAtOldAddressesAreMet(t *testing.T) {
 	cluster(t, 20, func(w *network) {
 		apart := map[string]bool{w.nodes[18].addr: true, w.nodes[19].addr: true}
@@ -69,12 +69,12 @@
 		time.Sleep(2 * time.Minute)
 		w.block(nil)
 		took := w.within(15*time.Second, func(n *testNode) bool { return n.sees(Alive) == 20 })
-		w.c.Logf("met %v after the link was back", took)
+		w.c.Logf("merged %v after the link was back", took)
 	})
 }
 
-// A fleet at rest asks for seeds, and so the platform, no more often than once
-// in five minutes a node; a node that has lost the others asks soon.
+// A fleet at rest requests seeds, and so queries the platform, no more often than once in
+// five minutes per node. A node that has lost the other members requests them soon.
 func TestSeedAsksAreBounded(t *testing.T) {
 	for _, size := range measuredSizes() {
 		cluster(t, size, func(w *network) {
@@ -83,7 +83,7 @@
 			before := asks()
 			time.Sleep(10 * time.Minute)
 			rate := float64(asks()-before) / (10 * time.Minute).Seconds()
-			w.c.Logf("size %d: %.2f asks a second", size, rate)
+			w.c.Logf("size %d: %.2f seed requests a second", size, rate)
 			w.c.Assert(rate < 1.25*float64(size)/300, qt.IsTrue)
 			w.block(func(from, to *testNode) bool { return from == w.nodes[5] || to == w.nodes[5] })
 			w.within(20*time.Minute, func(n *testNode) bool { return n != w.nodes[5] || n.sees(Alive) == 1 })
--- a/membership/server.go
+++ b/membership/server.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// perConn bounds the requests of one peer that are handled at a time.
+	// perConn bounds the concurrently handled requests of one connection.
 	perConn = 4
-	// idleTimeout closes inbound connections that nobody uses. A neighbour
-	// uses its own every few seconds.
+	// idleTimeout is the time after which unused inbound connections are closed. A
+	// neighbour uses its connection every few seconds.
 	idleTimeout = 2 * time.Minute
-	// acceptRetry is the wait after a failed accept (too many open files, say).
+	// acceptRetry is the wait after a failed accept (for example, too many open files).
 	acceptRetry = 50 * time.Millisecond
 )
 
-// server accepts exchanges of peers.
+// server accepts connections and serves the exchanges of peers.
 type server struct {
 	g   *Gossip
 	rpc *rpc.Server
@@ -49,12 +49,12 @@
 
 func newServer(g *Gossip) *server {
 	s := &server{g: g, rpc: rpc.NewServer(), conns: map[net.Conn]struct{}{}}
-	// Registering fails only for a receiver without suitable methods.
+	// RegisterName fails only for a receiver without suitable methods.
 	_ = s.rpc.RegisterName(rpcService, &endpoint{g: g})
 	return s
 }
 
-// serve accepts connections until close.
+// serve accepts connections until close is called.
 func (s *server) serve() {
 	for {
 		conn, err := s.g.cfg.Listener.Accept()
@@ -71,7 +71,7 @@
 	}
 }
 
-// admit serves a connection unless there are too many.
+// admit serves a connection, or closes it if there are too many.
 func (s *server) admit(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +90,7 @@
 	})
 }
 
-// close ends the listener and all connections.
+// close closes the listener and all connections.
 func (s *server) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,9 +101,9 @@
 	}
 }
 
-// serverCodec is net/rpc's gob codec with bounds: on the length of a request,
-// on the time it may take to arrive, and on how many are handled at a time.
-// net/rpc itself starts a goroutine for each request that it can read.
+// serverCodec is net/rpc's gob codec with bounds on the length of a request, on the time
+// it may take to arrive, and on the number of concurrently handled requests. net/rpc
+// itself starts a goroutine for each request that it can read.
 type serverCodec struct {
 	cfg   *Config
 	conn  *limitedConn
@@ -142,7 +142,7 @@
 	return c.dec.Decode(body)
 }
 
-// WriteResponse implements rpc.ServerCodec. net/rpc calls it once a request.
+// WriteResponse implements rpc.ServerCodec. net/rpc calls it once per request.
 func (c *serverCodec) WriteResponse(r *rpc.Response, body any) error {
 	defer func() { <-c.slots }()
 	err := c.enc.Encode(r)
@@ -153,13 +153,14 @@
 		err = c.out.Flush()
 	}
 	if err != nil {
-		// Half a response can't be repaired, and the peer would wait for the rest.
+		// A partly written response can't be repaired, and the peer would wait for the
+		// rest.
 		c.Close()
 	}
 	return err
 }
 
-// Close implements rpc.ServerCodec. net/rpc calls it as often as it likes.
+// Close implements rpc.ServerCodec. net/rpc may call it more than once.
 func (c *serverCodec) Close() error {
 	err := io.ErrClosedPipe
 	c.once.Do(func() { err = c.conn.Close() })
--- a/membership/silentpeer_test.go
+++ b/membership/silentpeer_test.go
@@ -10,7 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// answering is a transport on which no peer answers.
+// answering is a transport on which no peer answers. It records the start and end times
+// of pulls.
 type answering struct {
 	mu    sync.Mutex
 	pulls []time.Time
@@ -33,10 +34,10 @@
 
 func (a *answering) Close() error { return nil }
 
-// A peer shows a version and its answers don't come (it froze, or its link is
-// cut one way). The version comes from the platform meanwhile. The time that transfers
-// from that peer were given must not be kept for the next version, or this member
-// waits for many seconds on a peer that is silent.
+// A peer announces a version but its answers don't arrive, because it is frozen or its
+// link is broken in one direction. This member gets the version from the platform
+// meanwhile. The extended timeout of transfers from that peer must not apply to the next
+// version, or this member would wait many seconds for a silent peer.
 func TestTimeOfATransferIsShortAgainOnceUpToDate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -70,9 +71,9 @@
 	})
 }
 
-// A transfer from one peer hangs, and has more time since the one before was cut off.
-// Another peer shows the version too. It must be asked before that time is up, which
-// is longer than a version may take to be in force.
+// A transfer from one peer hangs, with an extended timeout because the previous transfer
+// was cut off. Another peer announces the version too. It must be queried before that
+// timeout, which is longer than the time within which a version must be in force.
 func TestSilentPeerDoesNotHoldTheVersionBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -93,7 +94,7 @@
 		g.fetch(silent, 5)
 		time.Sleep(1300 * time.Millisecond)
 		g.fetch(silent, 5)
-		time.Sleep(1200 * time.Millisecond) // 2.5 s since the news
+		time.Sleep(1200 * time.Millisecond) // 2.5 s since the first announcement
 		g.fetch(good, 5)
 		synctest.Wait()
 		c.Check(link.pulls, qt.HasLen, 3)
--- a/membership/stats.go
+++ b/membership/stats.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// stats are the running counts.
+// stats holds the running counters.
 type stats struct {
 	bytesIn, bytesOut, dials                      atomic.Uint64
 	sent, received, failed, refused, skipped      atomic.Uint64
@@ -10,43 +10,43 @@
 	seedErrors, inboundRefused, raised, late      atomic.Uint64
 }
 
-// Stats is a reading of what a Gossip has done since New.
+// Stats is a snapshot of a Gossip's counters since New.
 type Stats struct {
-	// BytesIn and BytesOut count the bytes of connections, TCP/IP headers
-	// excluded. Dials counts the connections opened.
+	// BytesIn and BytesOut count the bytes on connections, excluding TCP/IP headers.
+	// Dials counts the connections opened.
 	BytesIn, BytesOut, Dials uint64
-	// Sent and Received count requests; Failed those sent without a usable
-	// reply; Skipped those not sent because too many were under way.
+	// Sent and Received count requests; Failed counts those sent without a usable reply;
+	// Skipped counts exchanges not started because too many were in flight.
 	Sent, Received, Failed, Skipped uint64
-	// Late counts the requests of which the answer was not there in time. It
-	// may still have come.
+	// Late counts the requests whose reply did not arrive in time. It may have arrived
+	// later.
 	Late uint64
-	// Refused counts malformed messages and claims that were not taken in.
+	// Refused counts malformed messages and rejected claims.
 	Refused uint64
 	// Probes and ProbesFailed count direct probes.
 	Probes, ProbesFailed uint64
 	// Raised counts the suspicions that this process raised itself.
 	Raised uint64
-	// Suspicions, Deaths and Refutations count changes of belief here.
+	// Suspicions, Deaths and Refutations count state changes in this process's table.
 	Suspicions, Deaths, Refutations uint64
-	// Conflicts counts claims that contradict an incarnation's identity, and
-	// FarAhead those with a Seq out of reach. Either means a faulty peer.
+	// Conflicts counts claims that contradict an incarnation's identity, and FarAhead
+	// those with a Seq too far above the known one. Either means a faulty peer.
 	Conflicts, FarAhead uint64
-	// TableFull counts members for which there was no room.
+	// TableFull counts members that were not added because the table was full.
 	TableFull uint64
-	// Pulls counts transfers of the configuration payload to here.
+	// Pulls counts transfers of the configuration payload to this process.
 	Pulls uint64
-	// Pauses counts the times that this process noticed it had been stopped.
+	// Pauses counts the times that this process detected that it had been stopped.
 	Pauses uint64
-	// SeedAsks and SeedErrors count calls of Config.Seeds.
+	// SeedAsks and SeedErrors count calls of Config.Seeds and those that failed.
 	SeedAsks, SeedErrors uint64
-	// InboundRefused counts connections beyond MaxInbound.
+	// InboundRefused counts connections rejected because of MaxInbound.
 	InboundRefused uint64
-	// Alive, Suspect, Dead and Left count members, this process included.
+	// Alive, Suspect, Dead and Left count members, including this process.
 	Alive, Suspect, Dead, Left int
 }
 
-// Stats returns the counts.
+// Stats returns a snapshot of the counters.
 func (g *Gossip) Stats() Stats {
 	s := &g.stats
 	v := g.view.Load()
--- a/membership/storm_test.go
+++ b/membership/storm_test.go
@@ -7,20 +7,20 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// storm is how many processes are replaced, and how far apart.
+// storm defines how many processes are replaced, and the time between the replacements.
 type storm struct {
 	name  string
 	count int
 	apart time.Duration
-	// gone is how long each one is down.
+	// gone is the downtime of each process.
 	gone time.Duration
-	// limit is for the mean of a node over a minute, in bytes a second.
+	// limit bounds the average traffic of a node over a minute, in bytes a second.
 	limit float64
 }
 
-// Processes are replaced at their addresses: all of a day's at once, a rack, a
-// few one by one. The news costs every node bytes, and a node that comes back
-// is of use once all know it.
+// Processes are replaced at their addresses: all those of a day at once, a rack, or a few
+// one by one. The updates cost traffic on every node, and a restarted node can be used
+// only once all members know it.
 func TestStorms(t *testing.T) {
 	storms := []storm{{"48 at once", 48, 0, 500 * time.Millisecond, 3_200}}
 	if *measure {
@@ -60,7 +60,7 @@
 		return n.sees(Alive) == size && !old[n.Members()[0].ID] && !old[n.Members()[size-1].ID]
 	})
 	span := time.Since(start)
-	w.c.Logf("%s: taken in everywhere after %v, %d bytes a node; requests and replies of ping, relay, sync, pull: %d",
+	w.c.Logf("%s: known everywhere after %v, %d bytes a node; requests and replies of ping, relay, sync, pull: %d",
 		s.name, took, w.meter.perNode(size), w.meter.perKind(size))
 	time.Sleep(max(0, 10*time.Second-span))
 	w.report(size, s.count, time.Since(start))
@@ -73,7 +73,7 @@
 func (w *network) report(size, replaced int, span time.Duration) (mean float64) {
 	seconds := span.Seconds()
 	mean = float64(w.meter.perNode(size)) / seconds
-	w.c.Logf("  mean over %v: %.0f B/s a node, the busiest of those that stayed %.0f, of the new ones %.0f",
+	w.c.Logf("  mean over %v: %.0f B/s a node, busiest of the remaining nodes %.0f, of the new nodes %.0f",
 		span.Round(time.Second), mean, float64(w.meter.most(w.nodes[replaced:]))/seconds, float64(w.meter.most(w.nodes[:replaced]))/seconds)
 	return mean
 }
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// syncNext compares tables with a random living member, or with one that was
-// seen to know far more. The lock is held.
+// syncNext prepares a sync with a random living member, or with a member that knows far
+// more members. The lock is held.
 func (g *Gossip) syncNext() func() {
 	picked := g.addrs([]memberID{g.ahead})
 	g.ahead = memberID{}
@@ -22,11 +22,12 @@
 	}
 }
 
-// syncAcross is how many syncs there are for each that may leave the availability
-// zone. What one member of a zone learns elsewhere the others learn from it.
+// syncAcross is the number of syncs for each one that may leave the availability zone.
+// The other members of the zone learn from each other what one of them learns from
+// outside.
 const syncAcross = 4
 
-// syncPeers are those to compare tables with. The lock is held.
+// syncPeers returns the candidates for a sync. The lock is held.
 func (g *Gossip) syncPeers() []memberID {
 	if near := g.table.livingInZone(); len(near) > 0 && g.cfg.Rand.IntN(syncAcross) > 0 {
 		return near
@@ -34,11 +35,11 @@
 	return g.table.living()
 }
 
-// heal tries a random dead member, so that two halves of a network that took
-// each other for dead find together again. If it answers, both sides learn
-// from the exchange that they were taken for dead, and refute. Those whose
-// address another member has taken over are not tried: with one of them in 560
-// tables its successor was dialled 56 times a second. The lock is held.
+// heal probes a random dead member, so that two partition sides that believe each other
+// dead merge again. If the member answers, both sides learn from the exchange that they
+// were declared dead, and refute the claim. Members whose address another member has
+// taken over are not probed: when one such member was in 560 tables, its successor was
+// dialled 56 times a second. The lock is held.
 func (g *Gossip) heal() func() {
 	var dead []memberID
 	for _, row := range g.table.order {
@@ -52,15 +53,15 @@
 		return nil
 	}
 	id := dead[g.cfg.Rand.IntN(len(dead))]
-	// The claim has one that left probed as well: what is looked for is who has
-	// its address now.
+	// probeOf probes a member that left only if the claim is newer than the row. The
+	// purpose of the probe is to find the process that has the member's address now.
 	return g.probeOf(id, Entry{Seq: g.table.rows[id].m.Seq + 1})
 }
 
-// syncWith compares tables with a peer and exchanges what differs: a little
-// at a time, because what one sync leaves the next ones take up, but
-// everything if the peer knows far more members. While there are differences
-// the next sync comes sooner. It returns whether the peer answered.
+// syncWith compares tables with a peer and exchanges the differences. One sync exchanges
+// a limited part, and the following syncs the rest, unless the peer knows far more
+// members: then syncWith fetches the complete table. While differences remain, the next
+// sync is scheduled sooner. It reports whether the peer answered.
 func (g *Gossip) syncWith(peer target) (answered bool) {
 	reply, err := g.syncBothWays(peer)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return true
 }
 
-// syncBothWays makes one comparison and tells the peer what it lacks.
+// syncBothWays makes one comparison and sends the peer the entries that it lacks.
 func (g *Gossip) syncBothWays(peer target) (*Message, error) {
 	reply, err := g.syncOnce(peer, nil)
 	if err != nil {
@@ -92,18 +93,18 @@
 	return reply, err
 }
 
-// isNews reports whether the claims of a message are to be passed on.
+// isNews reports whether the claims of a message should be forwarded as rumors.
 //
-// The failure: a process that joined took each member that a sync told it of
-// for news, and told its neighbours, who had known them all for long. 48 that
-// joined at once cost every member of 560 more than a hundred kilobytes, and
-// those that joined a megabyte each. Where a sync brings much, others miss as
-// much and find it by their own syncs.
+// A large sync must not be forwarded. A joining process treated each member it learned by
+// sync as news and sent it to its neighbours, which had known all of them for a long
+// time. 48 processes that joined at once cost every member of 560 more than a hundred
+// kilobytes, and the joining ones a megabyte each. Members that miss as much as a large
+// sync contains get it by their own syncs.
 func isNews(kind Kind, entries []Entry) bool {
 	return kind != KindSync || len(entries) <= maxDescribed
 }
 
-// syncSoon plans the next sync while there are differences.
+// syncSoon schedules the next sync early because differences remain.
 func (g *Gossip) syncSoon() {
 	g.mu.Lock()
 	g.due.sync = g.cfg.Clock().Add(g.jitter(2 * g.cfg.Interval))
@@ -111,7 +112,7 @@
 	g.wakeLoop()
 }
 
-// syncOnce makes one exchange.
+// syncOnce makes one sync exchange, with digests if there are no entries to send.
 func (g *Gossip) syncOnce(peer target, entries []Entry) (*Message, error) {
 	m := &Message{Kind: KindSync, Entries: entries}
 	if len(entries) == 0 {
@@ -122,7 +123,7 @@
 	return g.ask(g.ctx, 2*g.patience().wait, peer, m)
 }
 
-// settled reports whether the reply left no difference.
+// settled reports whether the tables are equal after the reply.
 func (g *Gossip) settled(reply *Message) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -130,7 +131,7 @@
 	return !differs
 }
 
-// answerSync adds the rows of differing buckets, whole buckets at a time, as
+// answerSync adds the rows of differing buckets to the reply, complete buckets only, as
 // far as they fit. The lock is held.
 func (g *Gossip) answerSync(reply, request *Message) {
 	reply.Buckets, reply.Size = g.table.buckets(), uint32(g.table.alive)
@@ -139,15 +140,16 @@
 		return
 	}
 	if g.table.alive+maxDescribed < int(request.Size) && g.ahead == (memberID{}) {
-		// Those that join together know each other best. The one who asks can
-		// tell this process of the rest.
+		// Processes that join together learn each other first. The requesting peer knows
+		// more members, so this process syncs with it next.
 		g.ahead = rawID(request.From)
 		g.due.sync = time.Time{}
 	}
 	reply.Entries = append(reply.Entries, g.rowsOf(set, 2*g.cfg.RumorBytes)...)
 }
 
-// rowsOf returns the claims of some buckets. The lock is held.
+// rowsOf returns the claims of the given buckets, up to about room bytes. The lock is
+// held.
 func (g *Gossip) rowsOf(set [bucketCount]bool, room int) []Entry {
 	var byBucket [bucketCount][]Entry
 	for id, row := range g.table.rows {
@@ -176,9 +178,9 @@
 	return out
 }
 
-// missingFrom returns the own rows that a replier shows to lack: those of a
-// bucket that it sent and in which it has them older or not at all. The lock
-// is held.
+// missingFrom returns the rows that the replier lacks or has in an older version. It
+// covers the buckets that the replier sent, and those that are empty at the replier. The
+// lock is held.
 func (g *Gossip) missingFrom(reply *Message) []Entry {
 	set, differs := g.table.differing(reply.Buckets)
 	if !differs {
@@ -206,8 +208,8 @@
 	return briefly(out)
 }
 
-// briefly leaves out the descriptions if there are many; a peer asks for those
-// that it lacks.
+// briefly removes the descriptions if there are many entries; the peer requests the
+// descriptions that it lacks.
 func briefly(entries []Entry) []Entry {
 	if len(entries) <= maxDescribed {
 		return entries
--- a/membership/table.go
+++ b/membership/table.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// table holds the claims that are believed. It does no I/O, takes the time as
-// a value and is not safe for concurrent use.
+// table holds the accepted claims. It does no I/O, receives the time as an argument and
+// is not safe for concurrent use.
 type table struct {
 	cfg    *Config
 	self   *record
 	rows   map[memberID]*record
 	order  []*record           // rows by ID
-	holder map[string]memberID // by gossip address, of members that are not gone
-	alive  int                 // rows that are not gone, self included
+	holder map[string]memberID // members that are not gone, by gossip address
+	alive  int                 // number of rows that are not gone, including self
 	digest [bucketCount]uint32 // of rows that are not gone
-	// changed is set when what readers see has changed, moved when the set of
-	// members that are not gone has.
+	// changed is set when the published snapshot is out of date, moved when the set of
+	// members that are not gone has changed.
 	changed, moved bool
-	// announced is set when the own row changed while claims were taken in,
-	// described when its description did.
+	// announced is set when the own row changed while claims were applied, described when
+	// the change included its description.
 	announced, described bool
 	counts               counters
-	// patience follows how long members take to answer.
+	// patience adapts timeouts to the members' answer times.
 	patience patience
 }
 
-// counters are events that only the table sees.
+// counters counts the events that only the table observes.
 type counters struct {
 	suspicions, deaths, refutations, conflicts, farAhead, full uint64
 }
@@ -44,7 +44,8 @@
 	return t
 }
 
-// announce changes the own row and raises its Seq and Revision.
+// announce changes the own row and raises its Seq and Revision. It restores the fields
+// that are fixed for an incarnation.
 func (t *table) announce(change func(*Member)) {
 	self := &t.self.m
 	before := *self
@@ -57,7 +58,7 @@
 	t.setSeq(t.self, before.Seq+1)
 }
 
-// describe takes in a claim of life, with a new description or without.
+// describe applies an Alive claim, with or without a new description.
 func (t *table) describe(row *record, e *Entry) {
 	if !row.m.State.gone() {
 		t.retire(row)
@@ -69,11 +70,11 @@
 	t.insert(row)
 }
 
-// settleHolder decides between row and another incarnation at its address.
+// settleHolder decides between row and another incarnation at the same address.
 //
-// A restarted process comes back at the address of the one it replaced, which
-// nobody can suspect by probing: the address answers. The higher Epoch holds
-// the address, so all members drop the same one without a message.
+// A restarted process has the address of its predecessor, so probes of the old
+// incarnation are answered and nobody suspects it. The incarnation with the higher Epoch
+// holds the address, so all members drop the same one without further messages.
 func (t *table) settleHolder(row *record, now time.Time) {
 	addr := row.m.GossipAddr
 	rivalID, taken := t.holder[addr]
@@ -83,9 +84,9 @@
 	}
 	rival := t.rows[rivalID]
 	if rival == t.self {
-		// The address is ours, so the other one is history. Its Epoch may
-		// still be the higher one, if the clock went back between the two
-		// starts; everyone would then hold the dead one to be the holder.
+		// This process holds the address, so the other incarnation is dead. Its Epoch may
+		// still be higher if the clock went back between the two starts; all members
+		// would then consider the dead incarnation the holder.
 		if row.m.Epoch >= rival.m.Epoch {
 			t.announce(func(m *Member) { m.Epoch = min(row.m.Epoch+1, maxSeq) })
 		}
@@ -102,8 +103,9 @@
 	}
 }
 
-// suspect starts a suspicion after a probe of seq that began at since and
-// failed, unless the member answered meanwhile.
+// suspect marks a member Suspect after a failed probe, unless the member has answered or
+// raised its Seq meanwhile. seq is the member's Seq at the start of the probe, and since
+// the time of the start.
 func (t *table) suspect(id memberID, seq uint64, since, now time.Time) bool {
 	row := t.rows[id]
 	if row == nil || row == t.self || row.m.State != Alive || row.m.Seq != seq {
@@ -116,8 +118,9 @@
 	return true
 }
 
-// markDead records certain news of a death: another incarnation answers at the
-// member's address, or someone's suspicion ran out and nobody reaches it.
+// markDead records a confirmed death: another incarnation answers at the member's
+// address, or another member's suspicion ran out and this process can't reach the member
+// either.
 func (t *table) markDead(id memberID, now time.Time) bool {
 	row := t.rows[id]
 	if row == nil || row == t.self || row.m.State.gone() {
@@ -127,7 +130,8 @@
 	return true
 }
 
-// expire ends suspicions and forgets dead members. It returns who died.
+// expire ends overdue suspicions and forgets gone members. It returns the members that
+// were declared dead.
 func (t *table) expire(now time.Time) []memberID {
 	var died []memberID
 	for id, row := range t.rows {
@@ -146,8 +150,8 @@
 	return died
 }
 
-// postpone moves the end of all suspicions. After a pause of this process the
-// suspects had no chance to be heard, so the time that passed doesn't count.
+// postpone extends all suspicions. During a pause of this process the suspects' answers
+// could not be received, so that time doesn't count.
 func (t *table) postpone(by time.Duration) {
 	for _, row := range t.rows {
 		if row.m.State == Suspect {
@@ -156,15 +160,16 @@
 	}
 }
 
-// suspicionTimeout grows with the time that news takes to spread, and with how
-// late members answer.
+// suspicionTimeout returns the duration of a suspicion. It grows with the time that
+// updates take to spread, and with the members' answer times.
 func (t *table) suspicionTimeout() time.Duration {
 	calm := time.Duration(t.cfg.SuspicionMult * float64(t.cfg.Interval) * t.magnitude())
 	return t.patience.stretch(calm)
 }
 
-// answered records a sign of life. A suspect has its time again: the claim
-// against it, which lets it refute, is on its way. It reports whether to send it.
+// answered records an answer of a member. If the member is Suspect, its suspicion starts
+// over: the claim against it, which lets it refute, still has to be sent. It reports
+// whether to send that claim.
 func (t *table) answered(id memberID, now time.Time) (refute bool) {
 	row := t.rows[id]
 	if row == nil || row == t.self {
@@ -178,23 +183,22 @@
 	return true
 }
 
-// magnitude is log10 of the number of members, at least 2: a process that
-// stands still for two seconds must not be taken for dead in a small fleet
-// either.
+// magnitude returns log10 of the number of members, but at least 2, so that in a small
+// fleet, too, a process that stops for two seconds is not declared dead.
 func (t *table) magnitude() float64 { return max(2, math.Log10(float64(t.alive))) }
 
-// leave marks the own row as Left, which no other member may do for it.
+// leave marks the own row as Left. Other members must not set that state.
 func (t *table) leave(now time.Time) {
 	t.setSeq(t.self, t.self.m.Seq+1)
 	t.setState(t.self, Left, now)
 }
 
-// living returns the members that are not gone, self excluded, by ID.
+// living returns the members that are not gone, excluding self, by ID.
 func (t *table) living() []memberID {
 	return t.livingWhere(func(*Member) bool { return true })
 }
 
-// livingInZone returns those in the availability zone of this process.
+// livingInZone returns the living members in this process's availability zone.
 func (t *table) livingInZone() []memberID {
 	return t.livingWhere(func(m *Member) bool { return m.Zone == t.self.m.Zone })
 }
--- a/membership/transport.go
+++ b/membership/transport.go
@@ -11,9 +11,9 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// Transport carries one request to a peer and brings its reply.
+// Transport sends one request to a peer and returns the reply.
 type Transport interface {
-	// Exchange must return soon after ctx ends. The reply has not been checked.
+	// Exchange must return soon after ctx ends. The caller validates the reply.
 	Exchange(ctx context.Context, addr string, m *Message) (*Message, error)
 	// Close ends all exchanges.
 	Close() error
@@ -25,20 +25,20 @@
 	rpcMethod  = rpcService + ".Exchange"
 )
 
-// maxPending bounds the calls of one connection that have no answer yet. The
-// peer handles perConn at a time; more would only wait.
+// maxPending bounds the unanswered calls of one connection. The peer handles perConn
+// calls at a time; further ones would only wait.
 const maxPending = 4 * perConn
 
-// dialTimeout bounds the opening of a connection. It is far above the time that
-// a caller waits: one that is given up has cost nearly all that it would have,
-// and in an overload all would be given up and tried again, for ever.
+// dialTimeout bounds the opening of a connection. It is far above the time that a caller
+// waits: an abandoned dial has cost nearly as much as a completed one, and in an overload
+// all dials would be abandoned and repeated for ever.
 const dialTimeout = 5 * time.Second
 
-// rpcTransport calls peers by net/rpc over a bounded set of open connections.
+// rpcTransport calls peers by net/rpc over a bounded cache of open connections.
 type rpcTransport struct {
 	cfg   *Config
 	stats *stats
-	// ctx ends the dials.
+	// ctx cancels the dials.
 	ctx    context.Context
 	cancel context.CancelFunc
 
@@ -48,7 +48,7 @@
 	closed  bool
 }
 
-// dialing is a connection that is being opened for all who wait for it.
+// dialing is a connection that is being opened, shared by all callers that wait for it.
 type dialing struct {
 	done   chan struct{}
 	client *peerClient
@@ -59,21 +59,21 @@
 type peerClient struct {
 	client *rpc.Client
 	conn   *limitedConn
-	// pending counts the calls without an answer, given up ones included.
+	// pending counts the unanswered calls, including those that the caller gave up.
 	pending atomic.Int32
 }
 
 func newRPCTransport(cfg *Config, s *stats) *rpcTransport {
 	t := &rpcTransport{cfg: cfg, stats: s, dialing: map[string]*dialing{}}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
-	// The cache only fails for a size below one, which the Config excludes.
+	// NewWithEvict fails only for a size below one, which Config validation excludes.
 	t.clients, _ = lru.NewWithEvict(cfg.MaxClients, func(_ string, c *peerClient) { go c.client.Close() })
 	return t
 }
 
-// Exchange implements Transport. A pooled connection may have been closed by
-// the peer since its last use, so a call that fails on one is made once more
-// on a new one; taking in a message twice changes nothing.
+// Exchange implements Transport. The peer may have closed a pooled connection since its
+// last use, so a call that fails on one is repeated once on a new one. The repetition is
+// safe because applying a message twice changes nothing.
 func (t *rpcTransport) Exchange(ctx context.Context, addr string, m *Message) (*Message, error) {
 	client, pooled, err := t.client(ctx, addr)
 	if err != nil {
@@ -89,8 +89,8 @@
 	return t.call(ctx, addr, client, m)
 }
 
-// isAnswer reports whether the peer itself refused the call, or has so many to
-// answer that it was not made.
+// isAnswer reports whether the peer itself rejected the call, or the call was not sent
+// because the peer already has too many to answer.
 func isAnswer(err error) bool {
 	failure, ok := err.(*TransportError)
 	if !ok {
@@ -103,11 +103,11 @@
 	return false
 }
 
-// call makes one call. net/rpc knows neither deadlines nor cancellation: a
-// peer that never answers would hold the caller, and its connection, for ever.
-// When ctx ends the connection is closed, which also frees the call's state,
-// unless the peer has answered others on it meanwhile. Closing it for one late
-// answer made all others on it fail, and dial, and be asked again.
+// call makes one call. net/rpc supports neither deadlines nor cancellation: a peer that
+// never answers would block the caller, and occupy its connection, for ever. When ctx
+// ends, call therefore closes the connection, which also frees the call's state, unless
+// data arrived on it during the call. Closing it for a single late answer made all other
+// calls on it fail, dial and be repeated.
 func (t *rpcTransport) call(ctx context.Context, addr string, c *peerClient, m *Message) (*Message, error) {
 	if c.pending.Add(1) > maxPending {
 		c.pending.Add(-1)
@@ -128,7 +128,7 @@
 		}
 		return nil, &TransportError{Addr: addr, Stage: "call", Err: call.Error}
 	case <-ctx.Done():
-		// The rest of a payload would take the link from the next transfer.
+		// The rest of an abandoned payload would take bandwidth from the next transfer.
 		if m.Kind == KindPull || c.conn.reads.Load() == heard {
 			t.drop(addr, c)
 		}
@@ -140,8 +140,8 @@
 	}
 }
 
-// client returns an open connection, and whether it was used before. Those who
-// need one to the same peer at once share it.
+// client returns an open connection, and whether it was opened before this call.
+// Concurrent callers that need a connection to the same peer share one dial.
 func (t *rpcTransport) client(ctx context.Context, addr string) (*peerClient, bool, error) {
 	t.mu.Lock()
 	if t.closed {
@@ -167,8 +167,8 @@
 	}
 }
 
-// open makes a connection. Its time is its own: who waits for it may have come
-// late, or give up sooner.
+// open dials a connection. The dial has its own timeout, because its waiters may have
+// arrived late or may give up sooner.
 func (t *rpcTransport) open(addr string, d *dialing) {
 	ctx, cancel := context.WithTimeout(t.ctx, dialTimeout)
 	defer cancel()
@@ -200,7 +200,7 @@
 	return d.DialContext(ctx, "tcp", addr)
 }
 
-// drop closes a connection that failed.
+// drop closes a failed connection and removes it from the cache.
 func (t *rpcTransport) drop(addr string, c *peerClient) {
 	t.mu.Lock()
 	if current, ok := t.clients.Peek(addr); ok && current == c {
@@ -220,17 +220,17 @@
 	return nil
 }
 
-// limitedConn bounds what a peer can make this process read, and for how long
-// a write may block. Without the first, one length prefix could make the
-// decoder collect a gigabyte; without the second, a peer that stops reading
-// would hold every goroutine that talks to it.
+// limitedConn bounds the bytes that a peer can make this process read, and the time for
+// which a write may block. Without the first bound, one length prefix could make the
+// decoder allocate a gigabyte; without the second, a peer that stops reading would block
+// every goroutine that writes to it.
 type limitedConn struct {
 	net.Conn
 	writeTimeout time.Duration
 	stats        *stats
 
 	max int
-	// reads counts the reads that brought something.
+	// reads counts the reads that returned data.
 	reads atomic.Uint64
 
 	mu   sync.Mutex
@@ -241,7 +241,7 @@
 	return &limitedConn{Conn: conn, writeTimeout: cfg.ProbeTimeout, stats: s, left: limit, max: limit}
 }
 
-// allow grants another n bytes to read, at most twice n in all.
+// allow grants another n bytes to read; at most 2n bytes can be outstanding.
 func (c *limitedConn) allow(n int) {
 	c.mu.Lock()
 	c.left = min(c.left+n, 2*n)
@@ -267,12 +267,12 @@
 	return n, err
 }
 
-// writePart is what has to go out within one write timeout, in bytes.
+// writePart is the number of bytes that must be written within one write timeout.
 const writePart = 16 << 10
 
-// Write implements net.Conn. Each part has the write timeout for itself: a peer
-// that stops reading is noticed as soon, and a long payload is not broken off since
-// the link is narrow.
+// Write implements net.Conn. Each part has its own write timeout, so a peer that stops
+// reading is detected as early as with a single timeout, and a long payload on a narrow
+// link is not aborted.
 func (c *limitedConn) Write(p []byte) (int, error) {
 	written := 0
 	for written < len(p) {
--- a/membership/transport_test.go
+++ b/membership/transport_test.go
@@ -15,7 +15,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// loopback starts a member on a port of its own.
+// loopback starts a member on its own port.
 func loopback(c *qt.C, i int, seeds ...string) *Gossip {
 	return loopbackAt(c, "127.0.0.1:0", i, seeds...)
 }
@@ -35,7 +35,7 @@
 	return g
 }
 
-// eventually polls, because real sockets know no virtual time.
+// eventually polls, because real sockets don't run in virtual time.
 func eventually(c *qt.C, ok func() bool) {
 	c.Helper()
 	for range 1000 {
@@ -44,12 +44,12 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	c.Fatal("did not come true")
+	c.Fatal("condition not met within 10 s")
 }
 
-// A peer that hangs, talks nonsense, hangs up halfway or sends without end
-// must cost its caller one failed exchange, within the caller's time, and no
-// more memory than a message may have.
+// A peer that hangs, sends garbage, closes the connection midway or sends without end
+// must cost its caller one failed exchange, within the caller's timeout, and no more
+// memory than the message limit.
 func TestBadPeers(t *testing.T) {
 	endless := func(conn net.Conn) {
 		enc := gob.NewEncoder(conn)
@@ -95,8 +95,8 @@
 	}
 }
 
-// A client sends a request longer than the limit, half a request, and more
-// connections than are allowed. Members must still be able to talk.
+// A client sends a request longer than the limit and half a request, and opens more
+// connections than are allowed. Members must still be able to exchange messages.
 func TestBadClients(t *testing.T) {
 	c := qt.New(t)
 	g := loopback(c, 0)
@@ -118,9 +118,10 @@
 	c.Assert(other.Stats().Received, qt.Equals, uint64(1))
 }
 
-// Over real sockets: members join through one seed; one leaves, closes and is
-// replaced at the same port, and the others reach the new one though they
-// hold broken connections to it. With -measure it tells what a member costs.
+// Over real sockets, members join through one seed. One member leaves, closes and is
+// replaced at the same port, and the others reach the new process although their
+// connections to the old one are broken. With -measure the test logs the traffic and CPU
+// time of a member.
 func TestLoopbackCluster(t *testing.T) {
 	c := qt.New(t)
 	size, window := 12, time.Duration(0)
--- a/membership/versions_test.go
+++ b/membership/versions_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// newerMessage and olderMessage are Message and Entry as builds before and
-// after this one could have them.
+// newerMessage and olderMessage are Message and Entry as later and earlier builds could
+// define them.
 type (
 	newerMessage struct {
 		Kind    Kind
@@ -41,9 +41,9 @@
 	c.Assert(gob.NewDecoder(&wire).Decode(to), qt.IsNil)
 }
 
-// Two builds gossip with each other during an upgrade. A field that one of
-// them does not know must be passed over, and one that it misses stay empty;
-// a message refused for it would make each build take the other for dead.
+// Two builds exchange gossip during an upgrade. A field that one of them doesn't know
+// must be ignored, and a field that is absent must stay empty. If a message were rejected
+// because of such a field, each build would declare the other's members dead.
 func TestMessagesOfOtherBuildsAreUnderstood(t *testing.T) {
 	c := qt.New(t)
 	var got Message
--- a/membership/view.go
+++ b/membership/view.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// view is an immutable snapshot for readers. The list of members is built by
-// the first reader: in a storm there are many more changes than readers.
+// view is an immutable snapshot for readers. The first reader builds the list of living
+// members: during a burst of changes there are many more changes than reads.
 type view struct {
-	all    []*Member // by ID, gone members included
+	all    []*Member // by ID, including gone members
 	states [Left + 1]int
 
 	once   sync.Once
@@ -25,7 +25,8 @@
 	return v.living
 }
 
-// unlockAndPublish ends a change: readers see it, then subscribers are told.
+// unlockAndPublish publishes a new snapshot if the table changed, releases the lock and
+// then calls the subscribers.
 func (g *Gossip) unlockAndPublish() {
 	changed := g.table.changed
 	if changed {
