--- a/membership/apart_test.go
+++ b/membership/apart_test.go
@@ -12,10 +12,10 @@
 // that are gone. When the link is back, each sends the other only claims that the other
 // has refuted before, so neither receives anything new. Callers of the one must
 // nevertheless be routed to the other again.
-func TestOldClaimsDontKeepMembersApart(t *testing.T) {
+func TestOutdatedClaimsDontKeepMembersApart(t *testing.T) {
 	cluster(t, 2, func(w *network) {
 		w.block(func(from, to *testNode) bool { return true })
-		w.within(20*time.Second, func(n *testNode) bool { return n.sees(Dead) == 1 })
+		w.within(20*time.Second, func(n *testNode) bool { return n.countState(Dead) == 1 })
 		for _, n := range w.nodes {
 			own := n.Self()
 			n.Gossip.mu.Lock()
@@ -26,7 +26,7 @@
 			n.Gossip.unlockAndPublish()
 		}
 		w.block(nil)
-		took := w.within(15*time.Second, func(n *testNode) bool { return n.sees(Alive) == 2 })
+		took := w.within(15*time.Second, func(n *testNode) bool { return n.countState(Alive) == 2 })
 		w.c.Logf("merged %v after the link was back", took)
 	})
 }
@@ -34,7 +34,7 @@
 // One member believes another dead because of an outdated claim, while the other believes
 // it alive and keeps probing it. The first answer must be corrected at once, not when the
 // member with the outdated claim next probes dead members.
-func TestOldClaimInAnAnswerIsPutRight(t *testing.T) {
+func TestOutdatedClaimInAnAnswerIsCorrected(t *testing.T) {
 	cluster(t, 2, func(w *network) {
 		wrong, other := w.nodes[0], w.nodes[1]
 		wrong.Gossip.mu.Lock()
@@ -47,7 +47,7 @@
 		other.table.setSeq(other.table.self, other.table.self.m.Seq+4)
 		other.due.sync = time.Now().Add(time.Hour)
 		other.unlockAndPublish()
-		took := w.within(3*time.Second, func(n *testNode) bool { return n.sees(Alive) == 2 })
+		took := w.within(3*time.Second, func(n *testNode) bool { return n.countState(Alive) == 2 })
 		w.c.Logf("corrected after %v", took)
 		w.c.Assert(wrong.Stats().Dead, qt.Equals, 0)
 	})
--- a/membership/claims.go
+++ b/membership/claims.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// verdict is the outcome of applying a claim to the table.
-type verdict uint8
+// claimOutcome is the outcome of applying a claim to the table.
+type claimOutcome uint8
 
 const (
 	// claimKnown: the claim is already known, or older than the claim in the table.
-	claimKnown verdict = iota
-	// claimTaken: the claim changed the table and must be forwarded.
-	claimTaken
+	claimKnown claimOutcome = iota
+	// claimApplied: the claim changed the table and must be forwarded.
+	claimApplied
 	// claimDoubted: the claim says Dead of a member that is Alive in this table, or Alive
 	// of one that is Dead. A probe of the member decides.
 	claimDoubted
@@ -23,9 +23,9 @@
 	claimOutdated
 	// claimRefused: the claim conflicts with the known identity or is out of bounds.
 	claimRefused
-	// claimLacking: the claim says Alive, but is a short claim and the description it
+	// claimUndescribed: the claim says Alive, but is a short claim and the description it
 	// refers to is missing here.
-	claimLacking
+	claimUndescribed
 	// claimIgnored: the claim is about an unknown member and can't add it to the table:
 	// it is short, says that the member is gone, or the table is full.
 	claimIgnored
@@ -41,7 +41,7 @@
 }
 
 // apply applies one validated claim to the table.
-func (t *table) apply(e *Entry, now time.Time) (verdict, error) {
+func (t *table) apply(e *Entry, now time.Time) (claimOutcome, error) {
 	id := rawID(e.ID)
 	if id == t.self.id {
 		return t.applySelf(e)
@@ -50,7 +50,7 @@
 	if row == nil {
 		return t.applyNew(id, e, now), nil
 	}
-	if e.full() && !row.m.State.gone() {
+	if e.hasDescription() && !row.m.State.gone() {
 		// The identity of a gone row may be replaced. If the first claim received about a
 		// member was false, the row was declared dead because no probe was answered, and
 		// the true claim must still be accepted.
@@ -68,21 +68,21 @@
 	}
 	if e.Seq > row.m.Seq+maxSeqAhead {
 		t.counts.farAhead++
-		return claimRefused, &InvalidError{Field: "seq", Value: strconv.FormatUint(e.Seq, 10), Want: "a Seq near the one known"}
+		return claimRefused, &InvalidError{Field: "seq", Value: strconv.FormatUint(e.Seq, 10), Want: "a Seq near the known one"}
 	}
 	return t.applyNewer(row, e, now), nil
 }
 
 // applyNewer applies a claim that supersedes the row.
-func (t *table) applyNewer(row *record, e *Entry, now time.Time) verdict {
+func (t *table) applyNewer(row *record, e *Entry, now time.Time) claimOutcome {
 	switch e.State {
 	case Alive:
-		if !e.full() && e.Revision != row.m.Revision {
-			return claimLacking
+		if !e.hasDescription() && e.Revision != row.m.Revision {
+			return claimUndescribed
 		}
-		t.describe(row, e)
-		t.settleHolder(row, now)
-		return claimTaken
+		t.applyAlive(row, e)
+		t.resolveAddrHolder(row, now)
+		return claimApplied
 	case Dead:
 		// A member that is Alive in this table is not declared dead on another member's
 		// word. When a network partition heals, each side believes the whole other side
@@ -100,13 +100,13 @@
 	}
 	t.setSeq(row, e.Seq)
 	t.setState(row, e.State, now)
-	return claimTaken
+	return claimApplied
 }
 
-// unforge forgets a member whose Seq in this table is far above the Seq that the member
-// itself sends. The first claim received about it was corrupt, and would make every true
-// claim look outdated for ever.
-func (t *table) unforge(id memberID, seq uint64) {
+// forgetCorruptSeq forgets a member whose Seq in this table is far above the Seq that the
+// member itself sends. The first claim received about it was corrupt, and would make
+// every true claim look outdated for ever.
+func (t *table) forgetCorruptSeq(id memberID, seq uint64) {
 	row := t.rows[id]
 	if row == nil || row == t.self || row.m.Seq <= seq+maxSeqAhead {
 		return
@@ -116,52 +116,52 @@
 }
 
 // applyNew applies a claim about an incarnation that is not in the table.
-func (t *table) applyNew(id memberID, e *Entry, now time.Time) verdict {
-	if !e.full() && e.State == Alive {
-		return claimLacking
+func (t *table) applyNew(id memberID, e *Entry, now time.Time) claimOutcome {
+	if !e.hasDescription() && e.State == Alive {
+		return claimUndescribed
 	}
-	if !e.full() || e.State.gone() {
+	if !e.hasDescription() || e.State.gone() {
 		return claimIgnored
 	}
 	if len(t.rows) >= t.cfg.MaxMembers && !t.evictGone() {
-		t.counts.full++
+		t.counts.tableFull++
 		return claimIgnored
 	}
 	row := &record{id: id, m: e.member()}
 	row.m.State = Alive
 	t.insert(row)
-	t.settleHolder(row, now)
+	t.resolveAddrHolder(row, now)
 	if e.State == Suspect && row.m.State == Alive {
 		t.setState(row, Suspect, now)
 	}
-	return claimTaken
+	return claimApplied
 }
 
 // applySelf applies a claim about this process, and refutes it if this process did not
 // make it.
-func (t *table) applySelf(e *Entry) (verdict, error) {
+func (t *table) applySelf(e *Entry) (claimOutcome, error) {
 	self := &t.self.m
 	var conflict error
-	if e.full() {
+	if e.hasDescription() {
 		claimed := e.member()
 		conflict = sameIdentity(self, &claimed)
 	}
 	if conflict != nil {
 		t.counts.conflicts++
 	}
-	said := e.Seq < self.Seq || (e.Seq == self.Seq && e.State <= self.State && conflict == nil)
-	if said && e.State > self.State {
+	known := e.Seq < self.Seq || (e.Seq == self.Seq && e.State <= self.State && conflict == nil)
+	if known && e.State > self.State {
 		return claimOutdated, conflict
 	}
-	if said {
+	if known {
 		return claimKnown, conflict
 	}
 	if e.Seq > self.Seq+maxSeqAhead {
 		t.counts.farAhead++
-		return claimRefused, &InvalidError{Field: "seq", Value: strconv.FormatUint(e.Seq, 10), Want: "a Seq near the own"}
+		return claimRefused, &InvalidError{Field: "seq", Value: strconv.FormatUint(e.Seq, 10), Want: "a Seq near this process's own"}
 	}
 	t.counts.refutations++
 	t.setSeq(t.self, e.Seq+1)
-	t.announced = true
+	t.selfChanged = true
 	return claimRefuted, conflict
 }
--- a/membership/compare_test.go
+++ b/membership/compare_test.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// oldest returns the highest age during some cycles, and how often a member's age
+// maxAge returns the highest age during some cycles, and how often a member's age
 // exceeded threshold at another member.
-func (s *ageSim) oldest(cycles, threshold int) (highest, crossings int) {
+func (s *ageSim) maxAge(cycles, threshold int) (highest, crossings int) {
 	for range cycles {
 		s.cycle()
 		for _, ages := range s.ages {
@@ -105,9 +105,9 @@
 	return highest, crossings
 }
 
-// detect stops member 0 and returns the number of cycles until all other members consider
-// it dead.
-func (s *ageSim) detect(threshold int) int {
+// cyclesToDetect stops member 0 and returns the number of cycles until all other members
+// consider it dead.
+func (s *ageSim) cyclesToDetect(threshold int) int {
 	s.dead = 0
 	for cycles := 0; ; cycles++ {
 		unaware := 0
@@ -142,19 +142,19 @@
 	request, response := &rpc.Request{ServiceMethod: rpcMethod, Seq: 1000}, &rpc.Response{ServiceMethod: rpcMethod, Seq: 1000}
 	for _, size := range measuredSizes() {
 		s := newAgeSim(size)
-		paper := int(math.Log2(float64(size)))
-		s.oldest(50, paper)
+		log2Size := int(math.Log2(float64(size)))
+		s.maxAge(50, log2Size)
 		s.pings, s.reply = 0, 0
-		calm, falseCalm := s.oldest(60, paper)
+		calm, falseCalm := s.maxAge(60, log2Size)
 		entries := s.reply / max(1, s.pings)
 		s.loss = 0.05
-		lossy, falseLossy := s.oldest(60, paper)
+		lossy, falseLossy := s.maxAge(60, log2Size)
 		s.loss = 0
-		s.oldest(30, paper)
-		atPaper := s.detect(paper)
+		s.maxAge(30, log2Size)
+		atPaper := s.cyclesToDetect(log2Size)
 		s.dead = -1
-		s.oldest(30, paper)
-		atLossy := s.detect(lossy)
+		s.maxAge(30, log2Size)
+		atLossy := s.cyclesToDetect(lossy)
 		id := string(make([]byte, 16))
 		reply := ageReply{Clock: 1000, Ages: make([]byte, entries)}
 		for i := range entries {
@@ -168,6 +168,6 @@
 		}
 		beats := encoded(request, &list) + encoded(response, &list) + exchangeSegments*segmentHeader
 		t.Logf("size %d: age vectors %d B/s (%d entries in a lazy reply), heartbeat lists %d B/s; oldest age %d calm, %d at 5%% loss; at the threshold of log2 N = %d: %d and %d false deaths in 60 cycles; dead everywhere after %d cycles at that threshold, after %d at the lowest one without false deaths at 5%% loss",
-			size, 2*ages, entries, 2*beats, calm, lossy, paper, falseCalm, falseLossy, atPaper, atLossy)
+			size, 2*ages, entries, 2*beats, calm, lossy, log2Size, falseCalm, falseLossy, atPaper, atLossy)
 	}
 }
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	// newsHop is added, at each hop, to the age of a configuration version that the
-	// sender doesn't have in force. It is above the transmission time of a message, so
-	// that the age grows along every path and every cycle.
-	newsHop = time.Second
+	// versionAgePerHop is added, at each hop, to the age of a configuration version that
+	// the sender doesn't have in force. It is above the transmission time of a message,
+	// so that the age grows along every path and every cycle.
+	versionAgePerHop = time.Second
 	// maxPlaces is the highest count of places that a member can report.
 	maxPlaces = 1 << 20
 	// maxNewestAge, in milliseconds, bounds a received age far below overflow.
 	maxNewestAge = 1 << 40
 )
 
-// replyRumors divides RumorBytes to give the bytes of rumors that a reply may carry.
-const replyRumors = 4
+// replyRumorsDivisor divides RumorBytes to give the bytes of rumors that a reply may
+// carry.
+const replyRumorsDivisor = 4
 
 // exchange sends a request, applies the reply and counts the rumors that were delivered.
 func (g *Gossip) exchange(ctx context.Context, peer target, m *Message) (*Message, error) {
-	g.sign(m)
+	g.setSender(m)
 	g.stats.sent.Add(1)
 	begin := g.cfg.Clock()
 	reply, err := g.transport.Exchange(ctx, peer.addr, m)
@@ -36,43 +37,43 @@
 	from := rawID(reply.From)
 	g.mu.Lock()
 	limit := g.table.sendLimit()
-	g.rumors.told(m.Entries, reply.Known, reply.Wanted, limit)
-	g.rumors.toldVersion(reply.Version >= m.Version, limit)
-	g.table.unforge(from, reply.FromSeq)
-	taken := g.applyAll(reply.Entries, isNews(m.Kind, reply.Entries), now)
-	g.forgetWanted(reply.Entries, taken.wanted)
+	g.rumors.countDelivered(m.Entries, reply.Known, reply.Wanted, limit)
+	g.rumors.countVersionDelivered(reply.Version >= m.Version, limit)
+	g.table.forgetCorruptSeq(from, reply.FromSeq)
+	applied := g.applyAll(reply.Entries, shouldForward(m.Kind, reply.Entries), now)
+	g.forgetWanted(reply.Entries, applied.wanted)
 	if m.Kind == KindPing || m.Kind == KindSync {
-		g.table.patience.answered(now.Sub(begin))
+		g.table.timeouts.observe(now.Sub(begin))
 	}
 	if g.table.answered(from, now) {
 		g.doubts[from] = Entry{ID: reply.From, State: Suspect, Seq: g.table.rows[from].m.Seq}
 	}
 	more := g.describeWanted(m.Entries, reply.Wanted)
-	if taken.outdated {
+	if applied.outdated {
 		more = append(more, fullEntry(g.table.self.id, &g.table.self.m))
 	}
-	if reply.Stranger && !now.Before(g.due.introduce) {
-		g.due.introduce = now.Add(g.cfg.SyncInterval)
+	if reply.Stranger && !now.Before(g.due.announceAgain) {
+		g.due.announceAgain = now.Add(g.cfg.SyncInterval)
 		g.rumors.add(g.table.self.id, false)
 	}
 	g.unlockAndPublish()
 	if len(more) > 0 {
-		g.spawn(func() { g.tell(peer, m.Kind, more) })
+		g.spawn(func() { g.sendClaims(peer, m.Kind, more) })
 	}
 	g.afterMessage(from, reply)
 	return reply, nil
 }
 
-// ask starts an exchange and waits up to wait for the reply. A reply that arrives later
-// is still applied, because it proves that the peer is alive.
-func (g *Gossip) ask(ctx context.Context, wait time.Duration, peer target, m *Message) (*Message, error) {
+// exchangeWithin starts an exchange and waits up to wait for the reply. A reply that
+// arrives later is still applied, because it proves that the peer is alive.
+func (g *Gossip) exchangeWithin(ctx context.Context, wait time.Duration, peer target, m *Message) (*Message, error) {
 	type answer struct {
 		reply *Message
 		err   error
 	}
 	done := make(chan answer, 1)
 	await := func() {
-		late, cancel := context.WithTimeout(g.ctx, max(wait, g.patience().late()))
+		late, cancel := context.WithTimeout(g.ctx, max(wait, g.timeouts().lateLimit()))
 		defer cancel()
 		reply, err := g.exchange(late, peer, m)
 		done <- answer{reply, err}
@@ -95,16 +96,16 @@
 	}
 }
 
-// patience returns a copy of the current adaptive timeout.
-func (g *Gossip) patience() patience {
+// timeouts returns a copy of the current timeouts.
+func (g *Gossip) timeouts() timeouts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.patience
+	return g.table.timeouts
 }
 
-// sign sets the fields that every message carries: the sender and its configuration
+// setSender sets the fields that every message carries: the sender and its configuration
 // versions.
-func (g *Gossip) sign(m *Message) {
+func (g *Gossip) setSender(m *Message) {
 	m.Version = g.cfg.Delegate.LocalVersion()
 	if newest, age := g.cfg.Delegate.NewestVersion(); newest > m.Version {
 		m.Newest, m.NewestAge = newest, uint64(max(age, 0).Milliseconds())
@@ -122,7 +123,7 @@
 func (g *Gossip) afterMessage(from memberID, m *Message) {
 	if m.Newest > m.Version {
 		age := time.Duration(min(m.NewestAge, maxNewestAge)) * time.Millisecond
-		g.cfg.Delegate.Hear(m.Newest, age+newsHop)
+		g.cfg.Delegate.Hear(m.Newest, age+versionAgePerHop)
 	}
 	if m.Places > 0 {
 		g.cfg.Delegate.HearPlaces(int(min(m.Places, maxPlaces)))
@@ -143,7 +144,7 @@
 // bit in wanted. The lock is held.
 func (g *Gossip) describeWanted(entries []Entry, wanted []byte) []Entry {
 	var out []Entry
-	room := 2 * g.cfg.RumorBytes
+	bytesLeft := 2 * g.cfg.RumorBytes
 	for i := range entries {
 		id := rawID(entries[i].ID)
 		row := g.table.rows[id]
@@ -151,7 +152,7 @@
 			continue
 		}
 		e := fullEntry(id, &row.m)
-		if room -= e.size(); room < 0 {
+		if bytesLeft -= e.size(); bytesLeft < 0 {
 			break
 		}
 		out = append(out, e)
@@ -159,8 +160,8 @@
 	return out
 }
 
-// takenIn is the result of applying the claims of one message.
-type takenIn struct {
+// appliedClaims is the result of applying the claims of one message.
+type appliedClaims struct {
 	// known and wanted have one bit for each claim; see Message.
 	known, wanted []byte
 	// outdated is set if the peer still believes a claim about this process that this
@@ -175,9 +176,9 @@
 }
 
 // applyAll applies claims and queues those that changed the table as rumors; Alive claims
-// are queued only if tell is set. The lock is held.
-func (g *Gossip) applyAll(entries []Entry, tell bool, now time.Time) takenIn {
-	var in takenIn
+// are queued only if forward is set. The lock is held.
+func (g *Gossip) applyAll(entries []Entry, forward bool, now time.Time) appliedClaims {
+	var in appliedClaims
 	for i := range entries {
 		e := &entries[i]
 		id := rawID(e.ID)
@@ -186,9 +187,9 @@
 			g.stats.refused.Add(1)
 		}
 		switch v {
-		case claimTaken:
-			if tell || e.State != Alive {
-				g.rumors.add(id, !e.full())
+		case claimApplied:
+			if forward || e.State != Alive {
+				g.rumors.add(id, !e.hasDescription())
 			}
 			delete(g.doubts, id)
 			delete(g.wanted, id)
@@ -197,28 +198,28 @@
 			}
 		case claimDoubted:
 			g.doubts[id] = Entry{ID: e.ID, State: e.State, Seq: e.Seq}
-		case claimLacking:
-			if g.want(id, now) {
+		case claimUndescribed:
+			if g.shouldRequestDescription(id, now) {
 				in.wanted = setBit(in.wanted, i)
 			}
 		case claimOutdated:
 			in.outdated = true
 		}
-		if v != claimTaken && v != claimRefuted && v != claimLacking {
+		if v != claimApplied && v != claimRefuted && v != claimUndescribed {
 			in.known = setBit(in.known, i)
 		}
 	}
-	if g.table.announced {
-		g.rumors.add(g.table.self.id, !g.table.described)
-		g.table.announced, g.table.described = false, false
+	if g.table.selfChanged {
+		g.rumors.add(g.table.self.id, !g.table.selfDescriptionChanged)
+		g.table.selfChanged, g.table.selfDescriptionChanged = false, false
 	}
 	return in
 }
 
-// want reports whether to request a member's description. Many peers send the same claim
-// at about the same time; the description is requested from one of them, and from another
-// one if the first doesn't answer.
-func (g *Gossip) want(id memberID, now time.Time) bool {
+// shouldRequestDescription reports whether to request a member's description. Many peers
+// send the same claim at about the same time; the description is requested from one of
+// them, and from another one if the first doesn't answer.
+func (g *Gossip) shouldRequestDescription(id memberID, now time.Time) bool {
 	if now.Before(g.wanted[id]) {
 		return false
 	}
@@ -226,7 +227,7 @@
 		clear(g.wanted)
 	}
 	g.wanted[id] = now.Add(g.cfg.ProbeTimeout)
-	g.due.lacking = now.Add(2 * g.cfg.ProbeTimeout)
+	g.due.descriptionDeadline = now.Add(2 * g.cfg.ProbeTimeout)
 	return true
 }
 
@@ -257,7 +258,7 @@
 	}
 	g.mu.Lock()
 	alone := g.table.alive == 1
-	taken := g.applyAll(m.Entries, isNews(m.Kind, m.Entries), now)
+	applied := g.applyAll(m.Entries, shouldForward(m.Kind, m.Entries), now)
 	if alone && g.table.alive > 1 {
 		// The sender assumes that other members know this process, and won't send it any
 		// other entries. Without a sync now, this process would know only the sender
@@ -265,11 +266,11 @@
 		g.due.sync = now
 		defer g.wakeLoop()
 	}
-	reply.Known, reply.Wanted = taken.known, taken.wanted
-	if taken.outdated {
+	reply.Known, reply.Wanted = applied.known, applied.wanted
+	if applied.outdated {
 		reply.Entries = append(reply.Entries, fullEntry(g.table.self.id, &g.table.self.m))
 	}
-	g.answerSender(reply, from)
+	g.addSenderState(reply, from)
 	switch m.Kind {
 	case KindPing:
 		g.piggyback(reply, m)
@@ -279,7 +280,7 @@
 		}
 	}
 	g.unlockAndPublish()
-	g.sign(reply)
+	g.setSender(reply)
 	if m.Kind == KindPull {
 		g.answerPull(reply, m)
 	}
@@ -287,10 +288,10 @@
 	return reply, nil
 }
 
-// answerSender adds the sender's own state to the reply if the sender is Suspect or Dead
-// here, and sets Stranger if it is unknown. A process that was paused learns this way
-// that it was declared dead.
-func (g *Gossip) answerSender(reply *Message, from memberID) {
+// addSenderState adds the sender's own state to the reply if the sender is Suspect or
+// Dead here, and sets Stranger if it is unknown. A process that was paused learns this
+// way that it was declared dead.
+func (g *Gossip) addSenderState(reply *Message, from memberID) {
 	row := g.table.rows[from]
 	if row == nil {
 		reply.Stranger = true
@@ -309,19 +310,19 @@
 	if len(g.rumors.byID) == 0 {
 		return
 	}
-	brought := make(map[string]bool, len(request.Entries))
+	received := make(map[string]bool, len(request.Entries))
 	for i := range request.Entries {
-		brought[request.Entries[i].ID] = true
+		received[request.Entries[i].ID] = true
 	}
-	var told []Entry
-	for _, e := range g.rumors.pick(g.table, g.cfg.RumorBytes/replyRumors) {
+	var delivered []Entry
+	for _, e := range g.rumors.pick(g.table, g.cfg.RumorBytes/replyRumorsDivisor) {
 		if brief && e.State == Alive {
 			continue
 		}
-		if !brought[e.ID] || rawID(e.ID) == g.table.self.id {
-			told = append(told, e)
+		if !received[e.ID] || rawID(e.ID) == g.table.self.id {
+			delivered = append(delivered, e)
 		}
 	}
-	g.rumors.told(told, nil, nil, g.table.sendLimit())
-	reply.Entries = append(reply.Entries, told...)
+	g.rumors.countDelivered(delivered, nil, nil, g.table.sendLimit())
+	reply.Entries = append(reply.Entries, delivered...)
 }
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -22,8 +22,8 @@
 
 func (n *testNode) id() string { return n.cfg.Self.ID }
 
-// sees returns the number of members that are in a state in the node's own view.
-func (n *testNode) sees(s State) int { return n.view.Load().states[s] }
+// countState returns the number of members that are in a state in the node's own view.
+func (n *testNode) countState(s State) int { return n.view.Load().states[s] }
 
 // A process is stopped for a minute and declared dead. When it resumes, it still
 // considers itself a healthy member, and the others silent because it missed their
@@ -40,7 +40,7 @@
 		raised := w.sum(func(s Stats) uint64 { return s.Raised })
 		paused.setDown(false)
 		resume()
-		took := w.within(4*time.Second, func(n *testNode) bool { return n.state(paused.id()) == Alive && n.sees(Alive) == 40 })
+		took := w.within(4*time.Second, func(n *testNode) bool { return n.state(paused.id()) == Alive && n.countState(Alive) == 40 })
 		w.c.Logf("alive everywhere %v after it resumed", took)
 		w.c.Assert(paused.Self().Seq > seq, qt.IsTrue)
 		time.Sleep(20 * time.Second)
@@ -61,7 +61,7 @@
 			c.Clock = func() time.Time { return time.Now().Add(-time.Hour) }
 		})
 		took := w.within(4*time.Second, func(n *testNode) bool {
-			return n.state(fresh.id()) == Alive && n.state(old) == Dead && n.sees(Alive) == 40
+			return n.state(fresh.id()) == Alive && n.state(old) == Dead && n.countState(Alive) == 40
 		})
 		w.c.Logf("replaced everywhere after %v", took)
 	})
@@ -72,21 +72,21 @@
 // must go on with its own half. When the link is back, neither side may lose members of
 // its own half while both learn that the other side is alive, and the configuration that
 // one side accepted meanwhile must reach the other, without an operator.
-func TestRegionCutHeals(t *testing.T) {
+func TestRegionPartitionHeals(t *testing.T) {
 	cuts := []time.Duration{2 * time.Minute, 31 * time.Minute}
 	if *measure {
 		cuts = []time.Duration{2 * time.Minute, 5 * time.Minute, 30 * time.Minute, 31 * time.Minute}
 	}
 	for _, cut := range cuts {
-		regionCut(t, sizeOr(60), cut)
+		testRegionPartition(t, sizeOr(60), cut)
 	}
 }
 
-func regionCut(t *testing.T, size int, cut time.Duration) {
+func testRegionPartition(t *testing.T, size int, cut time.Duration) {
 	cluster(t, size, func(w *network) {
 		w.block(func(from, to *testNode) bool { return from.region != to.region })
 		m := w.metered()
-		took := w.within(40*time.Second, func(n *testNode) bool { return n.sees(Alive) == size/2 && n.sees(Dead) == size/2 })
+		took := w.within(40*time.Second, func(n *testNode) bool { return n.countState(Alive) == size/2 && n.countState(Dead) == size/2 })
 		w.c.Logf("partition sides separated after %v, %d bytes a node", took, m.perNode(size))
 		w.nodes[0].config.Offer("", 5, []byte("accepted during the cut"))
 		w.nodes[0].Broadcast()
@@ -96,7 +96,7 @@
 		w.block(nil)
 		took = w.within(30*time.Second, func(n *testNode) bool {
 			lowest = min(lowest, len(n.Members()))
-			return n.sees(Alive) == size && n.config.LocalVersion() == 5
+			return n.countState(Alive) == size && n.config.LocalVersion() == 5
 		})
 		w.c.Logf("merged %v after a partition of %v, %d bytes a node", took, cut, m.perNode(size))
 		w.c.Assert(lowest >= size/2, qt.IsTrue)
@@ -114,7 +114,7 @@
 		})
 		time.Sleep(2 * time.Minute)
 		w.c.Assert(w.sum(deathsOf)-before, qt.Equals, uint64(0))
-		w.within(0, func(n *testNode) bool { return n.sees(Alive) == 40 })
+		w.within(0, func(n *testNode) bool { return n.countState(Alive) == 40 })
 		w.c.Assert(w.sum(func(s Stats) uint64 { return s.ProbesFailed }) > 0, qt.IsTrue)
 	})
 }
@@ -157,7 +157,7 @@
 			w.start(i)
 		}
 		took = w.within(20*time.Second, func(n *testNode) bool {
-			return n.sees(Alive) == largest-1 && n.config.LocalVersion() == 3 && !gone[n.Members()[0].ID]
+			return n.countState(Alive) == largest-1 && n.config.LocalVersion() == 3 && !gone[n.Members()[0].ID]
 		})
 		w.c.Logf("48 replaced everywhere after %v, %d bytes a node", took, w.meter.perNode(largest))
 
@@ -165,7 +165,7 @@
 		for _, n := range w.nodes[400:448] {
 			n.crash()
 		}
-		took = w.within(20*time.Second, func(n *testNode) bool { return n.sees(Alive) == largest-49 })
+		took = w.within(20*time.Second, func(n *testNode) bool { return n.countState(Alive) == largest-49 })
 		w.c.Logf("loss of 48 known everywhere after %v, %d bytes a node", took, w.meter.perNode(largest))
 	})
 }
@@ -174,16 +174,16 @@
 // replies. The others must exclude it. It learns that it was declared dead and can't
 // refute that, and must not cause healthy members to be excluded. As soon as its messages
 // arrive again, it must be back.
-func TestUnheardMemberComesBack(t *testing.T) {
+func TestMemberThatCannotSendRejoins(t *testing.T) {
 	cluster(t, 40, func(w *network) {
 		mute := w.nodes[7]
 		w.block(func(from, to *testNode) bool { return from == mute })
 		took := w.within(30*time.Second, func(n *testNode) bool { return n == mute || n.state(mute.id()) == Dead })
 		w.c.Logf("excluded everywhere after %v", took)
 		time.Sleep(time.Minute)
-		w.within(0, func(n *testNode) bool { return n == mute || n.sees(Alive) == 39 })
+		w.within(0, func(n *testNode) bool { return n == mute || n.countState(Alive) == 39 })
 		w.block(nil)
-		took = w.within(15*time.Second, func(n *testNode) bool { return n.sees(Alive) == 40 })
+		took = w.within(15*time.Second, func(n *testNode) bool { return n.countState(Alive) == 40 })
 		w.c.Logf("back everywhere %v after its messages arrived again", took)
 		w.c.Assert(mute.Stats().Refutations > 0, qt.IsTrue)
 	})
@@ -211,7 +211,7 @@
 			c.Seeds = func(context.Context) ([]string, error) { return nil, &UnheardError{} }
 		})
 		took := w.within(4*time.Second, func(n *testNode) bool {
-			return n.state(fresh.id()) == Alive && n.sees(Alive) == 12
+			return n.state(fresh.id()) == Alive && n.countState(Alive) == 12
 		})
 		w.c.Logf("found by all after %v", took)
 	})
@@ -221,7 +221,7 @@
 // member that probes it also sends its own entry, and is therefore known to it. The
 // process must request the rest of the table at once: from then on calls are routed to
 // it, and the calls that its upstream makes would find no target.
-func TestFirstMemberHeardOfIsAskedForTheRest(t *testing.T) {
+func TestFirstKnownMemberIsSyncedAtOnce(t *testing.T) {
 	cluster(t, 12, func(w *network) {
 		fresh := w.add(12, func(c *Config) {
 			c.Seeds = func(context.Context) ([]string, error) { return nil, &UnheardError{} }
@@ -231,13 +231,13 @@
 		fresh.Gossip.mu.Lock()
 		fresh.due.sync = fresh.now().Add(time.Minute)
 		fresh.Gossip.mu.Unlock()
-		teller := w.nodes[3]
-		teller.Gossip.mu.Lock()
-		entry := fullEntry(teller.table.self.id, &teller.table.self.m)
-		teller.Gossip.mu.Unlock()
+		sender := w.nodes[3]
+		sender.Gossip.mu.Lock()
+		entry := fullEntry(sender.table.self.id, &sender.table.self.m)
+		sender.Gossip.mu.Unlock()
 		_, err := fresh.Handle(w.ctx, &Message{Kind: KindPing, From: entry.ID, FromSeq: entry.Seq, Entries: []Entry{entry}})
 		w.c.Assert(err, qt.IsNil)
 		time.Sleep(300 * time.Millisecond)
-		w.c.Check(fresh.sees(Alive), qt.Equals, 13)
+		w.c.Check(fresh.countState(Alive), qt.Equals, 13)
 	})
 }
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -25,30 +25,30 @@
 	doubts map[memberID]Entry
 	// wanted holds, by member, the time until which a requested description is awaited.
 	wanted map[memberID]time.Time
-	// peers are the neighbours; turn counts the probes sent to them.
-	peers []memberID
-	turn  int
-	// tellTurn selects the next neighbour to send rumors to.
-	tellTurn int
-	// telling counts, by peer, the running exchanges that send it rumors.
-	telling map[memberID]int
+	// peers are the neighbours; probeTurn counts the probes sent to them.
+	peers     []memberID
+	probeTurn int
+	// rumorTurn selects the next neighbour to send rumors to.
+	rumorTurn int
+	// sending counts, by peer, the running exchanges that send it rumors.
+	sending map[memberID]int
 	// pauses counts the detected pauses of this process. A probe during which a pause
 	// occurred proves nothing about its target.
 	pauses int
 	pull   pullState
 	packer packer
-	// ahead is a member that knows far more members than this process; the next sync goes
-	// to it.
-	ahead memberID
-	due   schedule
-	subs  []func()
+	// largerPeer is a member that knows far more members than this process; the next
+	// sync goes to it.
+	largerPeer memberID
+	due        schedule
+	subs       []func()
 
 	view     atomic.Pointer[view]
 	version  atomic.Uint64
 	stats    stats
 	inFlight atomic.Int32
-	// relaying counts the running probes on behalf of other members.
-	relaying atomic.Int32
+	// relayedProbes counts the running probes on behalf of other members.
+	relayedProbes atomic.Int32
 
 	wake    chan struct{}
 	ctx     context.Context
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gossip{cfg: cfg, rumors: newRumors(), doubts: map[memberID]Entry{}, wanted: map[memberID]time.Time{}, telling: map[memberID]int{}, wake: make(chan struct{}, 1)}
+	g := &Gossip{cfg: cfg, rumors: newRumors(), doubts: map[memberID]Entry{}, wanted: map[memberID]time.Time{}, sending: map[memberID]int{}, wake: make(chan struct{}, 1)}
 	g.table = newTable(&g.cfg)
 	g.ctx, g.cancel = context.WithCancel(context.Background())
 	g.transport = cfg.Transport
@@ -183,18 +183,18 @@
 	if len(targets) == 0 {
 		return nil
 	}
-	heard := make(chan bool, len(targets))
+	confirmations := make(chan bool, len(targets))
 	for _, target := range targets {
 		go func() {
 			_, err := g.exchange(ctx, target, &Message{Entries: []Entry{entry}})
-			heard <- err == nil
+			confirmations <- err == nil
 		}()
 	}
-	told := false
+	confirmed := false
 	for range targets {
-		told = <-heard || told
+		confirmed = <-confirmations || confirmed
 	}
-	if !told {
+	if !confirmed {
 		return &UnheardError{Asked: len(targets)}
 	}
 	return nil
--- a/membership/hostile_test.go
+++ b/membership/hostile_test.go
@@ -8,24 +8,24 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// silent is a transport that reaches no peer.
-type silent struct{}
+// unreachableTransport is a transport that reaches no peer.
+type unreachableTransport struct{}
 
-func (silent) Exchange(context.Context, string, *Message) (*Message, error) {
+func (unreachableTransport) Exchange(context.Context, string, *Message) (*Message, error) {
 	return nil, &ClosedError{}
 }
-func (silent) Close() error { return nil }
+func (unreachableTransport) Close() error { return nil }
 
 var (
 	ownID  = rawID("own-process-0001")
 	peerID = rawID("known-peer-00001")
 )
 
-// quiet returns a Gossip that has not been started and knows one peer.
-func quiet(c *qt.C) *Gossip {
+// newIdleGossip returns a Gossip that has not been started and knows one peer.
+func newIdleGossip(c *qt.C) *Gossip {
 	g, err := New(Config{
 		Self:      Member{ID: ownID.hex(), Service: "filing", Addr: "10.0.0.1:7000", GossipAddr: "10.0.0.1:7946", Zone: "a", Region: "hu"},
-		Transport: silent{}, MaxMembers: 8,
+		Transport: unreachableTransport{}, MaxMembers: 8,
 	})
 	c.Assert(err, qt.IsNil)
 	_, err = g.Handle(c.Context(), &Message{From: string(peerID[:]), Entries: []Entry{peerEntry()}})
@@ -42,7 +42,7 @@
 // would route callers to the wrong VM, or hide a running member for good.
 func TestFalseClaims(t *testing.T) {
 	c := qt.New(t)
-	g := quiet(c)
+	g := newIdleGossip(c)
 	claim := func(change func(*Entry)) Member {
 		e := peerEntry()
 		change(&e)
@@ -78,15 +78,15 @@
 // the member's own Seq.
 func TestForgedSeqIsForgotten(t *testing.T) {
 	c := qt.New(t)
-	g := quiet(c)
+	g := newIdleGossip(c)
 	e := peerEntry()
 	e.ID, e.GossipAddr, e.Seq = "forged-peer-0001", "10.0.0.3:7946", maxSeq
 	g.table.apply(&e, time.Now())
-	g.table.unforge(rawID(e.ID), 6)
+	g.table.forgetCorruptSeq(rawID(e.ID), 6)
 	e.Seq = 6
 	v, err := g.table.apply(&e, time.Now())
 	c.Assert(err, qt.IsNil)
-	c.Assert(v, qt.Equals, claimTaken)
+	c.Assert(v, qt.Equals, claimApplied)
 }
 
 // FuzzHandle sends a Gossip that knows one peer three messages with arbitrary claims.
@@ -98,7 +98,7 @@
 	f.Add(uint8(1), "another-sender-1", "a-newcomer-00001", uint8(0), uint64(1), uint64(0), "filing", "10.0.0.1:7946", uint32(1<<30), []byte(nil), uint64(0))
 	f.Fuzz(func(t *testing.T, kind uint8, from, id string, state uint8, seq, epoch uint64, service, addr string, slots uint32, buckets []byte, version uint64) {
 		c := qt.New(t)
-		g := quiet(c)
+		g := newIdleGossip(c)
 		own := g.Self()
 		for _, s := range []State{State(state), Suspect, State(state)} {
 			e := Entry{ID: id, State: s, Seq: seq, Revision: min(seq, 1+uint64(slots%2)), Epoch: epoch, Service: service, Addr: addr, GossipAddr: addr, Zone: "a", Region: "hu", Slots: slots, Inherits: []string{id}}
@@ -129,12 +129,12 @@
 		}
 		alive++
 		digest[bucketOf(id)] ^= uint32(position(id, row.m.Seq))
-		if t.holder[row.m.GossipAddr] != id {
+		if t.holderByAddr[row.m.GossipAddr] != id {
 			return "holder of " + row.m.GossipAddr
 		}
 	}
 	switch {
-	case len(t.holder) != alive || t.alive != alive:
+	case len(t.holderByAddr) != alive || t.alive != alive:
 		return "count of living members"
 	case t.digest != digest:
 		return "digest"
--- a/membership/join.go
+++ b/membership/join.go
@@ -14,23 +14,23 @@
 // of them, a mass restart would cost a seed megabytes. A member that is joining itself
 // has few entries to send; after a fruitless exchange the next one goes to the member
 // that knew most.
-func (g *Gossip) joinThrough(best target, reply *Message) {
-	most, learned, fruitless := reply.Size, 0, 0
+func (g *Gossip) joinThrough(largestPeer target, reply *Message) {
+	largestSize, learned, fruitless := reply.Size, 0, 0
 	for range joinRounds {
-		if g.Stats().Alive >= int(most) || fruitless == maxFruitless {
+		if g.Stats().Alive >= int(largestSize) || fruitless == maxFruitless {
 			return
 		}
-		peer := best
+		peer := largestPeer
 		if fruitless == 0 {
-			peer = g.anyMember(best)
+			peer = g.anyMember(largestPeer)
 		}
 		fruitless++
 		reply, err := g.syncBothWays(peer)
 		if err != nil {
 			continue
 		}
-		if reply.Size >= most {
-			most, best = reply.Size, peer
+		if reply.Size >= largestSize {
+			largestSize, largestPeer = reply.Size, peer
 		}
 		if alive := g.Stats().Alive; alive > learned {
 			learned, fruitless = alive, 0
@@ -38,17 +38,17 @@
 	}
 }
 
-// lags reports whether a peer knows many more members than this process.
-func (g *Gossip) lags(peerSize uint32) bool {
+// knowsFewer reports whether this process knows far fewer members than a peer.
+func (g *Gossip) knowsFewer(peerSize uint32) bool {
 	return g.Stats().Alive+maxDescribed < int(peerSize)
 }
 
 // anyMember returns a random member that is not gone, or the given one if there is none.
-func (g *Gossip) anyMember(or target) target {
+func (g *Gossip) anyMember(fallback target) target {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, picked := range g.addrs(sample(g.cfg.Rand, g.table.living(), 1)) {
 		return picked
 	}
-	return or
+	return fallback
 }
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -29,23 +29,23 @@
 	// frequent because processes that started together may agree on the same incomplete
 	// list of members.
 	syncWait time.Duration
-	// lacking is the time at which requested descriptions are given up.
-	lacking time.Time
-	// storm is set from the time when there are many rumors until the sync that follows
+	// descriptionDeadline is the time at which requested descriptions are given up.
+	descriptionDeadline time.Time
+	// burst is set from the time when there are many rumors until the sync that follows
 	// them.
-	storm bool
-	// introduce is the time from which this process may announce itself again after a
+	burst bool
+	// announceAgain is the time from which this process may announce itself again after a
 	// peer replied that it doesn't know this process: a peer whose table is full never
 	// adds it.
-	introduce time.Time
+	announceAgain time.Time
 	// seedAsked is the time of the last call of Config.Seeds; see seedWait.
 	seedAsked   time.Time
 	seedJitter  float64
 	seedBackoff time.Duration
-	// seedsKnown counts the latest consecutive calls after which every seed was known.
+	// fruitlessAsks counts the latest consecutive calls after which every seed was known.
 	// seedDeaths is the number of deaths recorded in this table at the last call.
-	seedsKnown int
-	seedDeaths uint64
+	fruitlessAsks int
+	seedDeaths    uint64
 }
 
 // loop runs the periodic tasks. Each exchange runs in its own goroutine, so a slow peer
@@ -60,7 +60,7 @@
 
 		syncWait: min(g.cfg.Interval, g.cfg.SyncInterval),
 	}
-	g.turn = g.cfg.Rand.IntN(g.cfg.Neighbors)
+	g.probeTurn = g.cfg.Rand.IntN(g.cfg.Neighbors)
 	g.rumors.add(g.table.self.id, false)
 	g.mu.Unlock()
 	timer := time.NewTimer(minWait)
@@ -74,7 +74,7 @@
 		case <-timer.C:
 		}
 		now = g.cfg.Clock()
-		g.noticePause(now, next)
+		g.handlePause(now, next)
 		g.step(now)
 		next = g.nextDue()
 		timer.Reset(max(minWait, next.Sub(now)))
@@ -86,18 +86,18 @@
 	return time.Duration(g.cfg.Rand.Int64N(int64(d)) + 1)
 }
 
-// spread returns d plus or minus up to a tenth, so that members don't synchronize.
-func (g *Gossip) spread(d time.Duration) time.Duration {
+// withJitter returns d plus or minus up to a tenth, so that members don't synchronize.
+func (g *Gossip) withJitter(d time.Duration) time.Duration {
 	return d - d/10 + g.jitter(d/5+1)
 }
 
-// noticePause handles a loop that ran late. A delay of half the probe timeout means that
+// handlePause detects a loop that ran late. A delay of half the probe timeout means that
 // this process is too slow to judge others; a delay of more than an interval means that
 // it was stopped. During the delay answers of suspects could not be received and probes
 // could not be answered, so judging by the clock would declare healthy members dead. The
 // others may also have declared this process dead, which it learns by syncing with some
 // of them.
-func (g *Gossip) noticePause(now, expected time.Time) {
+func (g *Gossip) handlePause(now, expected time.Time) {
 	late := now.Sub(expected)
 	if late < g.cfg.ProbeTimeout/2 {
 		return
@@ -139,41 +139,41 @@
 		g.expire(now)
 	}
 	if !now.Before(g.due.probe) {
-		g.due.probe = now.Add(g.spread(g.cfg.Interval))
+		g.due.probe = now.Add(g.withJitter(g.cfg.Interval))
 		add(g.probeNext())
 	}
 	if len(g.doubts) > 0 && !now.Before(g.due.doubt) {
-		g.due.doubt = now.Add(max(doubtStep, g.table.patience.usual))
+		g.due.doubt = now.Add(max(doubtStep, g.table.timeouts.mean))
 		add(g.probeDoubted())
 	}
-	if len(g.wanted) > 0 && !now.Before(g.due.lacking) {
+	if len(g.wanted) > 0 && !now.Before(g.due.descriptionDeadline) {
 		// The queried peers didn't answer, and the other peers may have stopped sending
 		// the rumor. A sync fetches the descriptions instead.
 		clear(g.wanted)
 		g.due.sync = now
 	}
-	if g.due.storm && !g.rumors.pending() {
+	if g.due.burst && !g.rumors.pending() {
 		// A claim sent without its description may have reached a peer whose request for
 		// the description was never answered.
-		g.due.storm = false
+		g.due.burst = false
 		g.due.sync = now.Add(g.jitter(g.cfg.Interval))
 	}
 	if !now.Before(g.due.sync) {
 		g.due.syncWait = min(2*g.due.syncWait, g.cfg.SyncInterval)
-		g.due.sync = now.Add(g.spread(g.due.syncWait))
+		g.due.sync = now.Add(g.withJitter(g.due.syncWait))
 		add(g.syncNext())
 	}
 	if !now.Before(g.due.heal) {
-		g.due.heal = now.Add(g.spread(g.cfg.HealInterval))
+		g.due.heal = now.Add(g.withJitter(g.cfg.HealInterval))
 		add(g.heal())
 	}
 	if !now.Before(g.seedDue()) && g.cfg.Seeds != nil {
-		add(g.askSeeds(now))
+		add(g.prepareSeedJoin(now))
 	}
 	if g.rumors.pending() && !now.Before(g.due.rumor) {
-		g.due.rumor = now.Add(max(g.cfg.RumorInterval, g.table.patience.usual))
-		g.due.storm = g.due.storm || len(g.rumors.byID) > maxDescribed
-		work = append(work, g.tellRumors()...)
+		g.due.rumor = now.Add(max(g.cfg.RumorInterval, g.table.timeouts.mean))
+		g.due.burst = g.due.burst || len(g.rumors.byID) > maxDescribed
+		work = append(work, g.rumorRound()...)
 	}
 	return work
 }
@@ -207,7 +207,7 @@
 	sooner(g.due.expire, true)
 	sooner(g.seedDue(), g.cfg.Seeds != nil)
 	sooner(g.due.doubt, len(g.doubts) > 0)
-	sooner(g.due.lacking, len(g.wanted) > 0)
+	sooner(g.due.descriptionDeadline, len(g.wanted) > 0)
 	sooner(g.due.rumor, g.rumors.pending())
 	return next
 }
@@ -226,22 +226,22 @@
 	})
 }
 
-// tellRumors prepares one round of rumors: the same entries for the next Fanout
+// rumorRound prepares one round of rumors: the same entries for the next Fanout
 // neighbours. Going through the neighbours in turn makes a rumor that is sent often
 // enough reach each of them, whereas a random choice would select some twice. A neighbour
 // that has not answered the last round is skipped: sending at a fixed rate to members
 // that answer late prolongs an overload.
-func (g *Gossip) tellRumors() []func() {
+func (g *Gossip) rumorRound() []func() {
 	g.refreshPeers()
-	listening := g.rumorPeers()
-	if len(listening) == 0 {
+	alive := g.rumorPeers()
+	if len(alive) == 0 {
 		return nil
 	}
 	var next []memberID
-	for range listening {
-		id := listening[g.tellTurn%len(listening)]
-		g.tellTurn++
-		if g.telling[id] == 0 {
+	for range alive {
+		id := alive[g.rumorTurn%len(alive)]
+		g.rumorTurn++
+		if g.sending[id] == 0 {
 			next = append(next, id)
 		}
 		if len(next) == g.cfg.Fanout {
@@ -252,7 +252,7 @@
 	entries := g.rumors.pick(g.table, g.cfg.RumorBytes)
 	work := make([]func(), 0, len(peers))
 	for _, peer := range peers {
-		work = append(work, func() { g.tell(peer, KindPing, entries) })
+		work = append(work, func() { g.sendClaims(peer, KindPing, entries) })
 	}
 	return work
 }
@@ -268,35 +268,35 @@
 	return peers
 }
 
-// tell sends claims to one peer.
-func (g *Gossip) tell(peer target, kind Kind, entries []Entry) {
+// sendClaims sends claims to one peer.
+func (g *Gossip) sendClaims(peer target, kind Kind, entries []Entry) {
 	g.mu.Lock()
-	g.telling[peer.id]++
-	late := g.table.patience.late()
+	g.sending[peer.id]++
+	late := g.table.timeouts.lateLimit()
 	g.mu.Unlock()
 	ctx, cancel := context.WithTimeout(g.ctx, late)
 	defer cancel()
-	defer g.told(peer.id)
+	defer g.endSend(peer.id)
 	_, _ = g.exchange(ctx, peer, &Message{Kind: kind, Entries: entries})
 }
 
-// told records that an exchange started by tell has ended.
-func (g *Gossip) told(id memberID) {
+// endSend records that an exchange started by sendClaims has ended.
+func (g *Gossip) endSend(id memberID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.telling[id]--; g.telling[id] == 0 {
-		delete(g.telling, id)
+	if g.sending[id]--; g.sending[id] == 0 {
+		delete(g.sending, id)
 	}
 }
 
 // refreshPeers recomputes the neighbours after members came or went.
 func (g *Gossip) refreshPeers() {
-	if !g.table.moved {
+	if !g.table.membersChanged {
 		return
 	}
-	g.table.moved = false
+	g.table.membersChanged = false
 	g.peers = nearNeighbors(g.table.self.id, g.table.livingInZone(), g.table.living(), g.cfg.Neighbors)
 }
 
 // sendLimit returns the maximum number of times that this process sends one rumor.
-func (t *table) sendLimit() int { return rumorSends * int(t.magnitude()+0.999) }
+func (t *table) sendLimit() int { return rumorSends * int(t.log10Members()+0.999) }
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var measure = flag.Bool("measure", false, "measure all cluster sizes, not only the smallest")
+var measure = flag.Bool("measure", false, "run cluster tests at all sizes and with more trials, to measure")
 
 func measuredSizes() []int {
 	if *measure {
@@ -42,7 +42,7 @@
 				detected = append(detected, took)
 				time.Sleep(5 * time.Second)
 			}
-			w.within(0, func(n *testNode) bool { return len(n.Members()) == size-victims && n.sees(Alive) == size-victims })
+			w.within(0, func(n *testNode) bool { return len(n.Members()) == size-victims && n.countState(Alive) == size-victims })
 			slices.Sort(detected)
 			w.c.Logf("size %d: steady %d B/s a node in+out, %.3f dials/s; at 5%% loss %d B/s and %d suspicions raised in a minute; dead everywhere after %v (median), %v (max)",
 				size, steady, dials, lossy, raised, detected[victims/2], detected[victims-1])
--- a/membership/message.go
+++ b/membership/message.go
@@ -168,14 +168,15 @@
 			return &InvalidError{Field: "inherits", Value: id, Want: "16 bytes"}
 		}
 	}
-	if e.full() {
+	if e.hasDescription() {
 		return validIdentity(e.Service, e.Addr, e.GossipAddr, e.Zone, e.Region)
 	}
 	return nil
 }
 
-// full reports whether the entry contains the member's description, not only its state.
-func (e *Entry) full() bool { return e.GossipAddr != "" }
+// hasDescription reports whether the entry contains the member's description, not only
+// its state.
+func (e *Entry) hasDescription() bool { return e.GossipAddr != "" }
 
 func validIdentity(service, addr, gossipAddr, zone, region string) error {
 	names := [...]struct{ field, value string }{{"service", service}, {"zone", zone}, {"region", region}}
@@ -265,7 +266,7 @@
 // size estimates the encoded length in bytes.
 func (e *Entry) size() int {
 	n := entryOverhead + len(e.Inherits)*(len(memberID{})+1) + len(e.WorkTimes)*workTimeSize + len(e.Held)*heldSize
-	if e.full() {
+	if e.hasDescription() {
 		n += 20 + len(e.Service) + len(e.Addr) + len(e.GossipAddr) + len(e.Zone) + len(e.Region)
 	}
 	return n
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -43,7 +43,7 @@
 	mu      sync.Mutex
 	version uint64
 	data    []byte
-	heard   uint64
+	newest  uint64
 }
 
 func (d *testConfig) LocalVersion() uint64 {
@@ -73,13 +73,13 @@
 func (d *testConfig) NewestVersion() (uint64, time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(d.version, d.heard), 0
+	return max(d.version, d.newest), 0
 }
 
 func (d *testConfig) Hear(version uint64, _ time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heard = max(d.heard, version)
+	d.newest = max(d.newest, version)
 }
 
 var errLost = fmt.Errorf("lost")
@@ -252,7 +252,7 @@
 			w.c.Assert(n.Start(w.ctx), qt.IsNil)
 		}
 		time.Sleep(20 * time.Second)
-		w.within(0, func(n *testNode) bool { return n.sees(Alive) == size && n.sees(Dead) == 0 })
+		w.within(0, func(n *testNode) bool { return n.countState(Alive) == size && n.countState(Dead) == 0 })
 		body(w)
 	})
 }
--- a/membership/overload_test.go
+++ b/membership/overload_test.go
@@ -195,7 +195,7 @@
 			}
 			w.c.Assert(n.Start(w.ctx), qt.IsNil)
 		}
-		whole := func(n *testNode) bool { return n.sees(Alive) == size }
+		whole := func(n *testNode) bool { return n.countState(Alive) == size }
 		w.within(20*time.Second, whole)
 		time.Sleep(20 * time.Second)
 		p.setCost(10 * time.Millisecond)
@@ -219,7 +219,7 @@
 func TestLateAnswersKeepTheConnection(t *testing.T) {
 	cluster(t, 0, func(w *network) {
 		p := newProcessor(w.ctx, 20*time.Millisecond)
-		asker, peer := w.add(0, p.serve), w.add(1, p.serve)
+		client, peer := w.add(0, p.serve), w.add(1, p.serve)
 		s := newServer(peer.Gossip)
 		go s.serve()
 		ctx, cancel := context.WithTimeout(w.ctx, 330*time.Millisecond)
@@ -227,7 +227,7 @@
 		answered := make(chan bool, 5)
 		for range cap(answered) {
 			go func() {
-				_, err := asker.exchange(ctx, target{addr: peer.addr}, &Message{})
+				_, err := client.exchange(ctx, target{addr: peer.addr}, &Message{})
 				answered <- err == nil
 			}()
 		}
@@ -239,9 +239,9 @@
 		}
 		w.c.Assert(count > 0 && count < cap(answered), qt.IsTrue)
 		time.Sleep(time.Second)
-		_, err := asker.exchange(w.ctx, target{addr: peer.addr}, &Message{})
+		_, err := client.exchange(w.ctx, target{addr: peer.addr}, &Message{})
 		w.c.Assert(err, qt.IsNil)
-		w.c.Assert(asker.Stats().Dials, qt.Equals, uint64(1))
+		w.c.Assert(client.Stats().Dials, qt.Equals, uint64(1))
 		s.close()
 		peer.cancel()
 	})
--- a/membership/payload.go
+++ b/membership/payload.go
@@ -13,10 +13,10 @@
 	maxPullTimeout = 16 * time.Second
 	// pullRetry is the wait after a failed transfer.
 	pullRetry = 250 * time.Millisecond
-	// pullRefused is the wait before a version that the delegate rejected is fetched
+	// rejectedWait is the wait before a version that the delegate rejected is fetched
 	// again. Without it, each message of a peer that announces an unusable version would
 	// cost a transfer.
-	pullRefused = 10 * time.Second
+	rejectedWait = 10 * time.Second
 )
 
 // maxTransfers bounds the concurrent transfers to this process.
@@ -27,14 +27,14 @@
 // first takes long, since the first peer may have stopped responding.
 type pullState struct {
 	// running holds the start times of the transfers in progress, by peer.
-	running map[memberID]time.Time
-	next    time.Time
-	refused uint64
-	until   time.Time
-	// slow holds the timeout of the next transfer from each peer whose last transfer
-	// timed out. It applies to version, and is cleared for a higher one.
-	slow    map[memberID]time.Duration
-	version uint64
+	running         map[memberID]time.Time
+	nextAttempt     time.Time
+	rejectedVersion uint64
+	rejectedUntil   time.Time
+	// extendedTimeouts holds the timeout of the next transfer from each peer whose last
+	// transfer timed out. It applies to version, and is cleared for a higher one.
+	extendedTimeouts map[memberID]time.Duration
+	version          uint64
 }
 
 // busy reports whether a transfer from the given member must not start now.
@@ -47,7 +47,7 @@
 			return true
 		}
 	}
-	return now.Before(p.next)
+	return now.Before(p.nextAttempt)
 }
 
 func (p *pullState) begin(from memberID, now time.Time) {
@@ -62,19 +62,19 @@
 // must not wait long for a member that has stopped responding.
 func (p *pullState) timeoutFor(from memberID, version uint64) time.Duration {
 	if version > p.version {
-		p.version, p.slow = version, nil
+		p.version, p.extendedTimeouts = version, nil
 	}
-	return max(p.slow[from], pullTimeout)
+	return max(p.extendedTimeouts[from], pullTimeout)
 }
 
-// cutOff doubles the timeout of the next transfer from a member, after one that timed
-// out. With a fixed timeout, a payload that takes longer would be cut off and restarted
-// for ever, and this member would never get the version.
-func (p *pullState) cutOff(from memberID, after time.Duration) {
-	if p.slow == nil {
-		p.slow = make(map[memberID]time.Duration)
+// extendTimeout doubles the timeout of the next transfer from a member, after one that
+// timed out. With a fixed timeout, a payload that takes longer would be cut off and
+// restarted for ever, and this member would never get the version.
+func (p *pullState) extendTimeout(from memberID, after time.Duration) {
+	if p.extendedTimeouts == nil {
+		p.extendedTimeouts = make(map[memberID]time.Duration)
 	}
-	p.slow[from] = min(2*after, maxPullTimeout)
+	p.extendedTimeouts[from] = min(2*after, maxPullTimeout)
 }
 
 // answerPull adds the configuration to the reply if the peer has an older version.
@@ -106,7 +106,7 @@
 	defer g.mu.Unlock()
 	row := g.table.rows[from]
 	p := &g.pull
-	if row == nil || p.busy(from, now) || (version == p.refused && now.Before(p.until)) {
+	if row == nil || p.busy(from, now) || (version == p.rejectedVersion && now.Before(p.rejectedUntil)) {
 		return
 	}
 	p.begin(from, now)
@@ -129,21 +129,21 @@
 	if offered {
 		g.cfg.Delegate.Offer(peer.id.hex(), reply.Version, data)
 	}
-	taken := g.cfg.Delegate.LocalVersion() > before
+	accepted := g.cfg.Delegate.LocalVersion() > before
 	now := g.cfg.Clock()
 	g.mu.Lock()
 	delete(g.pull.running, peer.id)
 	switch {
-	case taken:
+	case accepted:
 		g.rumors.addVersion()
 	case offered:
-		g.pull.refused = reply.Version
-		g.pull.until = now.Add(pullRefused)
+		g.pull.rejectedVersion = reply.Version
+		g.pull.rejectedUntil = now.Add(rejectedWait)
 	default:
-		g.pull.next = now.Add(pullRetry)
+		g.pull.nextAttempt = now.Add(pullRetry)
 	}
-	if errors.Is(ctx.Err(), context.DeadlineExceeded) && !taken {
-		g.pull.cutOff(peer.id, timeout)
+	if errors.Is(ctx.Err(), context.DeadlineExceeded) && !accepted {
+		g.pull.extendTimeout(peer.id, timeout)
 	}
 	g.mu.Unlock()
 	g.wakeLoop()
--- a/membership/payload_test.go
+++ b/membership/payload_test.go
@@ -22,8 +22,8 @@
 	rate      int
 	listeners map[string]*narrowListener
 	// carried counts the bytes of all connections.
-	mu      sync.Mutex
-	carried int
+	mu           sync.Mutex
+	bytesCarried int
 }
 
 type narrowListener struct {
@@ -140,7 +140,7 @@
 		p.queue = p.queue[1:]
 	}
 	p.link.mu.Lock()
-	p.link.carried += n
+	p.link.bytesCarried += n
 	p.link.mu.Unlock()
 	return n, 0, nil
 }
@@ -249,7 +249,7 @@
 				_, got := lacks.Payload()
 				c.Check(bytes.Equal(got, tc.data), qt.IsTrue, qt.Commentf("%d of %d bytes", len(got), len(tc.data)))
 				link.mu.Lock()
-				c.Check(link.carried < tc.carried, qt.IsTrue, qt.Commentf("%d bytes on the link", link.carried))
+				c.Check(link.bytesCarried < tc.carried, qt.IsTrue, qt.Commentf("%d bytes on the link", link.bytesCarried))
 				link.mu.Unlock()
 				for _, g := range []*Gossip{first, second} {
 					c.Check(g.Close(), qt.IsNil)
@@ -263,7 +263,7 @@
 // A member of an earlier build requests the configuration, and doesn't support compressed
 // data. If it got compressed data, it would reject the version and receive it late or
 // never.
-func TestPayloadIsPackedOnlyForWhoCanUnpack(t *testing.T) {
+func TestPayloadIsPackedOnlyForPeersThatUnpack(t *testing.T) {
 	c := qt.New(t)
 	link := &narrowLink{rate: 1 << 30, listeners: map[string]*narrowListener{}}
 	config := &testConfig{}
@@ -311,7 +311,7 @@
 
 // Write implements net.Conn.
 func (s *slowReader) Write(p []byte) (int, error) {
-	time.Sleep(s.perPart * time.Duration(len(p)) / writePart)
+	time.Sleep(s.perPart * time.Duration(len(p)) / writeChunkBytes)
 	if time.Now().After(s.deadline) {
 		return 0, os.ErrDeadlineExceeded
 	}
@@ -321,17 +321,17 @@
 // A long payload is sent slowly, but each part within the write timeout: the transfer
 // must not be aborted. A peer that reads nothing for the write timeout must still be
 // detected.
-func TestWritesEndForWantOfProgressOnly(t *testing.T) {
+func TestWritesTimeOutOnlyWithoutProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		cfg := &Config{ProbeTimeout: 500 * time.Millisecond}
 		write := func(perPart time.Duration) (int, error) {
 			conn := newLimitedConn(&slowReader{perPart: perPart}, cfg, &stats{}, 1)
-			return conn.Write(make([]byte, 100*writePart))
+			return conn.Write(make([]byte, 100*writeChunkBytes))
 		}
 		n, err := write(100 * time.Millisecond)
 		c.Check(err, qt.IsNil)
-		c.Check(n, qt.Equals, 100*writePart)
+		c.Check(n, qt.Equals, 100*writeChunkBytes)
 		_, err = write(600 * time.Millisecond)
 		c.Check(err, qt.ErrorIs, os.ErrDeadlineExceeded)
 	})
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// relays is the number of members that are requested to probe a member that did not
+// relayCount is the number of members that are requested to probe a member that did not
 // answer.
-const relays = 3
+const relayCount = 3
 
-// maxRelaying bounds the concurrent probes on behalf of other members. For the duration
-// of a probe, each one occupies one of the requests that its sender may have in progress
-// here.
-const maxRelaying = 16
+// maxRelayedProbes bounds the concurrent probes on behalf of other members. For the
+// duration of a probe, each one occupies one of the requests that its sender may have in
+// progress here.
+const maxRelayedProbes = 16
 
-// probeLegs * patience.wait is the maximum duration of a probe: the direct probe, the
-// wait for a late answer, and the relayed probes. A probe that took much longer spans a
-// pause of this process.
+// probeLegs is the maximum duration of a probe in multiples of the current timeout: the
+// direct probe, the wait for a late answer, and the relayed probes. A probe that took
+// much longer spans a pause of this process.
 const probeLegs = 2 + relayLegs
 
 // relayLegs is the part of probeLegs for the relayed probes.
@@ -31,8 +31,8 @@
 	if len(g.peers) == 0 {
 		return nil
 	}
-	id := g.peers[g.turn%len(g.peers)]
-	g.turn++
+	id := g.peers[g.probeTurn%len(g.peers)]
+	g.probeTurn++
 	return g.probeOf(id, Entry{})
 }
 
@@ -73,7 +73,7 @@
 // between two members doesn't make either of them suspect.
 func (g *Gossip) probe(peer target, claims []Entry, pauses int) {
 	g.stats.probes.Add(1)
-	wait, begin := g.patience().wait, g.cfg.Clock()
+	wait, begin := g.timeouts().wait, g.cfg.Clock()
 	latest := begin.Add(probeLegs*wait + g.cfg.Interval)
 	reply, err := g.ping(g.ctx, wait, peer, claims)
 	if err == nil {
@@ -83,12 +83,12 @@
 		return
 	}
 	g.stats.probesFailed.Add(1)
-	if g.ctx.Err() != nil || peer.state.gone() || g.reached(peer, wait, claims) {
+	if g.ctx.Err() != nil || peer.state.gone() || g.probeIndirectly(peer, wait, claims) {
 		return
 	}
 	claimedDead := len(claims) > 0 && claims[0].State == Dead
 	if now := g.cfg.Clock(); now.Before(latest) {
-		g.onSilent(peer, claimedDead, pauses, begin, now)
+		g.onUnreachable(peer, claimedDead, pauses, begin, now)
 	}
 }
 
@@ -98,13 +98,14 @@
 	g.mu.Lock()
 	m.Entries = append(m.Entries, g.rumors.pick(g.table, g.cfg.RumorBytes/4)...)
 	g.mu.Unlock()
-	return g.ask(ctx, wait, peer, m)
+	return g.exchangeWithin(ctx, wait, peer, m)
 }
 
-// reached requests some neighbours to probe peer, and probes it directly once more: a
-// single lost message must not cause a suspicion, which would be sent to all members.
-func (g *Gossip) reached(peer target, wait time.Duration, claims []Entry) bool {
-	if wait > g.cfg.ProbeTimeout && g.heardWithin(wait, peer) {
+// probeIndirectly requests some neighbours to probe peer, and probes it directly once
+// more: a single lost message must not cause a suspicion, which would be sent to all
+// members. It reports whether peer answered.
+func (g *Gossip) probeIndirectly(peer target, wait time.Duration, claims []Entry) bool {
+	if wait > g.cfg.ProbeTimeout && g.answeredLate(wait, peer) {
 		// If answers are late because of an overload, further requests delay them more.
 		return true
 	}
@@ -112,28 +113,28 @@
 	defer cancel()
 	g.mu.Lock()
 	candidates := g.rumorPeers()
-	if len(candidates) <= relays {
+	if len(candidates) <= relayCount {
 		candidates = g.table.living()
 	}
-	helpers := g.addrs(sample(g.cfg.Rand, candidates, relays+1))
+	helpers := g.addrs(sample(g.cfg.Rand, candidates, relayCount+1))
 	g.mu.Unlock()
-	answers := make(chan bool, relays+1)
-	asked := 1
+	answers := make(chan bool, relayCount+1)
+	requests := 1
 	go func() {
 		reply, err := g.ping(ctx, wait, peer, claims)
 		answers <- err == nil && rawID(reply.From) == peer.id
 	}()
 	for _, helper := range helpers {
-		if helper.id == peer.id || asked > relays {
+		if helper.id == peer.id || requests > relayCount {
 			continue
 		}
-		asked++
+		requests++
 		go func() {
-			reply, err := g.ask(ctx, relayLegs*wait, helper, &Message{Kind: KindRelay, Target: string(peer.id[:])})
+			reply, err := g.exchangeWithin(ctx, relayLegs*wait, helper, &Message{Kind: KindRelay, Target: string(peer.id[:])})
 			answers <- err == nil && reply.Reached
 		}()
 	}
-	for range asked {
+	for range requests {
 		if <-answers {
 			return true
 		}
@@ -141,8 +142,8 @@
 	return false
 }
 
-// heardWithin waits for a late answer of peer, and reports whether one arrived.
-func (g *Gossip) heardWithin(wait time.Duration, peer target) bool {
+// answeredLate waits for a late answer of peer, and reports whether one arrived.
+func (g *Gossip) answeredLate(wait time.Duration, peer target) bool {
 	ctx, cancel := context.WithTimeout(g.ctx, wait)
 	defer cancel()
 	begin := g.cfg.Clock()
@@ -150,15 +151,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	row := g.table.rows[peer.id]
-	return row != nil && row.heard.After(begin)
+	return row != nil && row.lastAnswer.After(begin)
 }
 
 // relay pings a member on behalf of a peer. The address comes from this process's own
 // table, never from the message, so that a peer can't make this process dial an arbitrary
-// address.
+// address. It reports whether the member answered.
 func (g *Gossip) relay(ctx context.Context, id memberID) bool {
-	defer g.relaying.Add(-1)
-	if g.relaying.Add(1) > maxRelaying {
+	defer g.relayedProbes.Add(-1)
+	if g.relayedProbes.Add(1) > maxRelayedProbes {
 		return false
 	}
 	g.mu.Lock()
@@ -168,15 +169,15 @@
 		return false
 	}
 	peer := target{id: id, addr: row.m.GossipAddr, seq: row.m.Seq, state: row.m.State}
-	wait := g.table.patience.wait
+	wait := g.table.timeouts.wait
 	g.mu.Unlock()
 	reply, err := g.ping(ctx, wait, peer, nil)
 	return err == nil && rawID(reply.From) == id
 }
 
-// onSilent marks an unreachable member as Suspect, or as Dead if another member had
+// onUnreachable marks an unreachable member as Suspect, or as Dead if another member had
 // already declared it dead.
-func (g *Gossip) onSilent(peer target, claimedDead bool, pauses int, begin, now time.Time) {
+func (g *Gossip) onUnreachable(peer target, claimedDead bool, pauses int, begin, now time.Time) {
 	g.mu.Lock()
 	if g.pauses == pauses && g.table.suspect(peer.id, peer.seq, begin, now) {
 		if claimedDead {
--- a/membership/rows.go
+++ b/membership/rows.go
@@ -10,23 +10,23 @@
 type record struct {
 	id memberID
 	m  Member
-	// shown is the copy of m in the published snapshot, nil after a change.
-	shown *Member
+	// published is the copy of m in the published snapshot, nil after a change.
+	published *Member
 	// deadline is the end of a suspicion, or the time at which a gone member is
 	// forgotten.
 	deadline time.Time
-	// heard is the time of the member's last answer to this process.
-	heard time.Time
+	// lastAnswer is the time of the member's last answer to this process.
+	lastAnswer time.Time
 }
 
 // setSeq changes the Seq of a row and updates the digest.
 func (t *table) setSeq(row *record, seq uint64) {
 	if !row.m.State.gone() {
-		t.hash(row.id, row.m.Seq)
-		t.hash(row.id, seq)
+		t.toggleDigest(row.id, row.m.Seq)
+		t.toggleDigest(row.id, seq)
 	}
 	row.m.Seq = seq
-	t.touch(row)
+	t.markChanged(row)
 }
 
 // setState changes the state of a row at the same Seq.
@@ -38,7 +38,7 @@
 		t.retire(row)
 	}
 	row.m.State = state
-	t.touch(row)
+	t.markChanged(row)
 	switch state {
 	case Suspect:
 		t.counts.suspicions++
@@ -59,23 +59,23 @@
 	}
 	t.rows[row.id] = row
 	t.alive++
-	t.hash(row.id, row.m.Seq)
-	if _, taken := t.holder[row.m.GossipAddr]; !taken {
-		t.holder[row.m.GossipAddr] = row.id
+	t.toggleDigest(row.id, row.m.Seq)
+	if _, occupied := t.holderByAddr[row.m.GossipAddr]; !occupied {
+		t.holderByAddr[row.m.GossipAddr] = row.id
 	}
-	t.touch(row)
-	t.moved = true
+	t.markChanged(row)
+	t.membersChanged = true
 }
 
 // retire removes a row from the count, the digest and the address index of the members
 // that are not gone.
 func (t *table) retire(row *record) {
 	t.alive--
-	t.hash(row.id, row.m.Seq)
-	if t.holder[row.m.GossipAddr] == row.id {
-		delete(t.holder, row.m.GossipAddr)
+	t.toggleDigest(row.id, row.m.Seq)
+	if t.holderByAddr[row.m.GossipAddr] == row.id {
+		delete(t.holderByAddr, row.m.GossipAddr)
 	}
-	t.moved = true
+	t.membersChanged = true
 }
 
 // forget removes a row from the table.
@@ -87,7 +87,7 @@
 	if i, ok := t.find(row.id); ok {
 		t.order = slices.Delete(t.order, i, i+1)
 	}
-	t.changed = true
+	t.snapshotStale = true
 }
 
 // find returns the index of a member in the order by ID, or the index at which it would
@@ -98,10 +98,10 @@
 	})
 }
 
-// touch invalidates the row's published copy, so that readers see the change.
-func (t *table) touch(row *record) {
-	row.shown = nil
-	t.changed = true
+// markChanged invalidates the row's published copy, so that readers see the change.
+func (t *table) markChanged(row *record) {
+	row.published = nil
+	t.snapshotStale = true
 }
 
 // evictGone frees a row by forgetting the gone member with the earliest deadline, and
@@ -120,10 +120,10 @@
 	return true
 }
 
-// hash adds a row to its bucket's digest, or removes it. The digest covers only the
-// members that are not gone, because tombstones expire at different times on different
-// members.
-func (t *table) hash(id memberID, seq uint64) {
+// toggleDigest adds a row to its bucket's digest, or removes it. The digest covers only
+// the members that are not gone, because tombstones expire at different times on
+// different members.
+func (t *table) toggleDigest(id memberID, seq uint64) {
 	x := position(id, seq)
 	t.digest[bucketOf(id)] ^= uint32(x)
 }
--- a/membership/rumors.go
+++ b/membership/rumors.go
@@ -98,9 +98,9 @@
 	return stateEntry(item.id, &row.m), true
 }
 
-// told counts entries that reached a peer. known has a bit for each entry that the peer
-// knew before, wanted for each one that must be sent again in full.
-func (r *rumors) told(entries []Entry, known, wanted []byte, sendLimit int) {
+// countDelivered counts entries that reached a peer. known has a bit for each entry that
+// the peer knew before, wanted for each one that must be sent again in full.
+func (r *rumors) countDelivered(entries []Entry, known, wanted []byte, sendLimit int) {
 	for i := range entries {
 		item := r.byID[rawID(entries[i].ID)]
 		if item == nil || bit(wanted, i) {
@@ -113,8 +113,9 @@
 	}
 }
 
-// toldVersion is the counterpart of told for the configuration version.
-func (r *rumors) toldVersion(known bool, sendLimit int) {
+// countVersionDelivered is the counterpart of countDelivered for the configuration
+// version.
+func (r *rumors) countVersionDelivered(known bool, sendLimit int) {
 	if r.version == nil {
 		return
 	}
--- a/membership/seeds.go
+++ b/membership/seeds.go
@@ -14,7 +14,8 @@
 	seedWaitPerMember = 540 * time.Millisecond
 	// seedJitter is the width of the random part of a wait, as a fraction of the wait.
 	seedJitter = 0.5
-	// maxSeedDoublings is the number of doublings from MinSeedWait to MaxSeedWait.
+	// maxSeedDoublings is the number of doublings that take the default MinSeedWait to
+	// the default MaxSeedWait.
 	maxSeedDoublings = 5
 )
 
@@ -30,14 +31,14 @@
 	case g.table.alive == 1:
 		wait = min(wait, g.due.seedBackoff)
 	case g.table.counts.deaths == g.due.seedDeaths:
-		wait <<= g.due.seedsKnown
+		wait <<= g.due.fruitlessAsks
 	}
 	wait = min(wait, g.cfg.MaxSeedWait)
 	return time.Duration(float64(wait) * g.due.seedJitter)
 }
 
 // seedDue returns the time of the next call of Config.Seeds. It is computed on demand,
-// because it moves forward when members are lost.
+// because it becomes earlier when members are lost.
 func (g *Gossip) seedDue() time.Time {
 	if g.due.seedAsked.IsZero() {
 		return time.Time{}
@@ -45,8 +46,8 @@
 	return g.due.seedAsked.Add(g.seedWait())
 }
 
-// askSeeds prepares a search for members through the seeds. The lock is held.
-func (g *Gossip) askSeeds(now time.Time) func() {
+// prepareSeedJoin prepares a search for members through the seeds. The lock is held.
+func (g *Gossip) prepareSeedJoin(now time.Time) func() {
 	g.due.seedAsked = now
 	g.due.seedJitter = 1 - seedJitter/2 + seedJitter*g.cfg.Rand.Float64()
 	g.due.seedBackoff = min(max(2*g.due.seedBackoff, g.cfg.SeedBackoff), g.cfg.MinSeedWait)
@@ -54,7 +55,7 @@
 		g.due.seedBackoff = 0
 	}
 	if g.table.counts.deaths != g.due.seedDeaths {
-		g.due.seedDeaths, g.due.seedsKnown = g.table.counts.deaths, 0
+		g.due.seedDeaths, g.due.fruitlessAsks = g.table.counts.deaths, 0
 	}
 	return g.joinSeeds
 }
@@ -67,7 +68,7 @@
 	seeds, err := g.cfg.Seeds(ctx)
 	if err != nil {
 		g.stats.seedErrors.Add(1)
-		g.noteSeeds(false)
+		g.countKnownSeeds(false)
 		return
 	}
 	unknown := g.unknownSeeds(seeds)
@@ -77,7 +78,7 @@
 			answered++
 		}
 	}
-	g.noteSeeds(answered == len(unknown))
+	g.countKnownSeeds(answered == len(unknown))
 	if len(unknown) == 0 {
 		return
 	}
@@ -85,13 +86,13 @@
 	g.syncSoon()
 }
 
-// noteSeeds counts the consecutive calls after which every seed was known.
-func (g *Gossip) noteSeeds(known bool) {
+// countKnownSeeds counts the consecutive calls after which every seed was known.
+func (g *Gossip) countKnownSeeds(known bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.due.seedsKnown = min(g.due.seedsKnown+1, maxSeedDoublings)
+	g.due.fruitlessAsks = min(g.due.fruitlessAsks+1, maxSeedDoublings)
 	if !known {
-		g.due.seedsKnown = 0
+		g.due.fruitlessAsks = 0
 	}
 }
 
@@ -102,7 +103,7 @@
 	defer g.mu.Unlock()
 	var unknown []string
 	for _, addr := range seeds {
-		if _, known := g.table.holder[addr]; !known && validAddr(addr) {
+		if _, known := g.table.holderByAddr[addr]; !known && validAddr(addr) {
 			unknown = append(unknown, addr)
 		}
 	}
--- a/membership/server.go
+++ b/membership/server.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// admit serves a connection, or closes it if there are too many.
+// admit serves a connection, or closes it if there are too many or the server is closed.
 func (s *server) admit(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +127,7 @@
 // ReadRequestHeader implements rpc.ServerCodec.
 func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
 	c.slots <- struct{}{}
-	c.conn.allow(c.cfg.MaxMessageBytes)
+	c.conn.grant(c.cfg.MaxMessageBytes)
 	if err := c.conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return err
 	}
--- a/membership/silentpeer_test.go
+++ b/membership/silentpeer_test.go
@@ -10,15 +10,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// answering is a transport on which no peer answers. It records the start and end times
-// of pulls.
-type answering struct {
+// silentTransport is a transport on which no peer answers. It records the start and end
+// times of pulls.
+type silentTransport struct {
 	mu    sync.Mutex
 	pulls []time.Time
 	ends  []time.Time
 }
 
-func (a *answering) Exchange(ctx context.Context, _ string, m *Message) (*Message, error) {
+func (a *silentTransport) Exchange(ctx context.Context, _ string, m *Message) (*Message, error) {
 	note := func(at *[]time.Time) {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -32,17 +32,17 @@
 	return nil, ctx.Err()
 }
 
-func (a *answering) Close() error { return nil }
+func (a *silentTransport) Close() error { return nil }
 
 // A peer announces a version but its answers don't arrive, because it is frozen or its
 // link is broken in one direction. This member gets the version from the platform
 // meanwhile. The extended timeout of transfers from that peer must not apply to the next
 // version, or this member would wait many seconds for a silent peer.
-func TestTimeOfATransferIsShortAgainOnceUpToDate(t *testing.T) {
+func TestTransferTimeoutResetsForANewVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		config := &testConfig{}
-		link := &answering{}
+		link := &silentTransport{}
 		g, err := New(Config{
 			Self:      Member{ID: NewID(), Service: "filing", Addr: "own:1", GossipAddr: "own:1", Zone: "a", Region: "hu-central"},
 			Transport: link, Delegate: config,
@@ -72,12 +72,12 @@
 }
 
 // A transfer from one peer hangs, with an extended timeout because the previous transfer
-// was cut off. Another peer announces the version too. It must be queried before that
+// timed out. Another peer announces the version too. It must be queried before that
 // timeout, which is longer than the time within which a version must be in force.
-func TestSilentPeerDoesNotHoldTheVersionBack(t *testing.T) {
+func TestSilentPeerDoesNotDelayAVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		link := &answering{}
+		link := &silentTransport{}
 		g, err := New(Config{
 			Self:      Member{ID: NewID(), Service: "filing", Addr: "own:1", GossipAddr: "own:1", Zone: "a", Region: "hu-central"},
 			Transport: link, Delegate: &testConfig{},
--- a/membership/stats.go
+++ b/membership/stats.go
@@ -59,7 +59,7 @@
 		Late:    s.late.Load(),
 		Refused: s.refused.Load(), Probes: s.probes.Load(), ProbesFailed: s.probesFailed.Load(),
 		Raised: s.raised.Load(), Suspicions: c.suspicions, Deaths: c.deaths, Refutations: c.refutations,
-		Conflicts: c.conflicts, FarAhead: c.farAhead, TableFull: c.full,
+		Conflicts: c.conflicts, FarAhead: c.farAhead, TableFull: c.tableFull,
 		Pulls: s.pulls.Load(), Pauses: s.pauses.Load(),
 		SeedAsks: s.seedAsks.Load(), SeedErrors: s.seedErrors.Load(), InboundRefused: s.inboundRefused.Load(),
 		Alive: v.states[Alive], Suspect: v.states[Suspect], Dead: v.states[Dead], Left: v.states[Left],
--- a/membership/storm_test.go
+++ b/membership/storm_test.go
@@ -7,13 +7,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// storm defines how many processes are replaced, and the time between the replacements.
-type storm struct {
-	name  string
-	count int
-	apart time.Duration
-	// gone is the downtime of each process.
-	gone time.Duration
+// replacement defines how many processes are replaced, and the time between the
+// replacements.
+type replacement struct {
+	name     string
+	count    int
+	interval time.Duration
+	// downtime is the time for which each process is stopped.
+	downtime time.Duration
 	// limit bounds the average traffic of a node over a minute, in bytes a second.
 	limit float64
 }
@@ -21,22 +22,22 @@
 // Processes are replaced at their addresses: all those of a day at once, a rack, or a few
 // one by one. The updates cost traffic on every node, and a restarted node can be used
 // only once all members know it.
-func TestStorms(t *testing.T) {
-	storms := []storm{{"48 at once", 48, 0, 500 * time.Millisecond, 3_200}}
+func TestMassReplacement(t *testing.T) {
+	replacements := []replacement{{"48 at once", 48, 0, 500 * time.Millisecond, 3_200}}
 	if *measure {
-		storms = append(storms,
-			storm{"48 at once, gone for 10 s", 48, 0, 10 * time.Second, 5_200},
-			storm{"a rack of 20 at once", 20, 0, 500 * time.Millisecond, 2_200},
-			storm{"one", 1, 0, 500 * time.Millisecond, 1_180},
-			storm{"6 rolling, 10 s apart", 6, 10 * time.Second, 500 * time.Millisecond, 1_800})
+		replacements = append(replacements,
+			replacement{"48 at once, gone for 10 s", 48, 0, 10 * time.Second, 5_200},
+			replacement{"a rack of 20 at once", 20, 0, 500 * time.Millisecond, 2_200},
+			replacement{"one", 1, 0, 500 * time.Millisecond, 1_180},
+			replacement{"6 rolling, 10 s apart", 6, 10 * time.Second, 500 * time.Millisecond, 1_800})
 	}
 	size := sizeOr(120)
-	for _, s := range storms {
+	for _, s := range replacements {
 		cluster(t, size, func(w *network) { s.run(w, size) })
 	}
 }
 
-func (s storm) run(w *network, size int) {
+func (s replacement) run(w *network, size int) {
 	steady, _ := w.traffic(size)
 	w.meter.reset()
 	start := time.Now()
@@ -44,20 +45,20 @@
 	for i := range s.count {
 		old[w.nodes[i].id()] = true
 		w.nodes[i].crash()
-		if s.apart > 0 {
-			time.Sleep(s.gone)
+		if s.interval > 0 {
+			time.Sleep(s.downtime)
 			w.start(i)
-			time.Sleep(s.apart - s.gone)
+			time.Sleep(s.interval - s.downtime)
 		}
 	}
-	if s.apart == 0 {
-		time.Sleep(s.gone)
+	if s.interval == 0 {
+		time.Sleep(s.downtime)
 		for i := range s.count {
 			w.start(i)
 		}
 	}
 	took := w.within(12*time.Second, func(n *testNode) bool {
-		return n.sees(Alive) == size && !old[n.Members()[0].ID] && !old[n.Members()[size-1].ID]
+		return n.countState(Alive) == size && !old[n.Members()[0].ID] && !old[n.Members()[size-1].ID]
 	})
 	span := time.Since(start)
 	w.c.Logf("%s: known everywhere after %v, %d bytes a node; requests and replies of ping, relay, sync, pull: %d",
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -7,8 +7,8 @@
 // syncNext prepares a sync with a random living member, or with a member that knows far
 // more members. The lock is held.
 func (g *Gossip) syncNext() func() {
-	picked := g.addrs([]memberID{g.ahead})
-	g.ahead = memberID{}
+	picked := g.addrs([]memberID{g.largerPeer})
+	g.largerPeer = memberID{}
 	if len(picked) == 0 {
 		picked = g.addrs(sample(g.cfg.Rand, g.syncPeers(), 1))
 	}
@@ -22,14 +22,14 @@
 	}
 }
 
-// syncAcross is the number of syncs for each one that may leave the availability zone.
-// The other members of the zone learn from each other what one of them learns from
-// outside.
-const syncAcross = 4
+// crossZoneSyncDivisor is the number of syncs for each one that may leave the
+// availability zone. The other members of the zone learn from each other what one of them
+// learns from outside.
+const crossZoneSyncDivisor = 4
 
 // syncPeers returns the candidates for a sync. The lock is held.
 func (g *Gossip) syncPeers() []memberID {
-	if near := g.table.livingInZone(); len(near) > 0 && g.cfg.Rand.IntN(syncAcross) > 0 {
+	if near := g.table.livingInZone(); len(near) > 0 && g.cfg.Rand.IntN(crossZoneSyncDivisor) > 0 {
 		return near
 	}
 	return g.table.living()
@@ -43,9 +43,9 @@
 func (g *Gossip) heal() func() {
 	var dead []memberID
 	for _, row := range g.table.order {
-		_, replaced := g.table.holder[row.m.GossipAddr]
-		tried := row.m.State == Dead || row.m.State == Left && g.cfg.TryLeft
-		if tried && !replaced {
+		_, replaced := g.table.holderByAddr[row.m.GossipAddr]
+		eligible := row.m.State == Dead || row.m.State == Left && g.cfg.TryLeft
+		if eligible && !replaced {
 			dead = append(dead, row.id)
 		}
 	}
@@ -67,10 +67,10 @@
 	if err != nil {
 		return false
 	}
-	if g.settled(reply) {
+	if g.tablesEqual(reply) {
 		return true
 	}
-	if g.lags(reply.Size) && !g.joining.Swap(true) {
+	if g.knowsFewer(reply.Size) && !g.joining.Swap(true) {
 		g.joinThrough(peer, reply)
 		g.joining.Store(false)
 	}
@@ -85,22 +85,22 @@
 		return nil, err
 	}
 	g.mu.Lock()
-	lacks := g.missingFrom(reply)
+	missing := g.rowsMissingAt(reply)
 	g.mu.Unlock()
-	if len(lacks) > 0 {
-		_, err = g.syncOnce(peer, lacks)
+	if len(missing) > 0 {
+		_, err = g.syncOnce(peer, missing)
 	}
 	return reply, err
 }
 
-// isNews reports whether the claims of a message should be forwarded as rumors.
+// shouldForward reports whether the claims of a message should be forwarded as rumors.
 //
 // A large sync must not be forwarded. A joining process treated each member it learned by
 // sync as news and sent it to its neighbours, which had known all of them for a long
 // time. 48 processes that joined at once cost every member of 560 more than a hundred
 // kilobytes, and the joining ones a megabyte each. Members that miss as much as a large
 // sync contains get it by their own syncs.
-func isNews(kind Kind, entries []Entry) bool {
+func shouldForward(kind Kind, entries []Entry) bool {
 	return kind != KindSync || len(entries) <= maxDescribed
 }
 
@@ -120,11 +120,11 @@
 		m.Buckets, m.Size = g.table.buckets(), uint32(g.table.alive)
 		g.mu.Unlock()
 	}
-	return g.ask(g.ctx, 2*g.patience().wait, peer, m)
+	return g.exchangeWithin(g.ctx, 2*g.timeouts().wait, peer, m)
 }
 
-// settled reports whether the tables are equal after the reply.
-func (g *Gossip) settled(reply *Message) bool {
+// tablesEqual reports whether the tables are equal after the reply.
+func (g *Gossip) tablesEqual(reply *Message) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_, differs := g.table.differing(reply.Buckets)
@@ -139,18 +139,18 @@
 	if !differs {
 		return
 	}
-	if g.table.alive+maxDescribed < int(request.Size) && g.ahead == (memberID{}) {
+	if g.table.alive+maxDescribed < int(request.Size) && g.largerPeer == (memberID{}) {
 		// Processes that join together learn each other first. The requesting peer knows
 		// more members, so this process syncs with it next.
-		g.ahead = rawID(request.From)
+		g.largerPeer = rawID(request.From)
 		g.due.sync = time.Time{}
 	}
-	reply.Entries = append(reply.Entries, g.rowsOf(set, 2*g.cfg.RumorBytes)...)
+	reply.Entries = append(reply.Entries, g.rowsInBuckets(set, 2*g.cfg.RumorBytes)...)
 }
 
-// rowsOf returns the claims of the given buckets, up to about room bytes. The lock is
-// held.
-func (g *Gossip) rowsOf(set [bucketCount]bool, room int) []Entry {
+// rowsInBuckets returns the claims of the given buckets, up to about bytesLeft bytes. The
+// lock is held.
+func (g *Gossip) rowsInBuckets(set [bucketCount]bool, bytesLeft int) []Entry {
 	var byBucket [bucketCount][]Entry
 	for id, row := range g.table.rows {
 		b := bucketOf(id)
@@ -168,9 +168,9 @@
 	for i := range bucketCount {
 		bucket := byBucket[(first+i)%bucketCount]
 		for j := range bucket {
-			room -= bucket[j].size()
+			bytesLeft -= bucket[j].size()
 		}
-		if (room < 0 && len(out) > 0) || len(out)+len(bucket) > maxEntries {
+		if (bytesLeft < 0 && len(out) > 0) || len(out)+len(bucket) > maxEntries {
 			break
 		}
 		out = append(out, bucket...)
@@ -178,39 +178,39 @@
 	return out
 }
 
-// missingFrom returns the rows that the replier lacks or has in an older version. It
+// rowsMissingAt returns the rows that the replier lacks or has in an older version. It
 // covers the buckets that the replier sent, and those that are empty at the replier. The
 // lock is held.
-func (g *Gossip) missingFrom(reply *Message) []Entry {
+func (g *Gossip) rowsMissingAt(reply *Message) []Entry {
 	set, differs := g.table.differing(reply.Buckets)
 	if !differs {
 		return nil
 	}
-	shown := make(map[string]*Entry, len(reply.Entries))
+	received := make(map[string]*Entry, len(reply.Entries))
 	var sent [bucketCount]bool
 	for i := range reply.Entries {
 		e := &reply.Entries[i]
-		shown[e.ID] = e
+		received[e.ID] = e
 		sent[bucketOf(rawID(e.ID))] = true
 	}
 	var empty [bucketCount * bucketBytes]byte
 	for b := range set {
-		unused := [bucketBytes]byte(reply.Buckets[b*bucketBytes:]) == [bucketBytes]byte(empty[:])
-		set[b] = set[b] && (sent[b] || unused)
+		emptyAtPeer := [bucketBytes]byte(reply.Buckets[b*bucketBytes:]) == [bucketBytes]byte(empty[:])
+		set[b] = set[b] && (sent[b] || emptyAtPeer)
 	}
 	var out []Entry
-	for _, e := range g.rowsOf(set, 2*g.cfg.RumorBytes) {
-		theirs := shown[e.ID]
+	for _, e := range g.rowsInBuckets(set, 2*g.cfg.RumorBytes) {
+		theirs := received[e.ID]
 		if theirs == nil || newer(e.Seq, e.State, theirs.Seq, theirs.State) {
 			out = append(out, e)
 		}
 	}
-	return briefly(out)
+	return shortenIfMany(out)
 }
 
-// briefly removes the descriptions if there are many entries; the peer requests the
+// shortenIfMany removes the descriptions if there are many entries; the peer requests the
 // descriptions that it lacks.
-func briefly(entries []Entry) []Entry {
+func shortenIfMany(entries []Entry) []Entry {
 	if len(entries) <= maxDescribed {
 		return entries
 	}
--- a/membership/table.go
+++ b/membership/table.go
@@ -9,27 +9,27 @@
 // table holds the accepted claims. It does no I/O, receives the time as an argument and
 // is not safe for concurrent use.
 type table struct {
-	cfg    *Config
-	self   *record
-	rows   map[memberID]*record
-	order  []*record           // rows by ID
-	holder map[string]memberID // members that are not gone, by gossip address
-	alive  int                 // number of rows that are not gone, including self
-	digest [bucketCount]uint32 // of rows that are not gone
-	// changed is set when the published snapshot is out of date, moved when the set of
-	// members that are not gone has changed.
-	changed, moved bool
-	// announced is set when the own row changed while claims were applied, described when
-	// the change included its description.
-	announced, described bool
-	counts               counters
-	// patience adapts timeouts to the members' answer times.
-	patience patience
+	cfg          *Config
+	self         *record
+	rows         map[memberID]*record
+	order        []*record           // rows by ID
+	holderByAddr map[string]memberID // members that are not gone, by gossip address
+	alive        int                 // number of rows that are not gone, including self
+	digest       [bucketCount]uint32 // of rows that are not gone
+	// snapshotStale is set when the published snapshot is out of date, membersChanged
+	// when the set of members that are not gone has changed.
+	snapshotStale, membersChanged bool
+	// selfChanged is set when the own row changed while claims were applied,
+	// selfDescriptionChanged when the change included its description.
+	selfChanged, selfDescriptionChanged bool
+	counts                              counters
+	// timeouts follows the members' answer times.
+	timeouts timeouts
 }
 
 // counters counts the events that only the table observes.
 type counters struct {
-	suspicions, deaths, refutations, conflicts, farAhead, full uint64
+	suspicions, deaths, refutations, conflicts, farAhead, tableFull uint64
 }
 
 func newTable(cfg *Config) *table {
@@ -38,7 +38,7 @@
 	m.State = Alive
 	m.Seq, m.Revision = 1, 1
 	m.Epoch = max(m.Epoch, uint64(max(cfg.Clock().UnixMilli(), 1)))
-	t := &table{cfg: cfg, rows: map[memberID]*record{}, holder: map[string]memberID{}, patience: newPatience(cfg.ProbeTimeout)}
+	t := &table{cfg: cfg, rows: map[memberID]*record{}, holderByAddr: map[string]memberID{}, timeouts: newTimeouts(cfg.ProbeTimeout)}
 	t.self = &record{id: id, m: m}
 	t.insert(t.self)
 	return t
@@ -53,33 +53,33 @@
 	self.ID, self.Service, self.Addr, self.GossipAddr = before.ID, before.Service, before.Addr, before.GossipAddr
 	self.Zone, self.Region, self.State = before.Zone, before.Region, before.State
 	self.Seq = before.Seq
-	t.announced, t.described = true, true
+	t.selfChanged, t.selfDescriptionChanged = true, true
 	self.Revision = before.Revision + 1
 	t.setSeq(t.self, before.Seq+1)
 }
 
-// describe applies an Alive claim, with or without a new description.
-func (t *table) describe(row *record, e *Entry) {
+// applyAlive applies an Alive claim, with or without a new description.
+func (t *table) applyAlive(row *record, e *Entry) {
 	if !row.m.State.gone() {
 		t.retire(row)
 	}
-	if e.full() {
+	if e.hasDescription() {
 		row.m = e.member()
 	}
 	row.m.Seq, row.m.State = e.Seq, Alive
 	t.insert(row)
 }
 
-// settleHolder decides between row and another incarnation at the same address.
+// resolveAddrHolder decides between row and another incarnation at the same address.
 //
 // A restarted process has the address of its predecessor, so probes of the old
 // incarnation are answered and nobody suspects it. The incarnation with the higher Epoch
 // holds the address, so all members drop the same one without further messages.
-func (t *table) settleHolder(row *record, now time.Time) {
+func (t *table) resolveAddrHolder(row *record, now time.Time) {
 	addr := row.m.GossipAddr
-	rivalID, taken := t.holder[addr]
-	if !taken || rivalID == row.id {
-		t.holder[addr] = row.id
+	rivalID, occupied := t.holderByAddr[addr]
+	if !occupied || rivalID == row.id {
+		t.holderByAddr[addr] = row.id
 		return
 	}
 	rival := t.rows[rivalID]
@@ -99,7 +99,7 @@
 	}
 	t.setState(loser, Dead, now)
 	if loser == rival {
-		t.holder[addr] = row.id
+		t.holderByAddr[addr] = row.id
 	}
 }
 
@@ -111,7 +111,7 @@
 	if row == nil || row == t.self || row.m.State != Alive || row.m.Seq != seq {
 		return false
 	}
-	if row.heard.After(since) {
+	if row.lastAnswer.After(since) {
 		return false
 	}
 	t.setState(row, Suspect, now)
@@ -163,8 +163,8 @@
 // suspicionTimeout returns the duration of a suspicion. It grows with the time that
 // updates take to spread, and with the members' answer times.
 func (t *table) suspicionTimeout() time.Duration {
-	calm := time.Duration(t.cfg.SuspicionMult * float64(t.cfg.Interval) * t.magnitude())
-	return t.patience.stretch(calm)
+	base := time.Duration(t.cfg.SuspicionMult * float64(t.cfg.Interval) * t.log10Members())
+	return t.timeouts.stretch(base)
 }
 
 // answered records an answer of a member. If the member is Suspect, its suspicion starts
@@ -175,7 +175,7 @@
 	if row == nil || row == t.self {
 		return false
 	}
-	row.heard = now
+	row.lastAnswer = now
 	if row.m.State != Suspect {
 		return false
 	}
@@ -183,9 +183,9 @@
 	return true
 }
 
-// magnitude returns log10 of the number of members, but at least 2, so that in a small
+// log10Members returns log10 of the number of members, but at least 2, so that in a small
 // fleet, too, a process that stops for two seconds is not declared dead.
-func (t *table) magnitude() float64 { return max(2, math.Log10(float64(t.alive))) }
+func (t *table) log10Members() float64 { return max(2, math.Log10(float64(t.alive))) }
 
 // leave marks the own row as Left. Other members must not set that state.
 func (t *table) leave(now time.Time) {
--- a/membership/transport.go
+++ b/membership/transport.go
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	reply, err := t.call(ctx, addr, client, m)
-	if err == nil || !pooled || ctx.Err() != nil || isAnswer(err) {
+	if err == nil || !pooled || ctx.Err() != nil || isRejection(err) {
 		return reply, err
 	}
 	if client, _, err = t.client(ctx, addr); err != nil {
@@ -89,9 +89,9 @@
 	return t.call(ctx, addr, client, m)
 }
 
-// isAnswer reports whether the peer itself rejected the call, or the call was not sent
+// isRejection reports whether the peer itself rejected the call, or the call was not sent
 // because the peer already has too many to answer.
-func isAnswer(err error) bool {
+func isRejection(err error) bool {
 	failure, ok := err.(*TransportError)
 	if !ok {
 		return false
@@ -114,8 +114,8 @@
 		return nil, &TransportError{Addr: addr, Stage: "call", Err: &BusyError{Pending: maxPending}}
 	}
 	reply := new(Message)
-	heard := c.conn.reads.Load()
-	c.conn.allow(t.cfg.maxReplyBytes())
+	readsBefore := c.conn.reads.Load()
+	c.conn.grant(t.cfg.maxReplyBytes())
 	call := c.client.Go(rpcMethod, m, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
@@ -129,7 +129,7 @@
 		return nil, &TransportError{Addr: addr, Stage: "call", Err: call.Error}
 	case <-ctx.Done():
 		// The rest of an abandoned payload would take bandwidth from the next transfer.
-		if m.Kind == KindPull || c.conn.reads.Load() == heard {
+		if m.Kind == KindPull || c.conn.reads.Load() == readsBefore {
 			t.drop(addr, c)
 		}
 		go func() {
@@ -233,32 +233,32 @@
 	// reads counts the reads that returned data.
 	reads atomic.Uint64
 
-	mu   sync.Mutex
-	left int
+	mu        sync.Mutex
+	remaining int
 }
 
 func newLimitedConn(conn net.Conn, cfg *Config, s *stats, limit int) *limitedConn {
-	return &limitedConn{Conn: conn, writeTimeout: cfg.ProbeTimeout, stats: s, left: limit, max: limit}
+	return &limitedConn{Conn: conn, writeTimeout: cfg.ProbeTimeout, stats: s, remaining: limit, max: limit}
 }
 
-// allow grants another n bytes to read; at most 2n bytes can be outstanding.
-func (c *limitedConn) allow(n int) {
+// grant allows another n bytes to be read, with at most 2n unread bytes allowed in total.
+func (c *limitedConn) grant(n int) {
 	c.mu.Lock()
-	c.left = min(c.left+n, 2*n)
+	c.remaining = min(c.remaining+n, 2*n)
 	c.mu.Unlock()
 }
 
 // Read implements net.Conn.
 func (c *limitedConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	left := c.left
+	left := c.remaining
 	c.mu.Unlock()
 	if left <= 0 {
 		return 0, &OversizeError{Limit: c.max}
 	}
 	n, err := c.Conn.Read(p[:min(len(p), left)])
 	c.mu.Lock()
-	c.left -= n
+	c.remaining -= n
 	c.mu.Unlock()
 	if n > 0 {
 		c.reads.Add(1)
@@ -267,8 +267,8 @@
 	return n, err
 }
 
-// writePart is the number of bytes that must be written within one write timeout.
-const writePart = 16 << 10
+// writeChunkBytes is the number of bytes that must be written within one write timeout.
+const writeChunkBytes = 16 << 10
 
 // Write implements net.Conn. Each part has its own write timeout, so a peer that stops
 // reading is detected as early as with a single timeout, and a long payload on a narrow
@@ -279,7 +279,7 @@
 		if err := c.Conn.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 			return written, err
 		}
-		n, err := c.Conn.Write(p[written:min(written+writePart, len(p))])
+		n, err := c.Conn.Write(p[written:min(written+writeChunkBytes, len(p))])
 		c.stats.bytesOut.Add(uint64(n))
 		written += n
 		if err != nil {
--- a/membership/view.go
+++ b/membership/view.go
@@ -28,7 +28,7 @@
 // unlockAndPublish publishes a new snapshot if the table changed, releases the lock and
 // then calls the subscribers.
 func (g *Gossip) unlockAndPublish() {
-	changed := g.table.changed
+	changed := g.table.snapshotStale
 	if changed {
 		g.publish()
 	}
@@ -46,14 +46,14 @@
 func (g *Gossip) publish() {
 	v := &view{all: make([]*Member, len(g.table.order))}
 	for i, row := range g.table.order {
-		if row.shown == nil {
+		if row.published == nil {
 			shown := row.m
-			row.shown = &shown
+			row.published = &shown
 		}
-		v.all[i] = row.shown
+		v.all[i] = row.published
 		v.states[row.m.State]++
 	}
-	g.table.changed = false
+	g.table.snapshotStale = false
 	g.view.Store(v)
 	g.version.Add(1)
 }
