--- a/membership/compare_test.go
+++ b/membership/compare_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// The protocols that were weighed against the one in use. Ages and heartbeat
-// counters spread alike: in each cycle every member exchanges what it knows
-// with one random other. They differ in what a message costs.
+// The types below model the protocols that were considered instead of the one in use.
+// Ages and heartbeat counters spread alike: in each cycle every member exchanges its
+// knowledge with one random other member. The protocols differ in the size of a message.
 
-// agePing is a whole age vector: one byte for each member of an ordered list,
-// the digest of the list and a Lamport clock. ageReply holds only what is
+// agePing contains a complete age vector: one byte for each member of an ordered list,
+// the digest of the list and a Lamport clock. ageReply contains only the ages that are
 // newer by more than the laziness factor.
 type agePing struct {
 	From  string
@@ -28,7 +28,7 @@
 	Ages    []byte
 }
 
-// heartbeats is a whole list, sent both ways.
+// heartbeats contains a complete list, sent in both directions.
 type heartbeats struct {
 	From string
 	List []heartbeat
@@ -44,9 +44,9 @@
 	ages  [][]int
 	lazy  int
 	loss  float64
-	dead  int // member that no longer takes part, or -1
+	dead  int // index of the stopped member, or -1
 	pings int
-	reply int // entries in all replies
+	reply int // number of entries in all replies
 }
 
 func newAgeSim(size int) *ageSim {
@@ -88,9 +88,9 @@
 	}
 }
 
-// oldest returns the highest age over some cycles, and how often a member
-// crossed threshold at another.
-func (s *ageSim) oldest(cycles, threshold int) (highest, crossings int) {
+// maxAge returns the highest age during some cycles, and how often a member's age
+// exceeded threshold at another member.
+func (s *ageSim) maxAge(cycles, threshold int) (highest, crossings int) {
 	for range cycles {
 		s.cycle()
 		for _, ages := range s.ages {
@@ -105,8 +105,9 @@
 	return highest, crossings
 }
 
-// detect stops member 0 and returns the cycles until all others hold it dead.
-func (s *ageSim) detect(threshold int) int {
+// cyclesToDetect stops member 0 and returns the number of cycles until all other members
+// consider it dead.
+func (s *ageSim) cyclesToDetect(threshold int) int {
 	s.dead = 0
 	for cycles := 0; ; cycles++ {
 		unaware := 0
@@ -122,7 +123,8 @@
 	}
 }
 
-// encoded is the length of the n-th message of a connection.
+// encoded returns the length of a message on a connection that has already carried one of
+// the same type.
 func encoded(header, body any) int {
 	var n counter
 	enc := gob.NewEncoder(&n)
@@ -134,25 +136,25 @@
 	return int(n) + int(n)/segmentPayload*segmentHeader
 }
 
-// TestCompare prints the figures of the protocols that lost, per node in+out
-// at one exchange a second, on connections that are never reopened.
+// TestCompare prints the figures of the rejected protocols: bytes per node in and out at
+// one exchange a second, on connections that are never reopened.
 func TestCompare(t *testing.T) {
 	request, response := &rpc.Request{ServiceMethod: rpcMethod, Seq: 1000}, &rpc.Response{ServiceMethod: rpcMethod, Seq: 1000}
 	for _, size := range measuredSizes() {
 		s := newAgeSim(size)
-		paper := int(math.Log2(float64(size)))
-		s.oldest(50, paper)
+		log2Size := int(math.Log2(float64(size)))
+		s.maxAge(50, log2Size)
 		s.pings, s.reply = 0, 0
-		calm, falseCalm := s.oldest(60, paper)
+		calm, falseCalm := s.maxAge(60, log2Size)
 		entries := s.reply / max(1, s.pings)
 		s.loss = 0.05
-		lossy, falseLossy := s.oldest(60, paper)
+		lossy, falseLossy := s.maxAge(60, log2Size)
 		s.loss = 0
-		s.oldest(30, paper)
-		atPaper := s.detect(paper)
+		s.maxAge(30, log2Size)
+		atPaper := s.cyclesToDetect(log2Size)
 		s.dead = -1
-		s.oldest(30, paper)
-		atLossy := s.detect(lossy)
+		s.maxAge(30, log2Size)
+		atLossy := s.cyclesToDetect(lossy)
 		id := string(make([]byte, 16))
 		reply := ageReply{Clock: 1000, Ages: make([]byte, entries)}
 		for i := range entries {
@@ -166,6 +168,6 @@
 		}
 		beats := encoded(request, &list) + encoded(response, &list) + exchangeSegments*segmentHeader
 		t.Logf("size %d: age vectors %d B/s (%d entries in a lazy reply), heartbeat lists %d B/s; oldest age %d calm, %d at 5%% loss; at the threshold of log2 N = %d: %d and %d false deaths in 60 cycles; dead everywhere after %d cycles at that threshold, after %d at the lowest one without false deaths at 5%% loss",
-			size, 2*ages, entries, 2*beats, calm, lossy, paper, falseCalm, falseLossy, atPaper, atLossy)
+			size, 2*ages, entries, 2*beats, calm, lossy, log2Size, falseCalm, falseLossy, atPaper, atLossy)
 	}
 }
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// newsHop is what each hop adds to the age of a version that is only known of.
-	// It is above the time of a message, so that the age rises on any way round.
-	newsHop = time.Second
-	// maxPlaces is the most places that a member can tell of.
+	// versionAgePerHop is added, at each hop, to the age of a configuration version that
+	// the sender doesn't have in force. It is above the transmission time of a message,
+	// so that the age grows along every path and every cycle.
+	versionAgePerHop = time.Second
+	// maxPlaces is the highest count of places that a member can report.
 	maxPlaces = 1 << 20
-	// maxNewestAge keeps an age far from overflow, in milliseconds.
+	// maxNewestAge, in milliseconds, bounds a received age far below overflow.
 	maxNewestAge = 1 << 40
 )
 
-// replyRumors is the share of RumorBytes that a reply may carry.
-const replyRumors = 4
+// replyRumorsDivisor divides RumorBytes to give the bytes of rumors that a reply may
+// carry.
+const replyRumorsDivisor = 4
 
-// exchange sends a request, takes in the reply and counts the rumors told.
+// exchange sends a request, applies the reply and counts the rumors that were delivered.
 func (g *Gossip) exchange(ctx context.Context, peer target, m *Message) (*Message, error) {
-	g.sign(m)
+	g.setSender(m)
 	g.stats.sent.Add(1)
 	begin := g.cfg.Clock()
 	reply, err := g.transport.Exchange(ctx, peer.addr, m)
@@ -35,49 +37,49 @@
 	from := rawID(reply.From)
 	g.mu.Lock()
 	limit := g.table.sendLimit()
-	g.rumors.told(m.Entries, reply.Known, reply.Wanted, limit)
-	g.rumors.toldVersion(reply.Version >= m.Version, limit)
-	g.table.unforge(from, reply.FromSeq)
-	taken := g.applyAll(reply.Entries, isNews(m.Kind, reply.Entries), now)
-	g.forgetWanted(reply.Entries, taken.wanted)
+	g.rumors.countDelivered(m.Entries, reply.Known, reply.Wanted, limit)
+	g.rumors.countVersionDelivered(reply.Version >= m.Version, limit)
+	g.table.forgetCorruptSeq(from, reply.FromSeq)
+	applied := g.applyAll(reply.Entries, shouldForward(m.Kind, reply.Entries), now)
+	g.forgetWanted(reply.Entries, applied.wanted)
 	if m.Kind == KindPing || m.Kind == KindSync {
-		g.table.patience.answered(now.Sub(begin))
+		g.table.timeouts.observe(now.Sub(begin))
 	}
 	if g.table.answered(from, now) {
 		g.doubts[from] = Entry{ID: reply.From, State: Suspect, Seq: g.table.rows[from].m.Seq}
 	}
 	more := g.describeWanted(m.Entries, reply.Wanted)
-	if taken.outdated {
+	if applied.outdated {
 		more = append(more, fullEntry(g.table.self.id, &g.table.self.m))
 	}
-	if reply.Stranger && !now.Before(g.due.introduce) {
-		g.due.introduce = now.Add(g.cfg.SyncInterval)
+	if reply.Stranger && !now.Before(g.due.announceAgain) {
+		g.due.announceAgain = now.Add(g.cfg.SyncInterval)
 		g.rumors.add(g.table.self.id, false)
 	}
 	g.unlockAndPublish()
 	if len(more) > 0 {
-		g.spawn(func() { g.tell(peer, m.Kind, more) })
+		g.spawn(func() { g.sendClaims(peer, m.Kind, more) })
 	}
 	g.afterMessage(from, reply)
 	return reply, nil
 }
 
-// ask makes an exchange and waits for the answer for a time. One that comes
-// later is taken in all the same: it is a sign of life.
-func (g *Gossip) ask(ctx context.Context, wait time.Duration, peer target, m *Message) (*Message, error) {
+// exchangeWithin starts an exchange and waits up to wait for the reply. A reply that
+// arrives later is still applied, because it proves that the peer is alive.
+func (g *Gossip) exchangeWithin(ctx context.Context, wait time.Duration, peer target, m *Message) (*Message, error) {
 	type answer struct {
 		reply *Message
 		err   error
 	}
 	done := make(chan answer, 1)
 	await := func() {
-		late, cancel := context.WithTimeout(g.ctx, max(wait, g.patience().late()))
+		late, cancel := context.WithTimeout(g.ctx, max(wait, g.timeouts().lateLimit()))
 		defer cancel()
 		reply, err := g.exchange(late, peer, m)
 		done <- answer{reply, err}
 	}
 	g.mu.Lock()
-	if g.closing.Load() { // Close may be waiting already
+	if g.closing.Load() { // running.Go must not follow the running.Wait of Close
 		g.mu.Unlock()
 		return nil, &ClosedError{}
 	}
@@ -94,15 +96,16 @@
 	}
 }
 
-// patience returns how long to wait now.
-func (g *Gossip) patience() patience {
+// timeouts returns a copy of the current timeouts.
+func (g *Gossip) timeouts() timeouts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.patience
+	return g.table.timeouts
 }
 
-// sign fills in what every message carries.
-func (g *Gossip) sign(m *Message) {
+// setSender sets the fields that every message carries: the sender and its configuration
+// versions.
+func (g *Gossip) setSender(m *Message) {
 	m.Version = g.cfg.Delegate.LocalVersion()
 	if newest, age := g.cfg.Delegate.NewestVersion(); newest > m.Version {
 		m.Newest, m.NewestAge = newest, uint64(max(age, 0).Milliseconds())
@@ -114,12 +117,13 @@
 	g.mu.Unlock()
 }
 
-// afterMessage acts on what a message brought: rumors to forward, or a higher
-// configuration version to hear of or to fetch.
+// afterMessage acts on the content of a message outside the lock: it reports
+// configuration versions and places to the delegate, fetches a higher version, and wakes
+// the loop if there are rumors or doubts to process.
 func (g *Gossip) afterMessage(from memberID, m *Message) {
 	if m.Newest > m.Version {
 		age := time.Duration(min(m.NewestAge, maxNewestAge)) * time.Millisecond
-		g.cfg.Delegate.Hear(m.Newest, age+newsHop)
+		g.cfg.Delegate.Hear(m.Newest, age+versionAgePerHop)
 	}
 	if m.Places > 0 {
 		g.cfg.Delegate.HearPlaces(int(min(m.Places, maxPlaces)))
@@ -136,11 +140,11 @@
 	}
 }
 
-// describeWanted returns in full those claims of a request that the replier
-// can't use without. The lock is held.
+// describeWanted returns the full descriptions of the members for which the replier set a
+// bit in wanted. The lock is held.
 func (g *Gossip) describeWanted(entries []Entry, wanted []byte) []Entry {
 	var out []Entry
-	room := 2 * g.cfg.RumorBytes
+	bytesLeft := 2 * g.cfg.RumorBytes
 	for i := range entries {
 		id := rawID(entries[i].ID)
 		row := g.table.rows[id]
@@ -148,7 +152,7 @@
 			continue
 		}
 		e := fullEntry(id, &row.m)
-		if room -= e.size(); room < 0 {
+		if bytesLeft -= e.size(); bytesLeft < 0 {
 			break
 		}
 		out = append(out, e)
@@ -156,26 +160,25 @@
 	return out
 }
 
-// takenIn is what became of the claims in one message.
-type takenIn struct {
-	// known and wanted have a bit for each claim; see Message.
+// appliedClaims is the result of applying the claims of one message.
+type appliedClaims struct {
+	// known and wanted have one bit for each claim; see Message.
 	known, wanted []byte
-	// outdated tells that the peer believes of this process what it has
-	// refuted before.
+	// outdated is set if the peer still believes a claim about this process that this
+	// process has refuted earlier.
 	//
-	// The failure: two members held each other for dead by claims that both
-	// had refuted long ago. Each told the other its claim, which was no news
-	// there, so neither learned anything and callers of the one were never
-	// sent to the other. Whoever hears such a claim answers with its own
-	// entry, which is higher, and so ends the matter with one message.
+	// Without an answer to such a claim, two members stayed dead to each other: each held
+	// a claim about the other that the other had refuted long ago. Neither claim was new
+	// to its receiver, so neither member learned anything, and callers of the one were
+	// never routed to the other. A process that receives such a claim therefore replies
+	// with its own entry, whose Seq is higher, which settles the conflict in one message.
 	outdated bool
 }
 
-// applyAll takes in claims, and passes on those that are news; of members that
-// live only if tell is set.
-// The lock is held.
-func (g *Gossip) applyAll(entries []Entry, tell bool, now time.Time) takenIn {
-	var in takenIn
+// applyAll applies claims and queues those that changed the table as rumors; Alive claims
+// are queued only if forward is set. The lock is held.
+func (g *Gossip) applyAll(entries []Entry, forward bool, now time.Time) appliedClaims {
+	var in appliedClaims
 	for i := range entries {
 		e := &entries[i]
 		id := rawID(e.ID)
@@ -184,9 +187,9 @@
 			g.stats.refused.Add(1)
 		}
 		switch v {
-		case claimTaken:
-			if tell || e.State != Alive {
-				g.rumors.add(id, !e.full())
+		case claimApplied:
+			if forward || e.State != Alive {
+				g.rumors.add(id, !e.hasDescription())
 			}
 			delete(g.doubts, id)
 			delete(g.wanted, id)
@@ -195,27 +198,28 @@
 			}
 		case claimDoubted:
 			g.doubts[id] = Entry{ID: e.ID, State: e.State, Seq: e.Seq}
-		case claimLacking:
-			if g.want(id, now) {
+		case claimUndescribed:
+			if g.shouldRequestDescription(id, now) {
 				in.wanted = setBit(in.wanted, i)
 			}
 		case claimOutdated:
 			in.outdated = true
 		}
-		if v != claimTaken && v != claimRefuted && v != claimLacking {
+		if v != claimApplied && v != claimRefuted && v != claimUndescribed {
 			in.known = setBit(in.known, i)
 		}
 	}
-	if g.table.announced {
-		g.rumors.add(g.table.self.id, !g.table.described)
-		g.table.announced, g.table.described = false, false
+	if g.table.selfChanged {
+		g.rumors.add(g.table.self.id, !g.table.selfDescriptionChanged)
+		g.table.selfChanged, g.table.selfDescriptionChanged = false, false
 	}
 	return in
 }
 
-// want reports whether to ask for a description. Many peers tell the same news
-// at about the same time; one is asked, and another if it didn't answer.
-func (g *Gossip) want(id memberID, now time.Time) bool {
+// shouldRequestDescription reports whether to request a member's description. Many peers
+// send the same claim at about the same time; the description is requested from one of
+// them, and from another one if the first doesn't answer.
+func (g *Gossip) shouldRequestDescription(id memberID, now time.Time) bool {
 	if now.Before(g.wanted[id]) {
 		return false
 	}
@@ -223,11 +227,12 @@
 		clear(g.wanted)
 	}
 	g.wanted[id] = now.Add(g.cfg.ProbeTimeout)
-	g.due.lacking = now.Add(2 * g.cfg.ProbeTimeout)
+	g.due.descriptionDeadline = now.Add(2 * g.cfg.ProbeTimeout)
 	return true
 }
 
-// forgetWanted takes back what can't be asked for: a reply gets no answer.
+// forgetWanted cancels the requests for descriptions of claims that arrived in a reply: a
+// reply can't be answered, so they were never sent.
 func (g *Gossip) forgetWanted(entries []Entry, wanted []byte) {
 	for i := range entries {
 		if bit(wanted, i) {
@@ -236,9 +241,9 @@
 	}
 }
 
-// Handle answers a peer's request. The rpc server calls it; an owner with a
-// transport of its own calls it itself. A malformed request is refused whole
-// with a *InvalidError.
+// Handle answers a peer's request. The rpc server calls it; an owner with its own
+// transport calls it directly. A malformed request is rejected as a whole with an
+// *InvalidError.
 func (g *Gossip) Handle(ctx context.Context, m *Message) (*Message, error) {
 	if err := m.validate(&g.cfg); err != nil {
 		g.stats.refused.Add(1)
@@ -253,18 +258,19 @@
 	}
 	g.mu.Lock()
 	alone := g.table.alive == 1
-	taken := g.applyAll(m.Entries, isNews(m.Kind, m.Entries), now)
+	applied := g.applyAll(m.Entries, shouldForward(m.Kind, m.Entries), now)
 	if alone && g.table.alive > 1 {
-		// The sender takes this process for known, and won't tell it of others;
-		// until its own next sync it would know the sender only.
+		// The sender assumes that other members know this process, and won't send it any
+		// other entries. Without a sync now, this process would know only the sender
+		// until its next scheduled sync.
 		g.due.sync = now
 		defer g.wakeLoop()
 	}
-	reply.Known, reply.Wanted = taken.known, taken.wanted
-	if taken.outdated {
+	reply.Known, reply.Wanted = applied.known, applied.wanted
+	if applied.outdated {
 		reply.Entries = append(reply.Entries, fullEntry(g.table.self.id, &g.table.self.m))
 	}
-	g.answerSender(reply, from)
+	g.addSenderState(reply, from)
 	switch m.Kind {
 	case KindPing:
 		g.piggyback(reply, m)
@@ -274,7 +280,7 @@
 		}
 	}
 	g.unlockAndPublish()
-	g.sign(reply)
+	g.setSender(reply)
 	if m.Kind == KindPull {
 		g.answerPull(reply, m)
 	}
@@ -282,9 +288,10 @@
 	return reply, nil
 }
 
-// answerSender tells a sender that is not Alive here so. A process that was
-// paused learns in this way that it was taken for dead.
-func (g *Gossip) answerSender(reply *Message, from memberID) {
+// addSenderState adds the sender's own state to the reply if the sender is Suspect or
+// Dead here, and sets Stranger if it is unknown. A process that was paused learns this
+// way that it was declared dead.
+func (g *Gossip) addSenderState(reply *Message, from memberID) {
 	row := g.table.rows[from]
 	if row == nil {
 		reply.Stranger = true
@@ -295,27 +302,27 @@
 	}
 }
 
-// piggyback adds rumors that the request didn't bring. Of those that are told
-// short it leaves out the living: a reply gets no answer that could ask for
-// the description.
+// piggyback adds rumors to a reply that the request didn't contain. When claims are sent
+// without descriptions, Alive claims are left out: the receiver of a reply can't request
+// the missing description.
 func (g *Gossip) piggyback(reply, request *Message) {
 	brief := len(g.rumors.byID) > maxDescribed
 	if len(g.rumors.byID) == 0 {
 		return
 	}
-	brought := make(map[string]bool, len(request.Entries))
+	received := make(map[string]bool, len(request.Entries))
 	for i := range request.Entries {
-		brought[request.Entries[i].ID] = true
+		received[request.Entries[i].ID] = true
 	}
-	var told []Entry
-	for _, e := range g.rumors.pick(g.table, g.cfg.RumorBytes/replyRumors) {
+	var delivered []Entry
+	for _, e := range g.rumors.pick(g.table, g.cfg.RumorBytes/replyRumorsDivisor) {
 		if brief && e.State == Alive {
 			continue
 		}
-		if !brought[e.ID] || rawID(e.ID) == g.table.self.id {
-			told = append(told, e)
+		if !received[e.ID] || rawID(e.ID) == g.table.self.id {
+			delivered = append(delivered, e)
 		}
 	}
-	g.rumors.told(told, nil, nil, g.table.sendLimit())
-	reply.Entries = append(reply.Entries, told...)
+	g.rumors.countDelivered(delivered, nil, nil, g.table.sendLimit())
+	reply.Entries = append(reply.Entries, delivered...)
 }
--- a/membership/hostile_test.go
+++ b/membership/hostile_test.go
@@ -8,24 +8,24 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// silent is a transport that reaches nobody.
-type silent struct{}
+// unreachableTransport is a transport that reaches no peer.
+type unreachableTransport struct{}
 
-func (silent) Exchange(context.Context, string, *Message) (*Message, error) {
+func (unreachableTransport) Exchange(context.Context, string, *Message) (*Message, error) {
 	return nil, &ClosedError{}
 }
-func (silent) Close() error { return nil }
+func (unreachableTransport) Close() error { return nil }
 
 var (
 	ownID  = rawID("own-process-0001")
 	peerID = rawID("known-peer-00001")
 )
 
-// quiet returns a Gossip that has not been started and knows one peer.
-func quiet(c *qt.C) *Gossip {
+// newIdleGossip returns a Gossip that has not been started and knows one peer.
+func newIdleGossip(c *qt.C) *Gossip {
 	g, err := New(Config{
 		Self:      Member{ID: ownID.hex(), Service: "filing", Addr: "10.0.0.1:7000", GossipAddr: "10.0.0.1:7946", Zone: "a", Region: "hu"},
-		Transport: silent{}, MaxMembers: 8,
+		Transport: unreachableTransport{}, MaxMembers: 8,
 	})
 	c.Assert(err, qt.IsNil)
 	_, err = g.Handle(c.Context(), &Message{From: string(peerID[:]), Entries: []Entry{peerEntry()}})
@@ -37,12 +37,12 @@
 	return Entry{ID: string(peerID[:]), Seq: 5, Revision: 1, Epoch: 1, Service: "billing", Addr: "10.0.0.2:7000", GossipAddr: "10.0.0.2:7946", Zone: "b", Region: "hu"}
 }
 
-// A faulty peer claims that others are gone, moved, or far ahead in Seq, and
-// that this process is dead or lives elsewhere. Taking any of that in would
-// send callers to the wrong VM, or hide a running member for good.
+// A faulty peer claims that other members are gone, have moved or are far ahead in Seq,
+// and that this process is dead or at another address. Accepting any of these claims
+// would route callers to the wrong VM, or hide a running member for good.
 func TestFalseClaims(t *testing.T) {
 	c := qt.New(t)
-	g := quiet(c)
+	g := newIdleGossip(c)
 	claim := func(change func(*Entry)) Member {
 		e := peerEntry()
 		change(&e)
@@ -73,31 +73,32 @@
 	c.Assert(g.Update(func(m *Member) { m.Slots = -1 }), qt.ErrorMatches, "membership config: Slots.*")
 }
 
-// The first claim heard of a member is corrupt, with a Seq near the end of the
-// range. Every true announcement then looks old, until a probe of the member
-// shows its own Seq.
+// The first claim received about a member is corrupt and has a Seq near the end of the
+// range. Every true announcement then looks outdated, until a probe of the member shows
+// the member's own Seq.
 func TestForgedSeqIsForgotten(t *testing.T) {
 	c := qt.New(t)
-	g := quiet(c)
+	g := newIdleGossip(c)
 	e := peerEntry()
 	e.ID, e.GossipAddr, e.Seq = "forged-peer-0001", "10.0.0.3:7946", maxSeq
 	g.table.apply(&e, time.Now())
-	g.table.unforge(rawID(e.ID), 6)
+	g.table.forgetCorruptSeq(rawID(e.ID), 6)
 	e.Seq = 6
 	v, err := g.table.apply(&e, time.Now())
 	c.Assert(err, qt.IsNil)
-	c.Assert(v, qt.Equals, claimTaken)
+	c.Assert(v, qt.Equals, claimApplied)
 }
 
-// FuzzHandle sends one arbitrary message after two plausible ones. Whatever it
-// says, the table must stay consistent, and nobody may speak for this process.
+// FuzzHandle sends a Gossip that knows one peer three messages with arbitrary claims.
+// Whatever they contain, the table must stay consistent, and no peer may change this
+// process's own entry.
 func FuzzHandle(f *testing.F) {
 	f.Add(uint8(0), string(peerID[:]), string(peerID[:]), uint8(2), uint64(5), uint64(1), "billing", "10.0.0.2:7946", uint32(3), []byte{1}, uint64(0))
 	f.Add(uint8(2), "another-sender-1", string(ownID[:]), uint8(3), uint64(9), uint64(1<<47), "filing", "10.0.0.1:7946", uint32(0), make([]byte, bucketCount*bucketBytes), uint64(7))
 	f.Add(uint8(1), "another-sender-1", "a-newcomer-00001", uint8(0), uint64(1), uint64(0), "filing", "10.0.0.1:7946", uint32(1<<30), []byte(nil), uint64(0))
 	f.Fuzz(func(t *testing.T, kind uint8, from, id string, state uint8, seq, epoch uint64, service, addr string, slots uint32, buckets []byte, version uint64) {
 		c := qt.New(t)
-		g := quiet(c)
+		g := newIdleGossip(c)
 		own := g.Self()
 		for _, s := range []State{State(state), Suspect, State(state)} {
 			e := Entry{ID: id, State: s, Seq: seq, Revision: min(seq, 1+uint64(slots%2)), Epoch: epoch, Service: service, Addr: addr, GossipAddr: addr, Zone: "a", Region: "hu", Slots: slots, Inherits: []string{id}}
@@ -113,8 +114,8 @@
 	})
 }
 
-// tableFault recomputes what the table keeps beside its rows, and names what
-// doesn't agree.
+// tableFault recomputes the data that the table derives from its rows, and returns the
+// name of the part that doesn't match, or "".
 func tableFault(t *table) string {
 	own := fullEntry(t.self.id, &t.self.m)
 	if err := own.validate(); err != nil {
@@ -128,12 +129,12 @@
 		}
 		alive++
 		digest[bucketOf(id)] ^= uint32(position(id, row.m.Seq))
-		if t.holder[row.m.GossipAddr] != id {
+		if t.holderByAddr[row.m.GossipAddr] != id {
 			return "holder of " + row.m.GossipAddr
 		}
 	}
 	switch {
-	case len(t.holder) != alive || t.alive != alive:
+	case len(t.holderByAddr) != alive || t.alive != alive:
 		return "count of living members"
 	case t.digest != digest:
 		return "digest"
--- a/membership/loop.go
+++ b/membership/loop.go
@@ -6,47 +6,50 @@
 )
 
 const (
-	// minWait is the least wait of a timer. One that has expired when it is made
-	// runs on its maker's thread under testing/synctest, and two that do so at
-	// once share one context of the race detector, which crashes the tests.
+	// minWait is the shortest duration of a timer. A timer that has already expired when
+	// it is created runs on its creator's thread under testing/synctest, and two of them
+	// at once share one context of the race detector, which crashes the tests.
 	minWait = time.Nanosecond
-	// expireStep is how often suspicions are checked while there are any.
+	// expireStep is the interval of the expiry checks while there are suspicions.
 	expireStep = 100 * time.Millisecond
-	// tombstoneStep is how often dead members are checked.
+	// tombstoneStep is the interval of the expiry checks of dead members.
 	tombstoneStep = 10 * time.Second
-	// doubtStep is the least time between two probes out of turn.
+	// doubtStep is the minimum time between two out-of-turn probes.
 	doubtStep = 100 * time.Millisecond
-	// resumeSyncs is how many peers a process asks after a pause.
+	// resumeSyncs is the number of peers with which a process syncs after a pause.
 	resumeSyncs = 3
-	// seedTries is how many seeds are asked in one attempt.
+	// seedTries is the number of seeds that are tried in one attempt to join.
 	seedTries = 3
 )
 
-// schedule is when each periodic task is due.
+// schedule holds the due times of the periodic tasks.
 type schedule struct {
 	probe, rumor, sync, heal, expire, doubt time.Time
-	// syncWait grows from Interval to SyncInterval after the start: processes
-	// that started together may agree on a part of the members.
+	// syncWait grows from Interval to SyncInterval after the start. The first syncs are
+	// frequent because processes that started together may agree on the same incomplete
+	// list of members.
 	syncWait time.Duration
-	// lacking is when to give up on descriptions that were asked for.
-	lacking time.Time
-	// storm is set while there are, or have just been, many rumors.
-	storm bool
-	// introduce is when a stranger may be told of this process again: one
-	// whose table is full stays a stranger.
-	introduce time.Time
-	// seedAsked is when the seeds were last asked for; see seedWait.
+	// descriptionDeadline is the time at which requested descriptions are given up.
+	descriptionDeadline time.Time
+	// burst is set from the time when there are many rumors until the sync that follows
+	// them.
+	burst bool
+	// announceAgain is the time from which this process may announce itself again after a
+	// peer replied that it doesn't know this process: a peer whose table is full never
+	// adds it.
+	announceAgain time.Time
+	// seedAsked is the time of the last call of Config.Seeds; see seedWait.
 	seedAsked   time.Time
 	seedJitter  float64
 	seedBackoff time.Duration
-	// seedsKnown counts the latest asks that taught nothing, seedDeaths the
-	// deaths seen here before the latest ask.
-	seedsKnown int
-	seedDeaths uint64
+	// fruitlessAsks counts the latest consecutive calls after which every seed was known.
+	// seedDeaths is the number of deaths recorded in this table at the last call.
+	fruitlessAsks int
+	seedDeaths    uint64
 }
 
-// loop runs the periodic tasks. Each exchange has a goroutine of its own, so a
-// slow peer delays nothing here.
+// loop runs the periodic tasks. Each exchange runs in its own goroutine, so a slow peer
+// doesn't delay the loop.
 func (g *Gossip) loop() {
 	now := g.cfg.Clock()
 	g.mu.Lock()
@@ -57,7 +60,7 @@
 
 		syncWait: min(g.cfg.Interval, g.cfg.SyncInterval),
 	}
-	g.turn = g.cfg.Rand.IntN(g.cfg.Neighbors)
+	g.probeTurn = g.cfg.Rand.IntN(g.cfg.Neighbors)
 	g.rumors.add(g.table.self.id, false)
 	g.mu.Unlock()
 	timer := time.NewTimer(minWait)
@@ -71,30 +74,30 @@
 		case <-timer.C:
 		}
 		now = g.cfg.Clock()
-		g.noticePause(now, next)
+		g.handlePause(now, next)
 		g.step(now)
 		next = g.nextDue()
 		timer.Reset(max(minWait, next.Sub(now)))
 	}
 }
 
-// jitter is a random time up to d. The lock is held.
+// jitter returns a random duration up to d. The lock is held.
 func (g *Gossip) jitter(d time.Duration) time.Duration {
 	return time.Duration(g.cfg.Rand.Int64N(int64(d)) + 1)
 }
 
-// spread is d give or take a tenth, so that members don't fall into step.
-func (g *Gossip) spread(d time.Duration) time.Duration {
+// withJitter returns d plus or minus up to a tenth, so that members don't synchronize.
+func (g *Gossip) withJitter(d time.Duration) time.Duration {
 	return d - d/10 + g.jitter(d/5+1)
 }
 
-// noticePause handles a loop that ran late: by half a probe's time, and this
-// process is too slow to judge others; by more than an interval, and it
-// was stopped. While it was, suspects could not be heard and probes
-// could not be answered, so judging by the clock would take healthy members
-// for dead; and the others may have taken this process for dead, which it
-// learns by asking some of them.
-func (g *Gossip) noticePause(now, expected time.Time) {
+// handlePause detects a loop that ran late. A delay of half the probe timeout means that
+// this process is too slow to judge others; a delay of more than an interval means that
+// it was stopped. During the delay answers of suspects could not be received and probes
+// could not be answered, so judging by the clock would declare healthy members dead. The
+// others may also have declared this process dead, which it learns by syncing with some
+// of them.
+func (g *Gossip) handlePause(now, expected time.Time) {
 	late := now.Sub(expected)
 	if late < g.cfg.ProbeTimeout/2 {
 		return
@@ -114,7 +117,7 @@
 	}
 }
 
-// step runs what is due.
+// step runs the tasks that are due.
 func (g *Gossip) step(now time.Time) {
 	g.mu.Lock()
 	work := g.dueWork(now)
@@ -136,44 +139,46 @@
 		g.expire(now)
 	}
 	if !now.Before(g.due.probe) {
-		g.due.probe = now.Add(g.spread(g.cfg.Interval))
+		g.due.probe = now.Add(g.withJitter(g.cfg.Interval))
 		add(g.probeNext())
 	}
 	if len(g.doubts) > 0 && !now.Before(g.due.doubt) {
-		g.due.doubt = now.Add(max(doubtStep, g.table.patience.usual))
+		g.due.doubt = now.Add(max(doubtStep, g.table.timeouts.mean))
 		add(g.probeDoubted())
 	}
-	if len(g.wanted) > 0 && !now.Before(g.due.lacking) {
-		// Who was asked didn't answer, and the others may have ended telling.
+	if len(g.wanted) > 0 && !now.Before(g.due.descriptionDeadline) {
+		// The queried peers didn't answer, and the other peers may have stopped sending
+		// the rumor. A sync fetches the descriptions instead.
 		clear(g.wanted)
 		g.due.sync = now
 	}
-	if g.due.storm && !g.rumors.pending() {
-		// What was told short may have reached somebody who was never answered.
-		g.due.storm = false
+	if g.due.burst && !g.rumors.pending() {
+		// A claim sent without its description may have reached a peer whose request for
+		// the description was never answered.
+		g.due.burst = false
 		g.due.sync = now.Add(g.jitter(g.cfg.Interval))
 	}
 	if !now.Before(g.due.sync) {
 		g.due.syncWait = min(2*g.due.syncWait, g.cfg.SyncInterval)
-		g.due.sync = now.Add(g.spread(g.due.syncWait))
+		g.due.sync = now.Add(g.withJitter(g.due.syncWait))
 		add(g.syncNext())
 	}
 	if !now.Before(g.due.heal) {
-		g.due.heal = now.Add(g.spread(g.cfg.HealInterval))
+		g.due.heal = now.Add(g.withJitter(g.cfg.HealInterval))
 		add(g.heal())
 	}
 	if !now.Before(g.seedDue()) && g.cfg.Seeds != nil {
-		add(g.askSeeds(now))
+		add(g.prepareSeedJoin(now))
 	}
 	if g.rumors.pending() && !now.Before(g.due.rumor) {
-		g.due.rumor = now.Add(max(g.cfg.RumorInterval, g.table.patience.usual))
-		g.due.storm = g.due.storm || len(g.rumors.byID) > maxDescribed
-		work = append(work, g.tellRumors()...)
+		g.due.rumor = now.Add(max(g.cfg.RumorInterval, g.table.timeouts.mean))
+		g.due.burst = g.due.burst || len(g.rumors.byID) > maxDescribed
+		work = append(work, g.rumorRound()...)
 	}
 	return work
 }
 
-// expire ends suspicions and tells who died. The lock is held.
+// expire ends overdue suspicions and queues the deaths as rumors. The lock is held.
 func (g *Gossip) expire(now time.Time) {
 	for _, id := range g.table.expire(now) {
 		g.rumors.add(id, true)
@@ -187,7 +192,7 @@
 	}
 }
 
-// nextDue is when the loop has to run again.
+// nextDue returns the time at which the loop has to run again.
 func (g *Gossip) nextDue() time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -202,13 +207,13 @@
 	sooner(g.due.expire, true)
 	sooner(g.seedDue(), g.cfg.Seeds != nil)
 	sooner(g.due.doubt, len(g.doubts) > 0)
-	sooner(g.due.lacking, len(g.wanted) > 0)
+	sooner(g.due.descriptionDeadline, len(g.wanted) > 0)
 	sooner(g.due.rumor, g.rumors.pending())
 	return next
 }
 
-// spawn runs an exchange beside the loop, or drops it when too many are under
-// way. Nothing is lost by that: each task comes round again.
+// spawn runs an exchange in its own goroutine, or drops it when too many are in flight. A
+// dropped exchange is not lost: each task repeats periodically.
 func (g *Gossip) spawn(run func()) {
 	if g.inFlight.Add(1) > maxInFlight {
 		g.inFlight.Add(-1)
@@ -221,22 +226,22 @@
 	})
 }
 
-// tellRumors prepares one round: the same entries to the next Fanout
-// neighbours. Taking them in turn makes a rumor that is told often enough
-// reach each neighbour, where a random choice would tell some of them twice. One
-// that has not answered the last round is passed over: rounds at a fixed rate to
-// members that answer late are what an overload is made of.
-func (g *Gossip) tellRumors() []func() {
+// rumorRound prepares one round of rumors: the same entries for the next Fanout
+// neighbours. Going through the neighbours in turn makes a rumor that is sent often
+// enough reach each of them, whereas a random choice would select some twice. A neighbour
+// that has not answered the last round is skipped: sending at a fixed rate to members
+// that answer late prolongs an overload.
+func (g *Gossip) rumorRound() []func() {
 	g.refreshPeers()
-	listening := g.rumorPeers()
-	if len(listening) == 0 {
+	alive := g.rumorPeers()
+	if len(alive) == 0 {
 		return nil
 	}
 	var next []memberID
-	for range listening {
-		id := listening[g.tellTurn%len(listening)]
-		g.tellTurn++
-		if g.telling[id] == 0 {
+	for range alive {
+		id := alive[g.rumorTurn%len(alive)]
+		g.rumorTurn++
+		if g.sending[id] == 0 {
 			next = append(next, id)
 		}
 		if len(next) == g.cfg.Fanout {
@@ -247,12 +252,12 @@
 	entries := g.rumors.pick(g.table, g.cfg.RumorBytes)
 	work := make([]func(), 0, len(peers))
 	for _, peer := range peers {
-		work = append(work, func() { g.tell(peer, KindPing, entries) })
+		work = append(work, func() { g.sendClaims(peer, KindPing, entries) })
 	}
 	return work
 }
 
-// rumorPeers are the neighbours that are thought to listen.
+// rumorPeers returns the neighbours that are Alive.
 func (g *Gossip) rumorPeers() []memberID {
 	peers := make([]memberID, 0, len(g.peers))
 	for _, id := range g.peers {
@@ -263,35 +268,35 @@
 	return peers
 }
 
-// tell sends claims to one peer.
-func (g *Gossip) tell(peer target, kind Kind, entries []Entry) {
+// sendClaims sends claims to one peer.
+func (g *Gossip) sendClaims(peer target, kind Kind, entries []Entry) {
 	g.mu.Lock()
-	g.telling[peer.id]++
-	late := g.table.patience.late()
+	g.sending[peer.id]++
+	late := g.table.timeouts.lateLimit()
 	g.mu.Unlock()
 	ctx, cancel := context.WithTimeout(g.ctx, late)
 	defer cancel()
-	defer g.told(peer.id)
+	defer g.endSend(peer.id)
 	_, _ = g.exchange(ctx, peer, &Message{Kind: kind, Entries: entries})
 }
 
-// told ends the telling of a peer.
-func (g *Gossip) told(id memberID) {
+// endSend records that an exchange started by sendClaims has ended.
+func (g *Gossip) endSend(id memberID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.telling[id]--; g.telling[id] == 0 {
-		delete(g.telling, id)
+	if g.sending[id]--; g.sending[id] == 0 {
+		delete(g.sending, id)
 	}
 }
 
 // refreshPeers recomputes the neighbours after members came or went.
 func (g *Gossip) refreshPeers() {
-	if !g.table.moved {
+	if !g.table.membersChanged {
 		return
 	}
-	g.table.moved = false
+	g.table.membersChanged = false
 	g.peers = nearNeighbors(g.table.self.id, g.table.livingInZone(), g.table.living(), g.cfg.Neighbors)
 }
 
-// sendLimit is the most times that one rumor is sent from here.
-func (t *table) sendLimit() int { return rumorSends * int(t.magnitude()+0.999) }
+// sendLimit returns the maximum number of times that this process sends one rumor.
+func (t *table) sendLimit() int { return rumorSends * int(t.log10Members()+0.999) }
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var measure = flag.Bool("measure", false, "measure all cluster sizes, not only the smallest")
+var measure = flag.Bool("measure", false, "run cluster tests at all sizes and with more trials, to measure")
 
 func measuredSizes() []int {
 	if *measure {
@@ -18,11 +18,11 @@
 	return []int{40}
 }
 
-// Members crash one after the other: callers are routed to each until probes
-// and relayed probes have failed and the suspicion has run out. Before that,
-// one message in twenty is lost each way for a minute, probes and refutations
-// among them, and that must take nobody out of service. The figures are those
-// of the design note.
+// Members crash one after the other. Callers are routed to a crashed member until probes
+// and relayed probes have failed and the suspicion has run out. Before that, one message
+// in twenty is lost in each direction for a minute, including probes and refutations, and
+// no member may be declared dead because of it. The logged figures are the ones in the
+// design note.
 func TestDetection(t *testing.T) {
 	for _, size := range measuredSizes() {
 		victims := min(12, size/4)
@@ -42,7 +42,7 @@
 				detected = append(detected, took)
 				time.Sleep(5 * time.Second)
 			}
-			w.within(0, func(n *testNode) bool { return len(n.Members()) == size-victims && n.sees(Alive) == size-victims })
+			w.within(0, func(n *testNode) bool { return len(n.Members()) == size-victims && n.countState(Alive) == size-victims })
 			slices.Sort(detected)
 			w.c.Logf("size %d: steady %d B/s a node in+out, %.3f dials/s; at 5%% loss %d B/s and %d suspicions raised in a minute; dead everywhere after %v (median), %v (max)",
 				size, steady, dials, lossy, raised, detected[victims/2], detected[victims-1])
@@ -50,7 +50,8 @@
 	}
 }
 
-// traffic measures a minute, after one in which lasting connections open.
+// traffic measures the traffic of a minute, after another minute in which the persistent
+// connections are opened.
 func (w *network) traffic(size int) (perNode int, dials float64) {
 	const window = time.Minute
 	m := w.metered()
--- a/membership/overload_test.go
+++ b/membership/overload_test.go
@@ -12,11 +12,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// processor is the one that all members of a fleet share. It does one thing
-// after the other, so what it has no time for is late.
+// processor simulates a CPU that all members of a fleet share. It runs one job at a time,
+// so excess work is late.
 type processor struct {
 	mu    sync.Mutex
-	cost  time.Duration // of a message at one side; a connection costs ten times that
+	cost  time.Duration // of a message at one side; opening a connection costs ten times as much
 	jobs  []job
 	ready chan struct{}
 	hosts map[string]chan net.Conn
@@ -24,7 +24,7 @@
 
 type job struct {
 	costs int
-	conn  *servedConn // nothing is done for one that is closed
+	conn  *servedConn // the job is skipped if the connection is closed
 	run   func()
 }
 
@@ -74,7 +74,8 @@
 	return p
 }
 
-// serve gives a member the real transport, over connections that it serves.
+// serve gives a member the real transport, over connections that are served by the
+// processor.
 func (p *processor) serve(c *Config) {
 	accepted := make(chan net.Conn, 1024)
 	p.hosts[c.Self.GossipAddr] = accepted
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// servedConn delivers what is written when the processor has come to it.
+// servedConn delivers written data when the processor runs the job of the write.
 type servedConn struct {
 	net.Conn
 	p       *processor
@@ -176,10 +177,10 @@
 	}
 }
 
-// Members share processors that are short for some seconds: all answers are
-// late. Probes were given up, asked again through others, told as suspicions,
-// refuted, and connections closed and dialled, which cost more than was short:
-// members that are well took each other for dead long after the shortage.
+// Members share CPUs that are overloaded for some seconds, so all answers are late. If
+// late probes are given up, repeated through other members, reported as suspicions and
+// refuted, and connections are closed and redialled, this costs more than the missing
+// capacity: healthy members declared each other dead long after the shortage.
 func TestOverloadEndsByItself(t *testing.T) {
 	const size = 40
 	cluster(t, 0, func(w *network) {
@@ -194,7 +195,7 @@
 			}
 			w.c.Assert(n.Start(w.ctx), qt.IsNil)
 		}
-		whole := func(n *testNode) bool { return n.sees(Alive) == size }
+		whole := func(n *testNode) bool { return n.countState(Alive) == size }
 		w.within(20*time.Second, whole)
 		time.Sleep(20 * time.Second)
 		p.setCost(10 * time.Millisecond)
@@ -202,23 +203,23 @@
 		p.setCost(800 * time.Microsecond)
 		deaths, refuted := w.sum(deathsOf), w.sum(func(s Stats) uint64 { return s.Refutations })
 		time.Sleep(8 * time.Second)
-		w.c.Logf("8 s after the shortage: %d deaths and %d refutations more", w.sum(deathsOf)-deaths, w.sum(func(s Stats) uint64 { return s.Refutations })-refuted)
+		w.c.Logf("8 s after the shortage: %d more deaths and %d more refutations", w.sum(deathsOf)-deaths, w.sum(func(s Stats) uint64 { return s.Refutations })-refuted)
 		w.within(0, whole)
 		sent := w.sum(func(s Stats) uint64 { return s.Sent })
 		time.Sleep(10 * time.Second)
 		rate := (w.sum(func(s Stats) uint64 { return s.Sent }) - sent) / 10
-		w.c.Logf("%d exchanges a second after it", rate)
+		w.c.Logf("%d exchanges a second after the overload", rate)
 		w.c.Assert(rate < 3*size, qt.IsTrue)
 	})
 }
 
-// Several exchanges with one peer are under way at once; the first has its
-// answer in time, the others late. The connection was closed for each, which
-// broke the others on it, and each opened one more.
+// Several exchanges with one peer are in flight at once. The first is answered in time,
+// the others late. Closing the connection for each late answer broke the other exchanges
+// on it, and each of them dialled again.
 func TestLateAnswersKeepTheConnection(t *testing.T) {
 	cluster(t, 0, func(w *network) {
 		p := newProcessor(w.ctx, 20*time.Millisecond)
-		asker, peer := w.add(0, p.serve), w.add(1, p.serve)
+		client, peer := w.add(0, p.serve), w.add(1, p.serve)
 		s := newServer(peer.Gossip)
 		go s.serve()
 		ctx, cancel := context.WithTimeout(w.ctx, 330*time.Millisecond)
@@ -226,7 +227,7 @@
 		answered := make(chan bool, 5)
 		for range cap(answered) {
 			go func() {
-				_, err := asker.exchange(ctx, target{addr: peer.addr}, &Message{})
+				_, err := client.exchange(ctx, target{addr: peer.addr}, &Message{})
 				answered <- err == nil
 			}()
 		}
@@ -238,9 +239,9 @@
 		}
 		w.c.Assert(count > 0 && count < cap(answered), qt.IsTrue)
 		time.Sleep(time.Second)
-		_, err := asker.exchange(w.ctx, target{addr: peer.addr}, &Message{})
+		_, err := client.exchange(w.ctx, target{addr: peer.addr}, &Message{})
 		w.c.Assert(err, qt.IsNil)
-		w.c.Assert(asker.Stats().Dials, qt.Equals, uint64(1))
+		w.c.Assert(client.Stats().Dials, qt.Equals, uint64(1))
 		s.close()
 		peer.cancel()
 	})
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -6,36 +6,38 @@
 	"time"
 )
 
-// relays is the number of members asked to probe one that did not answer.
-const relays = 3
+// relayCount is the number of members that are requested to probe a member that did not
+// answer.
+const relayCount = 3
 
-// maxRelaying bounds the probes under way on behalf of others. Each holds one
-// of the requests that its sender may have here, for as long as a probe takes.
-const maxRelaying = 16
+// maxRelayedProbes bounds the concurrent probes on behalf of other members. For the
+// duration of a probe, each one occupies one of the requests that its sender may have in
+// progress here.
+const maxRelayedProbes = 16
 
-// probeLegs * patience.wait is the longest that a probe takes: for an answer,
-// for a late one, and by others. One that took much longer spans a pause of this
-// process.
+// probeLegs is the maximum duration of a probe in multiples of the current timeout: the
+// direct probe, the wait for a late answer, and the relayed probes. A probe that took
+// much longer spans a pause of this process.
 const probeLegs = 2 + relayLegs
 
-// relayLegs is the share of it for the probe by others.
+// relayLegs is the part of probeLegs for the relayed probes.
 const relayLegs = 3
 
-// probeNext picks the next neighbour. The order is fixed, which bounds the time
-// between two probes of one member; a random order leaves gaps of two rounds.
-// The lock is held.
+// probeNext prepares the probe of the next neighbour. The fixed order bounds the time
+// between two probes of one member; a random order leaves gaps of two rounds. The lock is
+// held.
 func (g *Gossip) probeNext() func() {
 	g.refreshPeers()
 	if len(g.peers) == 0 {
 		return nil
 	}
-	id := g.peers[g.turn%len(g.peers)]
-	g.turn++
+	id := g.peers[g.probeTurn%len(g.peers)]
+	g.probeTurn++
 	return g.probeOf(id, Entry{})
 }
 
-// probeDoubted picks one of the members about whom claims contradict each
-// other. The lock is held.
+// probeDoubted prepares the probe of one of the members about which claims contradict
+// each other. The lock is held.
 func (g *Gossip) probeDoubted() func() {
 	ids := make([]memberID, 0, len(g.doubts))
 	for id := range g.doubts {
@@ -48,8 +50,8 @@
 	return g.probeOf(id, claim)
 }
 
-// probeOf prepares the probe of a member. It carries what is said against the
-// member, which lets it refute. The lock is held.
+// probeOf prepares the probe of a member. The probe carries the claim against the member,
+// so that the member can refute it. The lock is held.
 func (g *Gossip) probeOf(id memberID, claim Entry) func() {
 	row := g.table.rows[id]
 	if row == nil || row == g.table.self || (row.m.State == Left && claim.Seq <= row.m.Seq) {
@@ -67,11 +69,11 @@
 	return func() { g.probe(peer, claims, pauses) }
 }
 
-// probe asks a member for a sign of life, first directly and then through
-// others, so that a fault between two members doesn't make one of them suspect.
+// probe pings a member directly, and then through other members, so that a network fault
+// between two members doesn't make either of them suspect.
 func (g *Gossip) probe(peer target, claims []Entry, pauses int) {
 	g.stats.probes.Add(1)
-	wait, begin := g.patience().wait, g.cfg.Clock()
+	wait, begin := g.timeouts().wait, g.cfg.Clock()
 	latest := begin.Add(probeLegs*wait + g.cfg.Interval)
 	reply, err := g.ping(g.ctx, wait, peer, claims)
 	if err == nil {
@@ -81,57 +83,58 @@
 		return
 	}
 	g.stats.probesFailed.Add(1)
-	if g.ctx.Err() != nil || peer.state.gone() || g.reached(peer, wait, claims) {
+	if g.ctx.Err() != nil || peer.state.gone() || g.probeIndirectly(peer, wait, claims) {
 		return
 	}
 	claimedDead := len(claims) > 0 && claims[0].State == Dead
 	if now := g.cfg.Clock(); now.Before(latest) {
-		g.onSilent(peer, claimedDead, pauses, begin, now)
+		g.onUnreachable(peer, claimedDead, pauses, begin, now)
 	}
 }
 
-// ping sends a direct probe with the claims and the rumors that fit.
+// ping sends a direct probe with the given claims and the rumors that fit.
 func (g *Gossip) ping(ctx context.Context, wait time.Duration, peer target, claims []Entry) (*Message, error) {
 	m := &Message{Target: string(peer.id[:]), Entries: claims}
 	g.mu.Lock()
 	m.Entries = append(m.Entries, g.rumors.pick(g.table, g.cfg.RumorBytes/4)...)
 	g.mu.Unlock()
-	return g.ask(ctx, wait, peer, m)
+	return g.exchangeWithin(ctx, wait, peer, m)
 }
 
-// reached asks some neighbours to probe peer, and probes it once more itself:
-// one lost message must not cost a suspicion, which everybody would hear of.
-func (g *Gossip) reached(peer target, wait time.Duration, claims []Entry) bool {
-	if wait > g.cfg.ProbeTimeout && g.heardWithin(wait, peer) {
-		// Where answers are late, more questions make them later.
+// probeIndirectly requests some neighbours to probe peer, and probes it directly once
+// more: a single lost message must not cause a suspicion, which would be sent to all
+// members. It reports whether peer answered.
+func (g *Gossip) probeIndirectly(peer target, wait time.Duration, claims []Entry) bool {
+	if wait > g.cfg.ProbeTimeout && g.answeredLate(wait, peer) {
+		// If answers are late because of an overload, further requests delay them more.
 		return true
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, relayLegs*wait)
 	defer cancel()
 	g.mu.Lock()
 	candidates := g.rumorPeers()
-	if len(candidates) <= relays {
+	if len(candidates) <= relayCount {
 		candidates = g.table.living()
 	}
-	helpers := g.addrs(sample(g.cfg.Rand, candidates, relays+1))
+	helpers := g.addrs(sample(g.cfg.Rand, candidates, relayCount+1))
 	g.mu.Unlock()
-	answers := make(chan bool, relays+1)
-	asked := 1
+	answers := make(chan bool, relayCount+1)
+	requests := 1
 	go func() {
 		reply, err := g.ping(ctx, wait, peer, claims)
 		answers <- err == nil && rawID(reply.From) == peer.id
 	}()
 	for _, helper := range helpers {
-		if helper.id == peer.id || asked > relays {
+		if helper.id == peer.id || requests > relayCount {
 			continue
 		}
-		asked++
+		requests++
 		go func() {
-			reply, err := g.ask(ctx, relayLegs*wait, helper, &Message{Kind: KindRelay, Target: string(peer.id[:])})
+			reply, err := g.exchangeWithin(ctx, relayLegs*wait, helper, &Message{Kind: KindRelay, Target: string(peer.id[:])})
 			answers <- err == nil && reply.Reached
 		}()
 	}
-	for range asked {
+	for range requests {
 		if <-answers {
 			return true
 		}
@@ -139,8 +142,8 @@
 	return false
 }
 
-// heardWithin gives peer more time for a late answer.
-func (g *Gossip) heardWithin(wait time.Duration, peer target) bool {
+// answeredLate waits for a late answer of peer, and reports whether one arrived.
+func (g *Gossip) answeredLate(wait time.Duration, peer target) bool {
 	ctx, cancel := context.WithTimeout(g.ctx, wait)
 	defer cancel()
 	begin := g.cfg.Clock()
@@ -148,14 +151,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	row := g.table.rows[peer.id]
-	return row != nil && row.heard.After(begin)
+	return row != nil && row.lastAnswer.After(begin)
 }
 
-// relay pings a member for a peer. The address comes from the own table, never
-// from the message, so that a peer can't make this process dial elsewhere.
+// relay pings a member on behalf of a peer. The address comes from this process's own
+// table, never from the message, so that a peer can't make this process dial an arbitrary
+// address. It reports whether the member answered.
 func (g *Gossip) relay(ctx context.Context, id memberID) bool {
-	defer g.relaying.Add(-1)
-	if g.relaying.Add(1) > maxRelaying {
+	defer g.relayedProbes.Add(-1)
+	if g.relayedProbes.Add(1) > maxRelayedProbes {
 		return false
 	}
 	g.mu.Lock()
@@ -165,15 +169,15 @@
 		return false
 	}
 	peer := target{id: id, addr: row.m.GossipAddr, seq: row.m.Seq, state: row.m.State}
-	wait := g.table.patience.wait
+	wait := g.table.timeouts.wait
 	g.mu.Unlock()
 	reply, err := g.ping(ctx, wait, peer, nil)
 	return err == nil && rawID(reply.From) == id
 }
 
-// onSilent suspects a member that nobody reached, or takes it for dead if
-// another member had done so already.
-func (g *Gossip) onSilent(peer target, claimedDead bool, pauses int, begin, now time.Time) {
+// onUnreachable marks an unreachable member as Suspect, or as Dead if another member had
+// already declared it dead.
+func (g *Gossip) onUnreachable(peer target, claimedDead bool, pauses int, begin, now time.Time) {
 	g.mu.Lock()
 	if g.pauses == pauses && g.table.suspect(peer.id, peer.seq, begin, now) {
 		if claimedDead {
@@ -187,16 +191,16 @@
 	g.wakeLoop()
 }
 
-// onReplaced drops a member whose address another incarnation answers for.
+// onReplaced marks a member dead if another incarnation answers at its address.
 //
-// The failure: a group that was cut off was restarted, and those who tried the
-// old incarnations reached the new ones, which they didn't know, and left it
-// at that. A process that answers and is a stranger here as we are there is
-// met by a sync.
+// If neither process knows the other, onReplaced also starts a sync. Without it, a group
+// that was restarted while it was partitioned stayed separate: the other members probed
+// the old incarnations and reached the new ones, which they didn't know, but took no
+// further action.
 //
-// The death is not told: all learn of it with the new incarnation, which holds
-// the address. Those who heard of the death first doubted it, and each of 560
-// dialled the one that had just started.
+// The death is not sent as a rumor: all members learn of it with the new incarnation,
+// which holds the address. Members that received the death first doubted it, and each of
+// 560 dialled the process that had just started.
 func (g *Gossip) onReplaced(peer target, reply *Message) {
 	g.mu.Lock()
 	known := g.table.rows[rawID(reply.From)] != nil
--- a/membership/rows.go
+++ b/membership/rows.go
@@ -10,25 +10,26 @@
 type record struct {
 	id memberID
 	m  Member
-	// shown is the copy of m that readers have, nil after a change.
-	shown *Member
-	// deadline ends a suspicion, or the memory of a dead member.
+	// published is the copy of m in the published snapshot, nil after a change.
+	published *Member
+	// deadline is the end of a suspicion, or the time at which a gone member is
+	// forgotten.
 	deadline time.Time
-	// heard is when the member last answered this process.
-	heard time.Time
+	// lastAnswer is the time of the member's last answer to this process.
+	lastAnswer time.Time
 }
 
-// setSeq changes a Seq together with the digest.
+// setSeq changes the Seq of a row and updates the digest.
 func (t *table) setSeq(row *record, seq uint64) {
 	if !row.m.State.gone() {
-		t.hash(row.id, row.m.Seq)
-		t.hash(row.id, seq)
+		t.toggleDigest(row.id, row.m.Seq)
+		t.toggleDigest(row.id, seq)
 	}
 	row.m.Seq = seq
-	t.touch(row)
+	t.markChanged(row)
 }
 
-// setState moves a row to another state at the same Seq.
+// setState changes the state of a row at the same Seq.
 func (t *table) setState(row *record, state State, now time.Time) {
 	if row.m.State == state {
 		return
@@ -37,7 +38,7 @@
 		t.retire(row)
 	}
 	row.m.State = state
-	t.touch(row)
+	t.markChanged(row)
 	switch state {
 	case Suspect:
 		t.counts.suspicions++
@@ -50,7 +51,7 @@
 	}
 }
 
-// insert adds a row that is not gone, or that is no longer.
+// insert adds a new row that is not gone, or one that has just come back.
 func (t *table) insert(row *record) {
 	if t.rows[row.id] == nil {
 		i, _ := t.find(row.id)
@@ -58,25 +59,26 @@
 	}
 	t.rows[row.id] = row
 	t.alive++
-	t.hash(row.id, row.m.Seq)
-	if _, taken := t.holder[row.m.GossipAddr]; !taken {
-		t.holder[row.m.GossipAddr] = row.id
+	t.toggleDigest(row.id, row.m.Seq)
+	if _, occupied := t.holderByAddr[row.m.GossipAddr]; !occupied {
+		t.holderByAddr[row.m.GossipAddr] = row.id
 	}
-	t.touch(row)
-	t.moved = true
+	t.markChanged(row)
+	t.membersChanged = true
 }
 
-// retire takes a row out of what counts members that are not gone.
+// retire removes a row from the count, the digest and the address index of the members
+// that are not gone.
 func (t *table) retire(row *record) {
 	t.alive--
-	t.hash(row.id, row.m.Seq)
-	if t.holder[row.m.GossipAddr] == row.id {
-		delete(t.holder, row.m.GossipAddr)
+	t.toggleDigest(row.id, row.m.Seq)
+	if t.holderByAddr[row.m.GossipAddr] == row.id {
+		delete(t.holderByAddr, row.m.GossipAddr)
 	}
-	t.moved = true
+	t.membersChanged = true
 }
 
-// forget removes a row.
+// forget removes a row from the table.
 func (t *table) forget(row *record) {
 	if !row.m.State.gone() {
 		t.retire(row)
@@ -85,24 +87,25 @@
 	if i, ok := t.find(row.id); ok {
 		t.order = slices.Delete(t.order, i, i+1)
 	}
-	t.changed = true
+	t.snapshotStale = true
 }
 
-// find returns where a member is, or would be, in the order by ID.
+// find returns the index of a member in the order by ID, or the index at which it would
+// be inserted.
 func (t *table) find(id memberID) (int, bool) {
 	return slices.BinarySearchFunc(t.order, id, func(row *record, id memberID) int {
 		return slices.Compare(row.id[:], id[:])
 	})
 }
 
-// touch makes readers see a change of a row.
-func (t *table) touch(row *record) {
-	row.shown = nil
-	t.changed = true
+// markChanged invalidates the row's published copy, so that readers see the change.
+func (t *table) markChanged(row *record) {
+	row.published = nil
+	t.snapshotStale = true
 }
 
-// evictGone makes room by forgetting the gone member that would be forgotten
-// first.
+// evictGone frees a row by forgetting the gone member with the earliest deadline, and
+// reports whether there was one.
 func (t *table) evictGone() bool {
 	var oldest *record
 	for _, row := range t.rows {
@@ -117,9 +120,10 @@
 	return true
 }
 
-// hash folds a row in or out of its bucket's digest. The digest covers the
-// members that are not gone: tombstones expire at different times.
-func (t *table) hash(id memberID, seq uint64) {
+// toggleDigest adds a row to its bucket's digest, or removes it. The digest covers only
+// the members that are not gone, because tombstones expire at different times on
+// different members.
+func (t *table) toggleDigest(id memberID, seq uint64) {
 	x := position(id, seq)
 	t.digest[bucketOf(id)] ^= uint32(x)
 }
@@ -143,7 +147,8 @@
 	return b
 }
 
-// differing returns which buckets a peer's digests don't match.
+// differing returns the buckets whose digests differ from the peer's, and whether there
+// are any.
 func (t *table) differing(peer []byte) (set [bucketCount]bool, any bool) {
 	if len(peer) != bucketCount*bucketBytes {
 		return set, false
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// syncNext compares tables with a random living member, or with one that was
-// seen to know far more. The lock is held.
+// syncNext prepares a sync with a random living member, or with a member that knows far
+// more members. The lock is held.
 func (g *Gossip) syncNext() func() {
-	picked := g.addrs([]memberID{g.ahead})
-	g.ahead = memberID{}
+	picked := g.addrs([]memberID{g.largerPeer})
+	g.largerPeer = memberID{}
 	if len(picked) == 0 {
 		picked = g.addrs(sample(g.cfg.Rand, g.syncPeers(), 1))
 	}
@@ -22,29 +22,30 @@
 	}
 }
 
-// syncAcross is how many syncs there are for each that may leave the availability
-// zone. What one member of a zone learns elsewhere the others learn from it.
-const syncAcross = 4
+// crossZoneSyncDivisor is the number of syncs for each one that may leave the
+// availability zone. The other members of the zone learn from each other what one of them
+// learns from outside.
+const crossZoneSyncDivisor = 4
 
-// syncPeers are those to compare tables with. The lock is held.
+// syncPeers returns the candidates for a sync. The lock is held.
 func (g *Gossip) syncPeers() []memberID {
-	if near := g.table.livingInZone(); len(near) > 0 && g.cfg.Rand.IntN(syncAcross) > 0 {
+	if near := g.table.livingInZone(); len(near) > 0 && g.cfg.Rand.IntN(crossZoneSyncDivisor) > 0 {
 		return near
 	}
 	return g.table.living()
 }
 
-// heal tries a random dead member, so that two halves of a network that took
-// each other for dead find together again. If it answers, both sides learn
-// from the exchange that they were taken for dead, and refute. Those whose
-// address another member has taken over are not tried: with one of them in 560
-// tables its successor was dialled 56 times a second. The lock is held.
+// heal probes a random dead member, so that two partition sides that believe each other
+// dead merge again. If the member answers, both sides learn from the exchange that they
+// were declared dead, and refute the claim. Members whose address another member has
+// taken over are not probed: when one such member was in 560 tables, its successor was
+// dialled 56 times a second. The lock is held.
 func (g *Gossip) heal() func() {
 	var dead []memberID
 	for _, row := range g.table.order {
-		_, replaced := g.table.holder[row.m.GossipAddr]
-		tried := row.m.State == Dead || row.m.State == Left && g.cfg.TryLeft
-		if tried && !replaced {
+		_, replaced := g.table.holderByAddr[row.m.GossipAddr]
+		eligible := row.m.State == Dead || row.m.State == Left && g.cfg.TryLeft
+		if eligible && !replaced {
 			dead = append(dead, row.id)
 		}
 	}
@@ -52,24 +53,24 @@
 		return nil
 	}
 	id := dead[g.cfg.Rand.IntN(len(dead))]
-	// The claim has one that left probed as well: what is looked for is who has
-	// its address now.
+	// probeOf probes a member that left only if the claim is newer than the row. The
+	// purpose of the probe is to find the process that has the member's address now.
 	return g.probeOf(id, Entry{Seq: g.table.rows[id].m.Seq + 1})
 }
 
-// syncWith compares tables with a peer and exchanges what differs: a little
-// at a time, because what one sync leaves the next ones take up, but
-// everything if the peer knows far more members. While there are differences
-// the next sync comes sooner. It returns whether the peer answered.
+// syncWith compares tables with a peer and exchanges the differences. One sync exchanges
+// a limited part, and the following syncs the rest, unless the peer knows far more
+// members: then syncWith fetches the complete table. While differences remain, the next
+// sync is scheduled sooner. It reports whether the peer answered.
 func (g *Gossip) syncWith(peer target) (answered bool) {
 	reply, err := g.syncBothWays(peer)
 	if err != nil {
 		return false
 	}
-	if g.settled(reply) {
+	if g.tablesEqual(reply) {
 		return true
 	}
-	if g.lags(reply.Size) && !g.joining.Swap(true) {
+	if g.knowsFewer(reply.Size) && !g.joining.Swap(true) {
 		g.joinThrough(peer, reply)
 		g.joining.Store(false)
 	}
@@ -77,33 +78,33 @@
 	return true
 }
 
-// syncBothWays makes one comparison and tells the peer what it lacks.
+// syncBothWays makes one comparison and sends the peer the entries that it lacks.
 func (g *Gossip) syncBothWays(peer target) (*Message, error) {
 	reply, err := g.syncOnce(peer, nil)
 	if err != nil {
 		return nil, err
 	}
 	g.mu.Lock()
-	lacks := g.missingFrom(reply)
+	missing := g.rowsMissingAt(reply)
 	g.mu.Unlock()
-	if len(lacks) > 0 {
-		_, err = g.syncOnce(peer, lacks)
+	if len(missing) > 0 {
+		_, err = g.syncOnce(peer, missing)
 	}
 	return reply, err
 }
 
-// isNews reports whether the claims of a message are to be passed on.
+// shouldForward reports whether the claims of a message should be forwarded as rumors.
 //
-// The failure: a process that joined took each member that a sync told it of
-// for news, and told its neighbours, who had known them all for long. 48 that
-// joined at once cost every member of 560 more than a hundred kilobytes, and
-// those that joined a megabyte each. Where a sync brings much, others miss as
-// much and find it by their own syncs.
-func isNews(kind Kind, entries []Entry) bool {
+// A large sync must not be forwarded. A joining process treated each member it learned by
+// sync as news and sent it to its neighbours, which had known all of them for a long
+// time. 48 processes that joined at once cost every member of 560 more than a hundred
+// kilobytes, and the joining ones a megabyte each. Members that miss as much as a large
+// sync contains get it by their own syncs.
+func shouldForward(kind Kind, entries []Entry) bool {
 	return kind != KindSync || len(entries) <= maxDescribed
 }
 
-// syncSoon plans the next sync while there are differences.
+// syncSoon schedules the next sync early because differences remain.
 func (g *Gossip) syncSoon() {
 	g.mu.Lock()
 	g.due.sync = g.cfg.Clock().Add(g.jitter(2 * g.cfg.Interval))
@@ -111,7 +112,7 @@
 	g.wakeLoop()
 }
 
-// syncOnce makes one exchange.
+// syncOnce makes one sync exchange, with digests if there are no entries to send.
 func (g *Gossip) syncOnce(peer target, entries []Entry) (*Message, error) {
 	m := &Message{Kind: KindSync, Entries: entries}
 	if len(entries) == 0 {
@@ -119,18 +120,18 @@
 		m.Buckets, m.Size = g.table.buckets(), uint32(g.table.alive)
 		g.mu.Unlock()
 	}
-	return g.ask(g.ctx, 2*g.patience().wait, peer, m)
+	return g.exchangeWithin(g.ctx, 2*g.timeouts().wait, peer, m)
 }
 
-// settled reports whether the reply left no difference.
-func (g *Gossip) settled(reply *Message) bool {
+// tablesEqual reports whether the tables are equal after the reply.
+func (g *Gossip) tablesEqual(reply *Message) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_, differs := g.table.differing(reply.Buckets)
 	return !differs
 }
 
-// answerSync adds the rows of differing buckets, whole buckets at a time, as
+// answerSync adds the rows of differing buckets to the reply, complete buckets only, as
 // far as they fit. The lock is held.
 func (g *Gossip) answerSync(reply, request *Message) {
 	reply.Buckets, reply.Size = g.table.buckets(), uint32(g.table.alive)
@@ -138,17 +139,18 @@
 	if !differs {
 		return
 	}
-	if g.table.alive+maxDescribed < int(request.Size) && g.ahead == (memberID{}) {
-		// Those that join together know each other best. The one who asks can
-		// tell this process of the rest.
-		g.ahead = rawID(request.From)
+	if g.table.alive+maxDescribed < int(request.Size) && g.largerPeer == (memberID{}) {
+		// Processes that join together learn each other first. The requesting peer knows
+		// more members, so this process syncs with it next.
+		g.largerPeer = rawID(request.From)
 		g.due.sync = time.Time{}
 	}
-	reply.Entries = append(reply.Entries, g.rowsOf(set, 2*g.cfg.RumorBytes)...)
+	reply.Entries = append(reply.Entries, g.rowsInBuckets(set, 2*g.cfg.RumorBytes)...)
 }
 
-// rowsOf returns the claims of some buckets. The lock is held.
-func (g *Gossip) rowsOf(set [bucketCount]bool, room int) []Entry {
+// rowsInBuckets returns the claims of the given buckets, up to about bytesLeft bytes. The
+// lock is held.
+func (g *Gossip) rowsInBuckets(set [bucketCount]bool, bytesLeft int) []Entry {
 	var byBucket [bucketCount][]Entry
 	for id, row := range g.table.rows {
 		b := bucketOf(id)
@@ -166,9 +168,9 @@
 	for i := range bucketCount {
 		bucket := byBucket[(first+i)%bucketCount]
 		for j := range bucket {
-			room -= bucket[j].size()
+			bytesLeft -= bucket[j].size()
 		}
-		if (room < 0 && len(out) > 0) || len(out)+len(bucket) > maxEntries {
+		if (bytesLeft < 0 && len(out) > 0) || len(out)+len(bucket) > maxEntries {
 			break
 		}
 		out = append(out, bucket...)
@@ -176,39 +178,39 @@
 	return out
 }
 
-// missingFrom returns the own rows that a replier shows to lack: those of a
-// bucket that it sent and in which it has them older or not at all. The lock
-// is held.
-func (g *Gossip) missingFrom(reply *Message) []Entry {
+// rowsMissingAt returns the rows that the replier lacks or has in an older version. It
+// covers the buckets that the replier sent, and those that are empty at the replier. The
+// lock is held.
+func (g *Gossip) rowsMissingAt(reply *Message) []Entry {
 	set, differs := g.table.differing(reply.Buckets)
 	if !differs {
 		return nil
 	}
-	shown := make(map[string]*Entry, len(reply.Entries))
+	received := make(map[string]*Entry, len(reply.Entries))
 	var sent [bucketCount]bool
 	for i := range reply.Entries {
 		e := &reply.Entries[i]
-		shown[e.ID] = e
+		received[e.ID] = e
 		sent[bucketOf(rawID(e.ID))] = true
 	}
 	var empty [bucketCount * bucketBytes]byte
 	for b := range set {
-		unused := [bucketBytes]byte(reply.Buckets[b*bucketBytes:]) == [bucketBytes]byte(empty[:])
-		set[b] = set[b] && (sent[b] || unused)
+		emptyAtPeer := [bucketBytes]byte(reply.Buckets[b*bucketBytes:]) == [bucketBytes]byte(empty[:])
+		set[b] = set[b] && (sent[b] || emptyAtPeer)
 	}
 	var out []Entry
-	for _, e := range g.rowsOf(set, 2*g.cfg.RumorBytes) {
-		theirs := shown[e.ID]
+	for _, e := range g.rowsInBuckets(set, 2*g.cfg.RumorBytes) {
+		theirs := received[e.ID]
 		if theirs == nil || newer(e.Seq, e.State, theirs.Seq, theirs.State) {
 			out = append(out, e)
 		}
 	}
-	return briefly(out)
+	return shortenIfMany(out)
 }
 
-// briefly leaves out the descriptions if there are many; a peer asks for those
-// that it lacks.
-func briefly(entries []Entry) []Entry {
+// shortenIfMany removes the descriptions if there are many entries; the peer requests the
+// descriptions that it lacks.
+func shortenIfMany(entries []Entry) []Entry {
 	if len(entries) <= maxDescribed {
 		return entries
 	}
--- /dev/null
+++ b/membership/timeouts.go
@@ -0,0 +1,59 @@
+package membership
+
+import "time"
+
+const (
+	// maxTimeoutFactor is the maximum probe timeout in multiples of ProbeTimeout. An
+	// overload delays the detection of a dead member by the same factor.
+	maxTimeoutFactor = 4
+	// lateAnswerFactor is the timeout of the following probes in multiples of the slowest
+	// late answer.
+	lateAnswerFactor = 2
+	// timeoutDecayDivisor divides the extra timeout into the part that one prompt answer
+	// takes away: at two answers a second half of it is gone after 3 s.
+	timeoutDecayDivisor = 8
+	// lateLegs * ProbeTimeout is the total time for which an answer is awaited. It is
+	// above the longest wait, and long enough that a connection which is new
+	// in an overload gets its first answer before it is considered broken:
+	// opening the next one costs more than the answer.
+	lateLegs = 10
+	// meanWeight is the weight of past answers in the moving average of answer times.
+	meanWeight = 7
+)
+
+// timeouts adapts the probe timeout (wait), which is at least Config.ProbeTimeout
+// (least), to the time that answers take; mean is their moving average. Only
+// answers change it: the dead and the unreachable make nobody wait longer, but
+// members that answer late do, since they are alive and short of processors,
+// as this process may be itself.
+//
+// With a fixed timeout, exchanges took longer than ProbeTimeout for some seconds. Each
+// was given up, probed again through others and raised a suspicion, which cost
+// more than answering, so that all later answers were late as well. The fleet
+// never left this state, though it needed a tenth of its processors at rest.
+type timeouts struct {
+	least time.Duration
+	wait  time.Duration
+	mean  time.Duration
+}
+
+func newTimeouts(least time.Duration) timeouts { return timeouts{least: least, wait: least} }
+
+// observe records the duration of one answered exchange.
+func (p *timeouts) observe(took time.Duration) {
+	p.mean = (p.mean*meanWeight + took) / (meanWeight + 1)
+	p.wait -= (p.wait - p.least) / timeoutDecayDivisor
+	p.wait = min(max(p.wait, lateAnswerFactor*took), maxTimeoutFactor*p.least)
+}
+
+// lateLimit is the total time an answer is awaited. One that comes after its probe
+// was given up is a sign of life. A connection that is silent for longer is closed.
+func (p timeouts) lateLimit() time.Duration {
+	return lateLegs * p.least
+}
+
+// stretch extends the duration of a suspicion in proportion to the current timeout,
+// because the suspect may answer as late as other members do.
+func (p timeouts) stretch(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * float64(p.wait) / float64(p.least))
+}
--- a/membership/view.go
+++ b/membership/view.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// view is an immutable snapshot for readers. The list of members is built by
-// the first reader: in a storm there are many more changes than readers.
+// view is an immutable snapshot for readers. The first reader builds the list of living
+// members: during a burst of changes there are many more changes than reads.
 type view struct {
-	all    []*Member // by ID, gone members included
+	all    []*Member // by ID, including gone members
 	states [Left + 1]int
 
 	once   sync.Once
@@ -25,9 +25,10 @@
 	return v.living
 }
 
-// unlockAndPublish ends a change: readers see it, then subscribers are told.
+// unlockAndPublish publishes a new snapshot if the table changed, releases the lock and
+// then calls the subscribers.
 func (g *Gossip) unlockAndPublish() {
-	changed := g.table.changed
+	changed := g.table.snapshotStale
 	if changed {
 		g.publish()
 	}
@@ -45,14 +46,14 @@
 func (g *Gossip) publish() {
 	v := &view{all: make([]*Member, len(g.table.order))}
 	for i, row := range g.table.order {
-		if row.shown == nil {
+		if row.published == nil {
 			shown := row.m
-			row.shown = &shown
+			row.published = &shown
 		}
-		v.all[i] = row.shown
+		v.all[i] = row.published
 		v.states[row.m.State]++
 	}
-	g.table.changed = false
+	g.table.snapshotStale = false
 	g.view.Store(v)
 	g.version.Add(1)
 }
