--- a/config/accepted_test.go
+++ b/config/accepted_test.go
@@ -10,9 +10,9 @@
 	"pollengauge.dev/config"
 )
 
-// A set is over a bound of this build that the one which accepted it did not
-// have. Refused by nodes, it would be missing on all of them, and so would every
-// later version; refused where it is submitted, its operator is told.
+// Another build accepted a Set that exceeds limits of this build. If nodes enforced
+// the limits, they would all reject it and every later version; on submission the
+// operator sees the error.
 func TestNodesTakeWhatIsOverTheBoundsOfSubmitting(t *testing.T) {
 	c := qt.New(t)
 	set := routedSet()
@@ -41,7 +41,7 @@
 	c.Check(hearing.Current().Route("h.example", "/customer-4000/x"), qt.IsNotNil)
 }
 
-// A peer that sends without end must not fill a node's memory.
+// A peer that sends an oversized Set must not fill the memory of a node.
 func TestEndlessSetsAreRefused(t *testing.T) {
 	c := qt.New(t)
 	_, err := config.NewStore().Offer(make([]byte, config.MaxHeld+1), config.SourcePeer)
--- a/config/apply.go
+++ b/config/apply.go
@@ -11,57 +11,61 @@
 )
 
 const (
-	// DefaultAttempts is how many writes Apply sends before it gives up.
+	// DefaultAttempts is the default number of writes that Apply sends before it
+	// gives up.
 	DefaultAttempts = 5
 
 	idBase = 36
 )
 
-// applyBackoff spaces the attempts of one Apply, while an operator waits.
+// applyBackoff is the delay between attempts of one Apply. It is short because an
+// operator waits for the result.
 var applyBackoff = objects.Backoff{Base: 100 * time.Millisecond, Max: 2 * time.Second}
 
-// ApplyOptions describes one change.
+// ApplyOptions describes one change to the configuration.
 type ApplyOptions struct {
-	// ExpectVersion is the stored version that the change was made from, 0
-	// if none was stored. Any other stored version is a *RaceError.
+	// ExpectVersion is the stored version that the change is based on, 0 if none is
+	// stored. If the stored version differs, Apply returns a *RaceError.
 	ExpectVersion uint64
-	// Above raises the new version over what nodes already have in force.
-	// It matters only after the platform lost its data: without it, nodes
-	// would ignore the new Set until its version has caught up.
+	// Above is the highest version that is known to be active on nodes; the new
+	// version is higher. It is needed only after the platform lost its data:
+	// otherwise nodes would ignore new Sets until the stored version exceeds
+	// theirs.
 	Above uint64
-	// ChangeID makes a repeated Apply of the same change safe. Empty means a
-	// random one, which is in the Result and in every ApplyError.
+	// ChangeID makes a repeated Apply of the same change idempotent. If empty, a
+	// random id is generated and returned in Result or ApplyError.
 	ChangeID string
 	Author   string
 	Comment  string
-	// Now is the time that the change is recorded with.
+	// Now is the time recorded with the change.
 	Now time.Time
-	// Attempts bounds the writes sent; 0 means DefaultAttempts. More ride
-	// out longer faults and keep the operator waiting.
+	// Attempts limits the number of writes; 0 means DefaultAttempts. More attempts
+	// survive longer outages but make the operator wait longer.
 	Attempts int
-	// Rand is the source of change ids and jitter. Nil means a randomly
-	// seeded one.
+	// Rand is the source of change ids and backoff jitter. Nil means a randomly
+	// seeded source.
 	Rand *rand.Rand
 }
 
 // Result describes a change that took effect.
 type Result struct {
 	ChangeID string
-	// Version is what the change made.
+	// Version is the version that the change created.
 	Version uint64
-	// Current is the stored Set when the change was found to have taken
-	// effect. A version above Version means that another change followed.
+	// Current is the stored Set at the time the change was confirmed. If its
+	// version is higher than Version, another change has followed.
 	Current Set
-	// Settled is true if the change was found by reading back, because an
-	// answer was lost or the same change was applied before.
+	// Settled is true if the change was found in the stored Document, because the
+	// response to the write was lost or the same change had been applied before.
 	Settled bool
 }
 
-// Apply validates draft and makes it the next version. The version, change
-// id, author, comment and time in draft are replaced.
+// Apply validates draft and stores it as the next version. It replaces the version,
+// change id, author, comment and time in draft.
 //
-// Errors: *ValidationError (refused, nothing was sent), *RaceError,
-// *ChangeIDError, and *ApplyError with the fate of the change.
+// It returns a *ValidationError if draft is invalid (nothing was sent), a
+// *RaceError, a *ChangeIDError, or an *ApplyError, which states whether the change
+// may have taken effect.
 func Apply(ctx context.Context, store objects.Store, draft Set, opts ApplyOptions) (Result, error) {
 	p, err := newPublication(store, draft, opts)
 	if err != nil {
@@ -80,9 +84,10 @@
 	return p.write(ctx, document, object)
 }
 
-// Rollback makes the content of an earlier version the next version. Versions
-// only go up, so nodes take it like any other change. It returns what Apply
-// returns, or a *NoVersionError.
+// Rollback stores the content of an earlier version as the next version, so that
+// nodes, which accept only higher versions, accept it like any other change. It
+// returns the same results and errors as Apply, and a *NoVersionError if toVersion
+// is not stored.
 func Rollback(ctx context.Context, store objects.Store, toVersion uint64, opts ApplyOptions) (Result, error) {
 	document, err := Read(ctx, store)
 	if err != nil {
@@ -90,7 +95,8 @@
 	}
 	set, err := document.At(toVersion)
 	if err != nil {
-		// The version may have left the history since this change took effect.
+		// A repeated Rollback must find its own change even if later changes have
+		// pushed toVersion out of the history.
 		if change, done := document.change(opts.ChangeID); done {
 			return settled(change, document), nil
 		}
@@ -102,7 +108,7 @@
 	return Apply(ctx, store, set, opts)
 }
 
-// publication is one change on its way to the platform.
+// publication is a change that Apply is writing to the platform.
 type publication struct {
 	store   objects.Store
 	opts    ApplyOptions
@@ -146,9 +152,9 @@
 	}
 }
 
-// find looks for this change among those that took effect. Looking only at
-// the Set in force would miss a change that another one followed at once, and
-// its operator would apply it over theirs a second time.
+// find looks up this change in the recorded changes. Comparing only with the
+// current Set would miss a change that was immediately followed by another one, and
+// the operator would then apply it a second time and overwrite the other.
 func (p *publication) find(document Document) (result Result, found bool, err error) {
 	change, found := document.change(p.opts.ChangeID)
 	if !found {
@@ -164,13 +170,13 @@
 	return Result{ChangeID: change.ChangeID, Version: change.Version, Current: document.Set, Settled: true}
 }
 
-// write sends the same conditional write until its fate is known.
+// write repeats one conditional write until it is known whether it took effect.
 //
-// Failure: an answer is lost, and the write took effect, or still will, or
-// never. Symptom: a blind second write doubles the change, and giving up may
-// report a change as failed that is in force. Every attempt is conditional on
-// the one object version that was read, so at most one of them can take
-// effect, and a conflict shows the Document that tells whether one did.
+// When a response is lost, the write may have taken effect, may still do so, or may
+// never do so. An unconditional second write could apply the change twice, and
+// giving up could report an active change as failed. Every attempt is therefore
+// conditional on the same object version, so at most one can take effect, and a
+// conflict returns the Document that shows whether one did.
 func (p *publication) write(ctx context.Context, base Document, object objects.Object) (Result, error) {
 	_, value, err := base.followedBy(p.mine, p.content)
 	if err != nil {
@@ -205,9 +211,9 @@
 	return err
 }
 
-// settle decides by the Document that won. The object has moved on from the
-// version that all attempts were conditional on, so an attempt that is not in
-// the Document can't take effect any more.
+// settle determines the outcome from the Document that caused a conflict. The
+// object is no longer at the version that all attempts were conditional on, so a
+// change that is missing from the Document can't take effect any more.
 func (p *publication) settle(current objects.Object, fate Fate) (Result, error) {
 	document, err := DecodeDocument(current.Value)
 	if err != nil {
--- a/config/apply_test.go
+++ b/config/apply_test.go
@@ -15,7 +15,7 @@
 	"pollengauge.dev/standin"
 )
 
-// draft is a valid Set that differs by n.
+// draft returns a valid Set whose content depends on n.
 func draft(n int) config.Set {
 	set := config.Default()
 	set.Profiles[0].Deadline = config.Duration(time.Duration(n+1) * time.Second)
@@ -32,8 +32,8 @@
 	}
 }
 
-// scripted is a platform whose writes meet a planned fault each. It records
-// what took effect, as the oracle.
+// scripted is a platform that injects one planned fault per write. It records the
+// Sets that took effect, as the oracle of the tests.
 type scripted struct {
 	*standin.Memory
 	// before runs once, between the read and the write of an Apply.
@@ -47,10 +47,10 @@
 
 const (
 	fine  fault = "fine"
-	down  fault = "down"  // refused, no effect
-	drop  fault = "drop"  // takes effect, answer lost
-	lose  fault = "lose"  // no effect, no answer
-	delay fault = "delay" // no answer, takes effect later if it still can
+	down  fault = "down"  // rejected, no effect
+	drop  fault = "drop"  // takes effect, response lost
+	lose  fault = "lose"  // no effect, no response
+	delay fault = "delay" // no response, takes effect later unless a conflict prevents it
 )
 
 func newScripted(plan ...fault) *scripted {
@@ -99,7 +99,7 @@
 	return recorded()
 }
 
-// times counts how often a change took effect.
+// times returns how often the change with the given id took effect.
 func (s *scripted) times(id string) int {
 	n := 0
 	for _, set := range s.took {
@@ -110,20 +110,20 @@
 	return n
 }
 
-// inBubble runs test where pauses take no real time.
+// inBubble runs test in a synctest bubble, where delays take no real time.
 func inBubble(t *testing.T, test func(c *qt.C, ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) { test(qt.New(t), t.Context()) })
 }
 
-// The platform takes operator A's write and loses the answer. Before A's
-// retry arrives, operator B reads A's version and changes it. A must be told
-// that A's change took effect and that B's followed, and must not apply it
-// over B's: B's change would vanish without a trace.
+// The platform performs operator A's write but the response is lost. Before A
+// retries, operator B applies a change based on A's version. A must learn that its
+// change took effect and that another followed. If A applied it again, B's change
+// would be overwritten unnoticed.
 func TestLostAnswerThenAnotherOperator(t *testing.T) {
 	inBubble(t, func(c *qt.C, ctx context.Context) {
 		s := newScripted(drop)
 		s.before = func() {
-			// Arm the second hook, which runs before A's second attempt.
+			// Set the hook that runs before A's second attempt.
 			s.before = func() {
 				_, err := config.Apply(ctx, s, draft(2), options(1, "b"))
 				c.Check(err, qt.IsNil)
@@ -138,8 +138,8 @@
 	})
 }
 
-// Two operators change version 1 at once. The slower one is told so, with
-// both Sets, and nothing of its change is in force.
+// Two operators change version 1 at the same time. The slower one must get an error
+// with both Sets, and nothing of its change may become active.
 func TestRaceShowsBothSides(t *testing.T) {
 	inBubble(t, func(c *qt.C, ctx context.Context) {
 		s := newScripted()
@@ -157,9 +157,9 @@
 	})
 }
 
-// The platform goes down before, or in the middle of, a change. The operator
-// must be told whether it may be in force, and the same change id must settle
-// it later: also when the first write takes effect only then.
+// The platform fails before or during a change. The error must state whether the
+// change may have taken effect, and repeating it with the same change id must
+// resolve the outcome, even if the first write takes effect only later.
 func TestFateWhenThePlatformIsDown(t *testing.T) {
 	cases := []struct {
 		plan []fault
@@ -190,9 +190,9 @@
 	}
 }
 
-// More changes follow than the object remembers. An operator who comes back
-// with a lost change must not be told that it never took effect, since that
-// can't be known any more; and history stays within one object.
+// More changes follow than the object records. When an operator repeats a change of
+// unknown fate, the error must not claim that it never took effect, because that is
+// no longer known. The history must fit into one object.
 func TestHistoryIsBounded(t *testing.T) {
 	inBubble(t, func(c *qt.C, ctx context.Context) {
 		s := newScripted(drop)
@@ -218,10 +218,10 @@
 	})
 }
 
-// A bad change is in force and its operator rolls back. Nodes take only
-// higher versions, so the old content must come as a new one; a repeat after
-// a lost answer must not make another. After the platform lost its data, a
-// new Set must still rise above what the nodes run.
+// Nodes accept only higher versions, so a rollback must store the old content as a
+// new version, and a repeat after a lost response must not create another one.
+// After the platform lost its data, a new Set must get a version above the one
+// active on the nodes.
 func TestRollbackAndAbove(t *testing.T) {
 	inBubble(t, func(c *qt.C, ctx context.Context) {
 		s := newScripted()
--- a/config/applyerrors.go
+++ b/config/applyerrors.go
@@ -2,23 +2,24 @@
 
 import "strconv"
 
-// Fate says what is known of a change that was not reported as applied.
+// Fate states what is known about a change that was not reported as applied.
 type Fate string
 
-// The fates.
+// The values of Fate.
 const (
-	// FateNotApplied: this Apply changed nothing, and won't.
+	// FateNotApplied: this Apply changed nothing and will not change anything
+	// later.
 	FateNotApplied Fate = "not-applied"
-	// FateUnknown: a write was sent and its answer lost, and reading back
-	// failed too. Apply again with the same change id to settle it.
+	// FateUnknown: a write was sent, its response was lost, and reading the outcome
+	// back failed too. Repeat Apply with the same change id to learn the outcome.
 	FateUnknown Fate = "unknown"
 )
 
-// ApplyError means that a change could not be brought to an end.
+// ApplyError means that a change could not be completed or its outcome is unknown.
 type ApplyError struct {
 	ChangeID string
 	Fate     Fate
-	// Cause is the platform's last error.
+	// Cause is the last error of the platform.
 	Cause error
 }
 
@@ -30,17 +31,17 @@
 // Unwrap returns the cause.
 func (e *ApplyError) Unwrap() error { return e.Cause }
 
-// RaceError means that the stored version is not the one that the change was
-// made from, usually because another operator was faster. Nothing of Mine was
-// applied. Diff(Theirs, Mine) shows what a second try would change.
+// RaceError means that the stored version is not the one that the change was based
+// on, usually because another operator applied a change in the meantime. Nothing of
+// Mine was applied. Diff(Theirs, Mine) shows what a second attempt would change.
 type RaceError struct {
-	// Expected is the version that Mine was made from.
+	// Expected is the version that Mine was based on.
 	Expected uint64
 	Mine     Set
 	Theirs   Set
-	// Forgotten is true if so many changes followed Expected that the record
-	// of an earlier Apply with the same change id could be gone. This Apply
-	// changed nothing all the same.
+	// Forgotten is true if so many changes followed Expected that the record of an
+	// earlier Apply with the same change id may have been dropped. This Apply
+	// changed nothing in either case.
 	Forgotten bool
 }
 
@@ -51,10 +52,10 @@
 		" by " + strconv.Quote(e.Theirs.Author) + " (change " + e.Theirs.ChangeID + ")"
 }
 
-// ChangeIDError means that a change id was used for two different contents.
+// ChangeIDError means that a change id was reused for a change with other content.
 type ChangeIDError struct {
 	ChangeID string
-	// Version is what the change id made.
+	// Version is the version that the first change with this id created.
 	Version uint64
 }
 
@@ -64,10 +65,10 @@
 		strconv.FormatUint(e.Version, 10) + " with other content"
 }
 
-// NoVersionError means that a version is not kept.
+// NoVersionError means that the requested version is not in the history.
 type NoVersionError struct {
 	Version uint64
-	// Kept are the versions that Rollback could take.
+	// Kept lists the stored versions, to which Rollback can return.
 	Kept []uint64
 }
 
--- a/config/compiled.go
+++ b/config/compiled.go
@@ -7,7 +7,7 @@
 	"pollengauge.dev/customer"
 )
 
-// Compiled is a Set prepared for lookups on each call. It is immutable.
+// Compiled is a Set indexed for the lookups that each call needs. It is immutable.
 type Compiled struct {
 	set        Set
 	hash       string
@@ -20,20 +20,20 @@
 	priorities priorities
 }
 
-// rules are the assignments of one service.
+// rules are the assignments of one service, indexed by path prefix.
 type rules struct {
 	byPrefix map[string]*methods
-	// longest is the length of the longest prefix.
+	// longest is the length of the longest prefix, in bytes.
 	longest int
 }
 
-// methods are the assignments of one prefix.
+// methods are the assignments of one path prefix, indexed by HTTP method.
 type methods struct {
 	any      *Profile
 	byMethod map[string]*Profile
 }
 
-// Compile validates s and prepares it for Match.
+// Compile validates s and indexes it for Match.
 func Compile(s Set) (*Compiled, error) {
 	encoded, err := Encode(s)
 	if err != nil {
@@ -42,7 +42,8 @@
 	return compile(s, encoded), nil
 }
 
-// compile takes a valid Set. It copies what the caller could still change.
+// compile indexes a valid Set. It copies s, so that the caller may modify s
+// afterwards.
 func compile(s Set, encoded []byte) *Compiled {
 	s = s.clone()
 	c := &Compiled{
@@ -87,9 +88,9 @@
 }
 
 // Match returns the profile of a call. It never returns nil: a call that no
-// assignment matches has the profile named DefaultProfileName.
+// assignment matches has the profile DefaultProfileName.
 //
-// The path is taken decoded, as in url.URL.Path.
+// requestPath must be decoded, as url.URL.Path is.
 func (c *Compiled) Match(service, method, requestPath string) *Profile {
 	requestPath = cleaned(requestPath)
 	if p := c.services[service].match(method, requestPath); p != nil {
@@ -101,11 +102,11 @@
 	return c.fallback
 }
 
-// cleaned resolves dots and doubled slashes.
+// cleaned resolves dot segments and repeated slashes.
 //
-// Failure: an upstream that cleans paths serves /browse/../filings as a
-// filing, while the raw prefix says browsing. Symptom: a filing that is tried
-// twice. Most paths have nothing to resolve and skip the work.
+// An upstream that cleans paths handles /browse/../filings as a filing, while the
+// prefix of the raw path selects the browsing profile, under which the filing could
+// be retried. Most paths need no cleaning and return unchanged.
 func cleaned(requestPath string) string {
 	if strings.Contains(requestPath, "//") || strings.Contains(requestPath, "/.") {
 		return path.Clean(requestPath)
@@ -113,7 +114,8 @@
 	return requestPath
 }
 
-// match tries each prefix of whole segments, the longest first.
+// match tries the prefixes of requestPath that end at a segment boundary, longest
+// first.
 func (r *rules) match(method, requestPath string) *Profile {
 	if r == nil {
 		return nil
@@ -131,9 +133,9 @@
 	return r.byPrefix[""].match(method)
 }
 
-// cut returns the length of the longest prefix of whole segments that an
-// assignment could have. A path of many slashes so costs no more lookups
-// than the longest assignment has segments.
+// cut returns the length of the longest prefix of requestPath that ends at a
+// segment boundary and that an assignment could have. This bounds the lookups for a
+// path with many slashes by the number of segments of the longest assignment.
 func (r *rules) cut(requestPath string) int {
 	return strings.LastIndexByte(requestPath[:r.longest+1], '/')
 }
@@ -148,20 +150,20 @@
 	return m.any
 }
 
-// Profile returns the profile of that name, or nil. A hop below the root
-// uses it for the name in the call's context.
+// Profile returns the profile with the given name, or nil. Hops downstream of the
+// root use it to look up the profile named in the context of the call.
 func (c *Compiled) Profile(name string) *Profile { return c.byName[name] }
 
-// Version returns the Set's version.
+// Version returns the version of the Set.
 func (c *Compiled) Version() uint64 { return c.set.Version }
 
-// Hash returns the hash of the Set's encoding.
+// Hash returns the hash of the encoded Set, as the function Hash computes it.
 func (c *Compiled) Hash() string { return c.hash }
 
-// Limits returns the Set's limits.
+// Limits returns the limits of the Set.
 func (c *Compiled) Limits() Limits { return c.set.Limits }
 
-// Profiles returns all profiles. They must not be changed.
+// Profiles returns all profiles. Callers must not modify them.
 func (c *Compiled) Profiles() []Profile { return c.set.Profiles }
 
 // Set returns a copy of the Set.
--- a/config/compiled_test.go
+++ b/config/compiled_test.go
@@ -10,8 +10,8 @@
 	"pollengauge.dev/config"
 )
 
-// slowMatch is the rule as the reference states it: try every assignment and
-// keep the most specific one.
+// slowMatch is the reference for Match: it tries every assignment and selects the
+// most specific one.
 func slowMatch(set config.Set, service, method, path string) string {
 	best, profile := -1, config.DefaultProfileName
 	for _, a := range set.Assignments {
@@ -36,9 +36,9 @@
 	return profile
 }
 
-// A wrong profile turns a filing into something that may run twice. Match,
-// which looks up prefixes from the longest to the shortest, must agree with
-// the plain rule on every set and path.
+// A wrong profile can cause a filing to run twice. Match, which looks up prefixes
+// from the longest to the shortest, must agree with the reference for every set and
+// path.
 func TestMatchAgreesWithTheRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := rapid.SampledFrom([]string{"a", "b", "*"})
@@ -67,8 +67,9 @@
 	})
 }
 
-// A caller dresses a filing's path up as a browsing one, or sends a path of
-// many slashes. The first must not change the profile, the second not stall.
+// A caller disguises the path of a filing as a browsing path, or sends a path with
+// many slashes. The former must not select another profile, and the latter must not
+// stall the lookup.
 func TestMatchHostilePaths(t *testing.T) {
 	c := qt.New(t)
 	write := config.NewProfile("filing", 9)
--- a/config/customers.go
+++ b/config/customers.go
@@ -11,21 +11,23 @@
 	"pollengauge.dev/customer"
 )
 
-// Customers finds the customers of the Set.
+// Customers returns the directory that looks up customers of the Set by key.
 func (c *Compiled) Customers() *customer.Directory { return c.customers }
 
-// KeysUnknown tells that a key which no customer has may be that of one that could
-// not be read.
+// KeysUnknown reports whether some customers could not be read, so that a key which
+// matches no customer may still be valid.
 func (c *Compiled) KeysUnknown() bool { return c.set.CustomersMissing }
 
-// KeyRequired tells whether callers of a profile must send the key of a customer.
+// KeyRequired reports whether callers that use profile p must send the key of a
+// customer.
 func (c *Compiled) KeyRequired(p *Profile) bool {
 	return !p.Public && (!c.customers.Empty() || c.set.CustomersMissing)
 }
 
-// PriorityFor is that of a customer's request: the customer's priority goes before the
-// profile's. Without a customer it is the profile's, among those of the customers with
-// the least priority.
+// PriorityFor returns the priority of a request from the given customer with
+// profile p. The priority of the customer is compared first, then the priority of
+// the profile. A request without a customer ranks with the customers of the lowest
+// priority.
 func (c *Compiled) PriorityFor(of *customer.Customer, p *Profile) call.Priority {
 	least := c.priorities.least
 	if of != nil {
@@ -34,11 +36,11 @@
 	return c.priorities.of(least, p.Priority)
 }
 
-// priorities joins the priorities of customers and profiles to the ones by which
-// requests are shed.
+// priorities maps a customer priority and a profile priority to the combined
+// priority by which requests are shed.
 type priorities struct {
 	joined [customer.MaxPriority + 1][call.MaxPriority + 1]call.Priority
-	// least is the least priority of a customer.
+	// least is the lowest priority of any customer.
 	least int
 }
 
@@ -48,8 +50,9 @@
 
 func clampPriority(priority int) int { return min(max(priority, 0), int(call.MaxPriority)) }
 
-// joinPriorities gives each pair of priorities in use a place of its own, the
-// customer's first, as far as there are places; more pairs share them in their order.
+// joinPriorities assigns each pair of priorities in use a combined priority,
+// ordered by the customer first. If there are more pairs than priorities,
+// neighbouring pairs share one and the order is kept.
 func joinPriorities(customers []customer.Customer, profiles []Profile) priorities {
 	var usedBy, usedOf [call.MaxPriority + 1]bool
 	for i := range customers {
@@ -65,7 +68,7 @@
 	const highest = int(call.MaxPriority)
 	for i := range p.joined {
 		for j := range p.joined[i] {
-			// Places are counted from the top.
+			// Ranks are counted from the highest priority.
 			place := by.place[i]*max(of.count, 1) + of.place[j]
 			switch {
 			case by.count <= 1:
@@ -80,7 +83,7 @@
 	return p
 }
 
-// ranks has, for each priority, how many of those in use are above it.
+// ranks holds, for each priority, the number of higher priorities in use.
 type ranks struct {
 	place [call.MaxPriority + 1]int
 	count int
@@ -126,7 +129,8 @@
 	return err
 }
 
-// readDigest never shows the text: it may be a key that was put in a digest's place.
+// readDigest never includes the value in its error: an operator may have entered a
+// key where its digest belongs.
 func readDigest(n *yaml.Node, at string, d *customer.Digest) error {
 	if n.Kind != yaml.ScalarNode || d.UnmarshalText([]byte(n.Value)) != nil {
 		return &ParseError{Line: n.Line, Field: at, Value: "(not shown)", Want: "the digest of a key in quotes, as pollengauge api-key prints it"}
@@ -134,7 +138,7 @@
 	return nil
 }
 
-// shownDigits are the characters of a digest by which people tell keys apart.
+// shownDigits is the number of leading characters of a digest that a diff shows.
 const shownDigits = 8
 
 func customerItems(s Set) []item {
@@ -154,7 +158,7 @@
 	return items
 }
 
-// cloneCustomers returns a copy that shares no memory with list.
+// cloneCustomers returns a deep copy of list.
 func cloneCustomers(list []customer.Customer) []customer.Customer {
 	list = slices.Clone(list)
 	for i := range list {
--- a/config/customers_bench_test.go
+++ b/config/customers_bench_test.go
@@ -8,7 +8,7 @@
 	"pollengauge.dev/customer"
 )
 
-// manyCustomers is a set with so many customers of ten keys.
+// manyCustomers returns a Set with count customers of ten keys each.
 func manyCustomers(count int) Set {
 	set := Default()
 	set.Version = 1
@@ -22,8 +22,8 @@
 	return set
 }
 
-// BenchmarkCustomersInForce is what a node spends on putting a version in force that a
-// peer passed on, and holds afterwards.
+// BenchmarkCustomersInForce measures the time to activate a version received from a
+// peer, and the memory used afterwards.
 func BenchmarkCustomersInForce(b *testing.B) {
 	for _, count := range []int{78, 20_000} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
--- a/config/default.go
+++ b/config/default.go
@@ -11,11 +11,11 @@
 var defaultSet = sync.OnceValue(func() Set {
 	s, err := Parse(defaultFile, YAML)
 	if err != nil {
-		panic(err) // A fault of the build; every test of the package meets it.
+		panic(err) // The embedded file is invalid; every test of this package would fail.
 	}
 	return s
 })
 
-// Default returns the embedded Set, version 0, which is in force on a node
-// until it hears of a stored one.
+// Default returns the embedded Set, version 0, which is active on a node until it
+// receives a stored one.
 func Default() Set { return defaultSet().clone() }
--- a/config/diff.go
+++ b/config/diff.go
@@ -5,29 +5,30 @@
 	"strings"
 )
 
-// DiffOp says what kind of difference a Difference is.
+// DiffOp is the kind of a Difference.
 type DiffOp string
 
-// The kinds of difference.
+// The values of DiffOp.
 const (
 	Added   DiffOp = "added"
 	Removed DiffOp = "removed"
 	Changed DiffOp = "changed"
 )
 
-// Difference is one way in which two Sets differ. Profiles are told apart by
-// name and assignments by what they match, so order makes no difference.
+// Difference is one difference between two Sets. Profiles are matched by name and
+// assignments by what they match, so their order is not compared.
 type Difference struct {
 	Op DiffOp
-	// Path is such as profiles[filing].deadline or
+	// Path names the part or field, for example profiles[filing].deadline or
 	// assignments[filing POST /cases].profile.
 	Path string
-	// From and To are the values; empty where the path was added or removed.
+	// From and To are the old and the new value. From is empty for an added path,
+	// To for a removed one.
 	From string
 	To   string
 }
 
-// String returns the difference on one line, as operators see it.
+// String formats the difference as one line for operators.
 func (d Difference) String() string {
 	switch d.Op {
 	case Added:
@@ -38,7 +39,7 @@
 	return "~ " + d.Path + ": " + d.From + " -> " + d.To
 }
 
-// FormatDiff returns the differences one on a line.
+// FormatDiff formats the differences, one per line.
 func FormatDiff(differences []Difference) string {
 	var out strings.Builder
 	for _, d := range differences {
@@ -48,9 +49,10 @@
 	return out.String()
 }
 
-// Diff returns what leads from Set a to Set b, in the order of b, with what
-// is only in a at the end of each part. Version, author, comment and time are
-// not compared.
+// Diff returns the differences from Set a to Set b. Each section (profiles,
+// assignments, routes, customers, limits) lists its parts in the order of b,
+// followed by the parts that only a has. Version, change id, author, comment and
+// time are not compared.
 func Diff(a, b Set) []Difference {
 	var out []Difference
 	out = diffItems(out, profileItems(a), profileItems(b))
@@ -60,7 +62,7 @@
 	return diffItems(out, limitItems(a), limitItems(b))
 }
 
-// item is one named part of a Set with its fields as text.
+// item is one named part of a Set, with its fields formatted as text.
 type item struct {
 	path   string
 	fields []field
@@ -93,7 +95,8 @@
 	return out
 }
 
-// diffFields compares two items of one path, which have the same fields.
+// diffFields compares two items with the same path, which always have the same
+// fields.
 func diffFields(out []Difference, from, to item) []Difference {
 	for i, f := range to.fields {
 		if old := from.fields[i].value; old != f.value {
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,32 +1,32 @@
-// Package config holds what operators decide: named profiles that say how a
-// kind of traffic is treated under pressure, and assignments that give each
-// service, method and path its profile.
+// Package config defines the configuration that operators maintain: named profiles,
+// which control how a kind of traffic is treated under overload, and assignments,
+// which map each service, method and path to a profile.
 //
-// Profiles and assignments form one Set with one version. Parse reads a Set
-// from YAML or JSON and refuses whatever is unknown, repeated, of the wrong
-// type or out of range; Validate lists every problem at once. Apply writes a
-// Set to the platform by conditional update, Rollback makes an old Set the
-// newest again, and Diff tells two Sets apart.
+// Profiles and assignments form one Set with one version. Parse reads a Set from
+// YAML or JSON and rejects fields that are unknown, repeated, of the wrong type or
+// out of range; Validate reports every problem at once. Apply writes a Set to the
+// platform with a conditional update, Rollback publishes an earlier Set as a new
+// version, and Diff compares two Sets.
 //
-// Each node keeps one Store. Offer takes an encoded Set, wherever it came
-// from, and puts it in force only if it is valid and its version is higher
-// than any that this Store took before. Match on the Compiled form finds the
-// profile of a call without locks or allocations. Follow keeps a Store up to
-// date from the platform, and Bootstrap fills the Store of a fresh node.
+// Each node has one Store. Offer receives an encoded Set from any source and
+// activates it only if it is valid and its version is higher than that of every Set
+// the Store accepted before. Match on the Compiled form finds the profile of a call
+// without locks or allocations. Follow updates a Store from the platform, and
+// Bootstrap fills the Store of a newly started node.
 //
-// # Promises
+// # Guarantees
 //
-//   - A Store's version never goes down.
-//   - A version that a Store took is never replaced by other content of the
-//     same version; the attempt is a *ForkError.
-//   - Apply and nodes run the same Validate, so a Set that nodes would refuse
-//     is refused before it is stored.
-//   - One change id takes effect at most once, also when the platform loses
-//     the answer to the write.
+//   - The version of a Store never decreases.
+//   - A version that a Store accepted is never replaced by other content with
+//     the same version number; such an offer returns a *ForkError.
+//   - Apply runs at least the checks that nodes run, so a Set that nodes would
+//     reject is rejected before it is stored.
+//   - A change id takes effect at most once, even when the response to the
+//     write is lost.
 //
 // # Concurrency
 //
-// Compiled is immutable and all its methods may be called concurrently. So
-// may all methods of Store. Set and Profile are plain values; a *Profile
-// returned by Match must not be changed.
+// Compiled is immutable. All methods of Compiled and of Store are safe for
+// concurrent use. Set and Profile are plain values; callers must not modify a
+// *Profile returned by Match.
 package config
--- a/config/document.go
+++ b/config/document.go
@@ -13,20 +13,20 @@
 	"pollengauge.dev/objects"
 )
 
-// The one object in which the platform holds the configuration.
+// The platform stores the configuration in a single object of this kind and name.
 const (
 	ObjectKind = "pollengauge-config"
 	ObjectName = "current"
 )
 
 const (
-	// MaxChanges is how many changes an object remembers by id.
+	// MaxChanges is the number of changes that a Document records.
 	MaxChanges = 64
-	// MaxHistory is how many earlier Sets an object keeps for Rollback.
+	// MaxHistory is the number of earlier Sets that a Document stores for Rollback.
 	MaxHistory = 16
 )
 
-// Change records one accepted change.
+// Change is the record of one accepted change.
 type Change struct {
 	Version  uint64    `json:"version"`
 	ChangeID string    `json:"changeId"`
@@ -37,37 +37,38 @@
 	Content string `json:"content"`
 }
 
-// Document is the value of the object: the Set in force, the changes that
-// led to it, and the Sets before it.
+// Document is the value of the platform's object: the current Set, the changes that
+// led to it, and earlier Sets.
 //
-// All three move in one conditional update. Separate history objects would
-// leave crash points between the writes, with a history entry that was never
-// in force or a version in force that is missing from the history.
+// One conditional update writes all three. With separate history objects, a crash
+// between two writes could leave a history entry that was never active, or an
+// active version that is missing from the history.
 type Document struct {
 	Set Set `json:"set"`
-	// Changes ends with the change that made Set; at most MaxChanges.
+	// Changes lists up to MaxChanges changes, oldest first; the last one made Set.
 	Changes []Change `json:"changes"`
-	// Earlier ends with the Set before; at most MaxHistory, fewer if the
-	// object would grow too large.
+	// Earlier lists up to MaxHistory earlier Sets, oldest first. It has fewer if
+	// the object would otherwise exceed the size limit of the platform.
 	Earlier []EarlierSet `json:"earlier,omitempty"`
 }
 
-// EarlierSet is a Set that is no longer in force.
+// EarlierSet is a Set that a later version has replaced.
 type EarlierSet struct {
 	Version uint64 `json:"version"`
-	// Gzip is the compressed encoding.
+	// Gzip is the canonical encoding of the Set, compressed with gzip.
 	Gzip []byte `json:"gzip"`
 }
 
-// Read returns the stored Document. Before the first Apply that is the
-// embedded default without changes. Errors are those of the platform, or an
-// *EncodingError or *ValidationError if the stored value can't be used.
+// Read returns the stored Document, or one with the embedded default and no changes
+// if nothing has been applied yet. It returns the errors of the platform, and an
+// *EncodingError or *ValidationError if the stored value is not usable.
 func Read(ctx context.Context, store objects.Store) (Document, error) {
 	document, _, err := load(ctx, store)
 	return document, err
 }
 
-// load also returns the object, of version 0 if there is none.
+// load returns the stored Document and its object, which has version 0 if it does
+// not exist.
 func load(ctx context.Context, store objects.Store) (Document, objects.Object, error) {
 	object, err := store.Get(ctx, ObjectKind, ObjectName)
 	if missing := (*objects.NotFoundError)(nil); errors.As(err, &missing) {
@@ -80,13 +81,14 @@
 	return document, object, err
 }
 
-// DecodeDocument reads the object's value and validates the Set in it.
+// DecodeDocument decodes the value of the object and validates the Set in it.
 //
-// The failure: a set with a field of a newer build is stored, and an older one
-// drops the field. Its nodes have the version in force with other content,
-// which the newer nodes take for a fork, and its `get` and `apply` lose the
-// field for all. The older build refuses the set and keeps the last one, as it
-// does with a set that a peer passes on. Around the Set, unknown fields pass.
+// It rejects a Set with unknown fields. Otherwise an older build would silently
+// drop a field that a newer build stored: its nodes would have other content under
+// the same version, which newer nodes report as a fork, and its `get` followed by
+// `apply` would delete the field for everyone. The older build keeps its last Set
+// instead, as it does for a Set from a peer. Unknown fields outside the Set are
+// ignored.
 func DecodeDocument(value []byte) (Document, error) {
 	var d Document
 	if err := json.Unmarshal(value, &d); err != nil {
@@ -107,8 +109,8 @@
 	return d, nil
 }
 
-// StoredVersion reads the version alone of the object's value, also where a newer
-// build wrote what this one can't use.
+// StoredVersion reads only the version from the value of the object. It works even
+// if a newer build wrote a Set that this build rejects.
 func StoredVersion(value []byte) (version uint64, ok bool) {
 	var d struct {
 		Set struct {
@@ -130,7 +132,8 @@
 	return decoder.Decode(new(Set))
 }
 
-// At returns the Set of that version, or a *NoVersionError.
+// At returns the Set of the given version, or a *NoVersionError if it is not
+// stored.
 func (d Document) At(version uint64) (Set, error) {
 	if version == d.Set.Version {
 		return d.Set, nil
@@ -145,7 +148,7 @@
 	return Set{}, &NoVersionError{Version: version, Kept: append(kept, d.Set.Version)}
 }
 
-// change returns the recorded change of that id.
+// change returns the recorded change with the given id.
 func (d Document) change(id string) (Change, bool) {
 	i := slices.IndexFunc(d.Changes, func(c Change) bool { return c.ChangeID == id })
 	if i < 0 {
@@ -154,12 +157,13 @@
 	return d.Changes[i], true
 }
 
-// recordsAfter reports whether Changes holds every change after version.
+// recordsAfter reports whether Changes includes every change made after version.
 func (d Document) recordsAfter(version uint64) bool {
 	return len(d.Changes) < MaxChanges || d.Changes[0].Version <= version+1
 }
 
-// followedBy returns the Document after the change to next, and its encoding.
+// followedBy returns the Document that results from replacing d.Set with next, and
+// its encoding.
 func (d Document) followedBy(next Set, content string) (Document, []byte, error) {
 	after := Document{Set: next}
 	after.Changes = append(slices.Clone(d.Changes), Change{
@@ -179,8 +183,9 @@
 	return after.fit()
 }
 
-// fit drops the oldest Sets until the value fits into one object. Set and
-// changes alone always fit: MaxEncoded and 64 records are below the limit.
+// fit drops the oldest Sets until the encoded Document fits into one object. The
+// Set and the changes alone always fit: MaxEncoded plus 64 change records are below
+// the limit.
 func (d Document) fit() (Document, []byte, error) {
 	for {
 		value, err := marshal(d)
@@ -204,10 +209,10 @@
 	var out bytes.Buffer
 	writer := gzip.NewWriter(&out)
 	if _, err := writer.Write(data); err != nil {
-		return EarlierSet{}, &EncodingError{Want: "bytes that gzip takes", Cause: err}
+		return EarlierSet{}, &EncodingError{Want: "a set that gzip can compress", Cause: err}
 	}
 	if err := writer.Close(); err != nil {
-		return EarlierSet{}, &EncodingError{Want: "bytes that gzip takes", Cause: err}
+		return EarlierSet{}, &EncodingError{Want: "a set that gzip can compress", Cause: err}
 	}
 	return EarlierSet{Version: s.Version, Gzip: out.Bytes()}, nil
 }
@@ -226,8 +231,9 @@
 		return Set{}, err
 	}
 	if s.Version != e.Version {
-		// An operator who goes back to one version must not get another.
-		return Set{}, &EncodingError{Want: "the set of the version that names it"}
+		// A rollback must not restore a Set of another version than the operator
+		// asked for.
+		return Set{}, &EncodingError{Want: "a history entry whose set has the version of the entry"}
 	}
 	return s, nil
 }
--- a/config/document_test.go
+++ b/config/document_test.go
@@ -14,9 +14,10 @@
 	"pollengauge.dev/config"
 )
 
-// FuzzDecodeDocument reads arbitrary bytes as the object that holds the
-// configuration and its history. Whatever they are, nothing panics, what is
-// taken is valid, and an earlier set is the one asked for or a typed error.
+// FuzzDecodeDocument decodes arbitrary bytes as the object that stores the
+// configuration and its history. Nothing may panic, an accepted Document must be
+// valid, and reading an earlier Set must return the requested version or a typed
+// error.
 func FuzzDecodeDocument(f *testing.F) {
 	set := config.Default()
 	set.Version = 4
@@ -64,7 +65,7 @@
 	c.Assert(errors.As(err, &encoding) || errors.As(err, &invalid), qt.IsTrue, qt.Commentf("%T %v", err, err))
 }
 
-// checkUsable demands that a node can put a set in force and pass it on as it is.
+// checkUsable checks that a node can activate s and forward it unchanged.
 func checkUsable(c *qt.C, s config.Set) {
 	c.Helper()
 	encoded, err := config.Encode(s)
--- a/config/encode.go
+++ b/config/encode.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// MaxEncoded is the largest Set that operators may submit, encoded, in bytes.
-	// With its history it travels in one object of the platform.
+	// MaxEncoded is the maximum size of an encoded Set that operators may submit,
+	// in bytes. A Set is stored in one object of the platform together with its
+	// history.
 	MaxEncoded = 512 << 10
-	// MaxHeld is the largest encoding that a node takes and passes on, in bytes.
-	// It protects a node's memory from a peer that sends without end, and is many
-	// times what a platform holds in one object.
+	// MaxHeld is the maximum size of an encoded Set that a node accepts and
+	// forwards, in bytes. It protects the memory of a node from a peer that sends
+	// without end, and is many times the size of an object on the platform.
 	MaxHeld = 16 << 20
 )
 
-// Encode checks that s can be put in force and returns its canonical encoding:
-// equal Sets give equal bytes, and Decode takes nothing else.
+// Encode checks that a node can use s and returns its canonical encoding: equal
+// Sets have equal encodings, and Decode accepts no other bytes.
 func Encode(s Set) ([]byte, error) {
 	if err := usable(s); err != nil {
 		return nil, err
@@ -42,12 +43,12 @@
 	return data, nil
 }
 
-// Decode reads a canonical encoding and validates the Set in it.
+// Decode decodes a canonical encoding and validates the Set in it.
 //
-// Failure: encoding/json lets unknown fields, repeated fields and odd letter
-// case pass, so two nodes of different builds could read one text as two
-// Sets. Symptom: one version, two behaviours. Requiring that the Set encodes
-// to the very same bytes leaves one reading.
+// encoding/json accepts unknown fields, repeated fields and field names in other
+// letter case, so nodes of different builds could decode the same bytes to
+// different Sets and behave differently under one version. Decode therefore
+// requires that the decoded Set encodes to exactly the same bytes.
 func Decode(data []byte) (Set, error) {
 	if len(data) > MaxHeld {
 		return Set{}, &EncodingError{Want: wantHeld}
@@ -72,7 +73,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// ContentHash identifies what s decides, without version, author and time.
+// ContentHash returns the hash of the profiles, assignments, routes, customers and
+// limits of s. It ignores the version, change id, author, comment and time.
 func (s Set) ContentHash() (string, error) {
 	content := Set{Profiles: s.Profiles, Assignments: s.Assignments, Routes: s.Routes, Customers: s.Customers, Limits: s.Limits}
 	data, err := marshal(content)
@@ -84,7 +86,7 @@
 
 const yamlIndent = 2
 
-// YAML returns s in the form that operators edit. Parse reads it back.
+// YAML returns s in the format that operators edit. Parse accepts it.
 func (s Set) YAML() ([]byte, error) {
 	var out bytes.Buffer
 	encoder := yaml.NewEncoder(&out)
--- a/config/errors.go
+++ b/config/errors.go
@@ -6,10 +6,10 @@
 	"unicode/utf8"
 )
 
-// maxShownValue is the most of a value that an error shows, in bytes.
+// maxShownValue is the maximum length of a value in an error text, in bytes.
 const maxShownValue = 60
 
-// ValueError is a single value that could not be read.
+// ValueError reports a value that could not be parsed.
 type ValueError struct {
 	Value string
 	Want  string
@@ -18,23 +18,23 @@
 // Error implements error.
 func (e *ValueError) Error() string { return shown(e.Value) + ": want " + e.Want }
 
-// Problem is one reason for which a Set is refused.
+// Problem is one reason why a Set is rejected.
 type Problem struct {
-	// Line is where in the file the field stands, or what encloses it if it
-	// was left out. It counts from 1; 0 when there is no file, or the problem
-	// concerns the Set as a whole.
+	// Line is the line of the field in the file, counted from 1, or of the
+	// enclosing object or list if the field is missing. It is 0 if there is no file
+	// or the problem concerns the Set as a whole.
 	Line  int
 	Path  string
 	Value string
 	Want  string
 }
 
-// String returns the problem on one line.
+// String formats the problem as one line.
 func (p Problem) String() string {
 	return atLine(p.Line, p.Path) + ": " + shown(p.Value) + ": want " + p.Want
 }
 
-// ValidationError lists everything that is wrong with a Set.
+// ValidationError lists all problems of a Set.
 type ValidationError struct {
 	Problems []Problem
 }
@@ -48,11 +48,11 @@
 	return "configuration refused: " + strings.Join(lines, "; ")
 }
 
-// EncodingError is a Set that can't be encoded, or one from a peer or the
-// platform whose bytes are not the one canonical encoding.
+// EncodingError reports a Set that can't be encoded, or bytes from a peer or the
+// platform that are not a canonical encoding.
 type EncodingError struct {
 	Want string
-	// Cause is the decoder's error, if it had one.
+	// Cause is the underlying error of the decoder or encoder, if any.
 	Cause error
 }
 
@@ -68,8 +68,8 @@
 // Unwrap returns the cause.
 func (e *EncodingError) Unwrap() error { return e.Cause }
 
-// ForkError is an offer of a version that the Store already has with other
-// content. The Store keeps what it has.
+// ForkError reports an offered Set that has the active version but other content.
+// The Store keeps its active Set.
 type ForkError struct {
 	Version       uint64
 	KeptHash      string
@@ -86,7 +86,7 @@
 		", refused " + e.OfferedHash + " of change " + e.OfferedChange + " from " + string(e.Source)
 }
 
-// atLine puts the line before a field, if it is known.
+// atLine prefixes field with its line number, if it is known.
 func atLine(line int, field string) string {
 	if line == 0 {
 		return field
@@ -94,8 +94,8 @@
 	return "line " + strconv.Itoa(line) + ": " + field
 }
 
-// shown quotes a value and shortens a long one, so that hostile input can't
-// fill a log.
+// shown quotes value and truncates a long one, so that malicious input can't flood
+// a log.
 func shown(value string) string {
 	if len(value) <= maxShownValue {
 		return strconv.Quote(value)
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -9,7 +9,7 @@
 	"pollengauge.dev/standin"
 )
 
-// An operator's file becomes a version, and a node puts it in force.
+// An operator's file becomes a new version, and a node activates it.
 func Example() {
 	file := []byte(`
 profiles:
--- a/config/follow.go
+++ b/config/follow.go
@@ -9,25 +9,27 @@
 	"pollengauge.dev/objects"
 )
 
-// FollowOptions sets up Follow. The zero value is usable.
+// FollowOptions configures Follow. The zero value is usable.
 type FollowOptions struct {
-	// OnError, if set, is told of failed calls and refused Sets.
+	// OnError, if set, is called with the errors of failed calls and of rejected
+	// Sets.
 	OnError func(error)
-	// Backoff spaces retries. A lower Max sees the first change after an
-	// outage sooner; a higher one spares the platform. Zero Max means
-	// DefaultFollowBackoff, which suits a handful of followers.
+	// Backoff is the delay between retries. A lower Max picks up the first change
+	// after an outage sooner; a higher Max reduces the load on the platform. Zero
+	// Max means DefaultFollowBackoff, which suits a handful of followers.
 	Backoff objects.Backoff
-	// Rand is the source of jitter; nil means a randomly seeded one.
+	// Rand is the source of jitter; nil means a randomly seeded source.
 	Rand *rand.Rand
 }
 
-// DefaultFollowBackoff is a follower's longest pause between failed calls, so that
-// a change accepted right after an outage is in force within seconds.
+// DefaultFollowBackoff is the default maximum delay between failed calls of a
+// follower. It is short, so that a change accepted right after an outage is active
+// within seconds.
 const DefaultFollowBackoff = 4 * time.Second
 
-// Follow watches the platform and offers every stored Set to s, until ctx is
-// done. Each follower costs the platform one waiting watch, so a few nodes
-// follow and the others hear from them by gossip.
+// Follow watches the platform and offers every stored Set to s until ctx is done.
+// Each follower holds one open watch on the platform, so only a few nodes follow
+// and the others learn of changes by gossip.
 func Follow(ctx context.Context, store objects.Store, s *Store, opts FollowOptions) {
 	if opts.Backoff.Max <= 0 {
 		opts.Backoff.Max = DefaultFollowBackoff
@@ -43,7 +45,7 @@
 	watcher.Run(ctx)
 }
 
-// offerEvent ignores a deletion: a Set that was accepted stays in force.
+// offerEvent ignores deletions: an accepted Set stays active.
 func (s *Store) offerEvent(event objects.Event, onError func(error)) {
 	if event.Type != objects.EventPut || event.Object.Name != ObjectName {
 		return
@@ -53,7 +55,8 @@
 	}
 }
 
-// OfferObject is Offer for the platform's object.
+// OfferObject decodes the platform's object and offers its Set, as Offer does for
+// an encoded Set.
 func (s *Store) OfferObject(object objects.Object) (bool, error) {
 	document, err := DecodeDocument(object.Value)
 	if err != nil {
@@ -62,33 +65,38 @@
 	return s.OfferSet(document.Set, SourcePlatform)
 }
 
-// Peer asks one other node for its encoded Set, as its Store.Encoded gives it.
+// Peer requests the encoded Set of another node, which that node reads with
+// Store.Encoded.
 type Peer func(ctx context.Context) ([]byte, error)
 
-// BootstrapResult tells what a fresh node heard.
+// BootstrapResult describes the responses that a newly started node received.
 type BootstrapResult struct {
 	Status Status
-	// Asked and Answered count the platform and the peers.
+	// Asked is the number of queried sources: the peers and the platform. Answered
+	// is the number of those that responded with a usable Set, or, for the
+	// platform, that no Set is stored.
 	Asked    int
 	Answered int
-	// Stored is true if the platform answered, be it that no Set is stored.
+	// Stored is true if the platform responded, even if it responded that no Set is
+	// stored.
 	Stored bool
-	// Failures are the errors of those that gave nothing usable.
+	// Failures are the errors of the sources that gave no usable response.
 	Failures []error
 }
 
-// Bootstrap asks the platform and all peers at once and puts the highest
-// version that it hears in force. It returns when all have answered or ctx
-// is done, so ctx needs a deadline; an answer that comes later still counts.
+// Bootstrap queries the platform and all peers in parallel and activates the
+// highest version received. It returns when all have responded or ctx is done, so
+// ctx needs a deadline; a response that arrives after Bootstrap has returned is
+// still offered to s.
 //
-// If none is heard (Status.Heard is false) the embedded default is in force:
-// the node serves, and treats every call that may change something as
-// unrepeatable. The caller reports that state and keeps asking, by Follow or
-// by Bootstrap again. If the platform answered that nothing is stored, the
-// default is what operators chose.
+// If no Set is received (Status.Heard is false), the embedded default is active:
+// the node serves requests and treats every call that may change something as
+// unrepeatable. The caller must report that state and retry with Follow or
+// Bootstrap. If the platform responded that nothing is stored, the default is what
+// operators chose.
 //
-// One peer of several may be stale or hostile: a lower version than another's
-// is passed over, and an invalid Set is a failure.
+// Individual peers may be stale or malicious: a version lower than another one
+// received is ignored, and an invalid Set counts as a failure.
 func Bootstrap(ctx context.Context, s *Store, store objects.Store, peers []Peer) BootstrapResult {
 	answers := make(chan answer, len(peers)+1)
 	go func() { answers <- askPlatform(ctx, s, store) }()
--- a/config/heard.go
+++ b/config/heard.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// HeardFor is how long a version that was heard of counts without being heard of
-// again. Whoever sees it on the platform tells of it all the while.
+// HeardFor is how long a version counts as known to exist after the last notice of
+// it. A node that sees the version on the platform keeps announcing it for as long
+// as it is stored there.
 //
-// The failure: a number that nobody ever wrote, from a faulty peer, goes round among
-// the nodes, and each holds itself for behind for ever.
+// Without this limit, a version number that was never stored, sent by a faulty
+// peer, would circulate among the nodes for ever, and each of them would consider
+// itself behind.
 const HeardFor = time.Minute
 
-// heardVersion is never changed after it was stored.
+// heardVersion is the highest version known to exist. It is immutable once stored.
 type heardVersion struct {
 	version uint64
-	// at is when it was last known to exist.
+	// at is the time at which the version was last known to exist.
 	at time.Time
 }
 
@@ -20,8 +22,8 @@
 	return h != nil && now.Sub(h.at) < HeardFor
 }
 
-// Hear notes that a version was known to exist at a time, whether or not it can be
-// put in force here. News that is too old to count is left out.
+// Hear records that a version was known to exist at the given time, whether or not
+// this node can activate it. It ignores notices that are HeardFor old or older.
 func (s *Store) Hear(version uint64, at, now time.Time) {
 	next := &heardVersion{version: version, at: at}
 	for next.counts(now) {
@@ -35,9 +37,9 @@
 	}
 }
 
-// Newest returns the highest version that is known to exist, and when that was last
-// known. It is above the one in force where that one was refused, or is still on its
-// way.
+// Newest returns the highest version known to exist and the time at which it was
+// last known. It is higher than the active version if this node rejected the newest
+// Set or has not received it yet.
 func (s *Store) Newest(now time.Time) (version uint64, at time.Time) {
 	inForce := s.Current().Version()
 	if known := s.heard.Load(); known.counts(now) && known.version > inForce {
@@ -46,7 +48,7 @@
 	return inForce, now
 }
 
-// Behind reports whether a later version is known to exist than the one in force.
+// Behind reports whether a version higher than the active one is known to exist.
 func (s *Store) Behind(now time.Time) bool {
 	newest, _ := s.Newest(now)
 	return newest > s.Current().Version()
--- a/config/heard_test.go
+++ b/config/heard_test.go
@@ -9,9 +9,9 @@
 	"pollengauge.dev/objects"
 )
 
-// Operators store a version of a newer build, which this one refuses. Its number
-// must be read all the same, or a node tells neither callers nor operators that it
-// is behind.
+// Operators store a version of a newer build, which this build rejects. Its version
+// number must still be read, because otherwise the node could not report that it is
+// behind.
 func TestVersionOfARefusedDocumentIsRead(t *testing.T) {
 	c := qt.New(t)
 	value := []byte(`{"set":{"version":7,"fieldOfANewerBuild":1}}`)
@@ -24,8 +24,9 @@
 	c.Check(ok, qt.IsFalse)
 }
 
-// News of versions comes from many nodes and in any order. A lower one must not
-// hide a higher, an old one not outlast its time, and what is in force is no news.
+// Nodes report versions in any order. A lower version must not replace a higher
+// one, an expired one must not count, and the active version must not count as
+// newer.
 func TestHeardVersions(t *testing.T) {
 	c := qt.New(t)
 	s := NewStore()
--- a/config/lines.go
+++ b/config/lines.go
@@ -7,9 +7,9 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// lineOf returns the line of the field at path, such as profiles[2].deadline,
-// or of the innermost object or list around it that the file has. It is 0 if
-// the file has no part of the path.
+// lineOf returns the line of the field at path, such as profiles[2].deadline, or of
+// the innermost enclosing object or list that the file contains. It returns 0 if
+// the file contains no part of the path.
 func lineOf(root *yaml.Node, path string) int {
 	line := 0
 	n := root
@@ -24,8 +24,8 @@
 	return line
 }
 
-// child returns the field or entry of n that step names, and its line: that of
-// the name for a field, since a list may start a line later.
+// child returns the field or entry of n that step names, and its line. For a field
+// that is the line of its name, because the value may start a line later.
 func child(n *yaml.Node, step string) (int, *yaml.Node) {
 	switch n.Kind {
 	case yaml.SequenceNode:
@@ -42,7 +42,7 @@
 	return 0, nil
 }
 
-// withLines adds to the problems of a *ValidationError where root has them.
+// withLines sets the lines of the problems if err is a *ValidationError.
 func withLines(err error, root *yaml.Node) error {
 	if refused, ok := err.(*ValidationError); ok {
 		for i := range refused.Problems {
--- a/config/main_test.go
+++ b/config/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// rapidSeed makes each run draw the same cases. Give -rapid.seed to vary it.
+// rapidSeed makes every run draw the same cases. Pass -rapid.seed to draw others.
 const rapidSeed = "20261202"
 
 func TestMain(m *testing.M) {
--- a/config/model_test.go
+++ b/config/model_test.go
@@ -13,24 +13,25 @@
 	"pollengauge.dev/config"
 )
 
-// fleet is the system under test: one platform, operators, and nodes that
-// hear by watch and by gossip. A paused node is one that no action touches
-// for a while, and whose old messages still arrive.
+// fleet is the system under test: one platform, operators, and nodes that receive
+// Sets by watch and by gossip. A node may receive nothing for a while, or receive
+// old messages late.
 type fleet struct {
 	ctx   context.Context
 	store *scripted
 	nodes []*config.Store
-	// floor is the version that each node's present incarnation had last.
+	// floor holds the last version seen on the current incarnation of each node.
 	floor []uint64
-	// sent holds every accepted encoding; delivering one does not remove it.
+	// sent holds every accepted encoding. Messages stay in it, so they can be
+	// delivered repeatedly.
 	sent [][]byte
 
 	changes  int
-	unsure   []attempt       // may have taken effect; to be tried again
+	unsure   []attempt       // may have taken effect; to be retried
 	done     map[string]bool // reported as applied
 	dropped  map[string]bool // reported as never applied
 	accepted map[uint64]string
-	checked  int // of store.took
+	checked  int // number of entries of store.took that check has seen
 }
 
 type attempt struct {
@@ -53,8 +54,8 @@
 	return rapid.SliceOfN(rapid.SampledFrom([]fault{fine, fine, down, drop, lose, delay}), 0, 3).Draw(t, "plan")
 }
 
-// operate makes a change from the version that its operator last saw, while
-// the platform misbehaves and perhaps another operator comes in between.
+// operate applies a change based on the stored version or the one before it, while
+// the platform injects faults and another operator may apply a change in between.
 func (f *fleet) operate(t *rapid.T) {
 	f.changes++
 	stored := f.stored()
@@ -73,7 +74,7 @@
 	f.store.before = nil
 }
 
-// apply holds the answer against what took effect.
+// apply applies a change and checks the result against what took effect.
 func (f *fleet) apply(t *rapid.T, a attempt) {
 	result, err := config.Apply(f.ctx, f.store, a.draft, a.opts)
 	f.judge(t, a, result, err)
@@ -109,7 +110,7 @@
 	return false
 }
 
-// settle tries a change of unknown fate again under its id.
+// settle retries a change of unknown fate under its change id.
 func (f *fleet) settle(t *rapid.T) {
 	if len(f.unsure) == 0 {
 		t.Skip()
@@ -139,7 +140,7 @@
 	f.judge(t, attempt{opts: opts}, result, nil)
 }
 
-// land lets a write arrive whose sender gave up waiting for the answer.
+// land delivers a delayed write whose sender has stopped waiting for the response.
 func (f *fleet) land(t *rapid.T) {
 	if len(f.store.late) == 0 {
 		t.Skip()
@@ -158,7 +159,7 @@
 	}
 }
 
-// deliver brings any message ever sent, again or late, to any node.
+// deliver sends any earlier message, possibly repeated or late, to any node.
 func (f *fleet) deliver(t *rapid.T) {
 	if len(f.sent) == 0 {
 		t.Skip()
@@ -168,7 +169,7 @@
 	}
 }
 
-// forge offers other content under the version in force, and a broken text.
+// forge offers other content under the active version, and a truncated encoding.
 func (f *fleet) forge(t *rapid.T) {
 	node := f.drawNode(t)
 	version, data := node.Encoded()
@@ -178,14 +179,14 @@
 	var fork *config.ForkError
 	other := strings.Replace(string(data), `"author":"`, `"author":"not `, 1)
 	if took, err := node.Offer([]byte(other), config.SourcePeer); took || !errors.As(err, &fork) {
-		t.Fatalf("fork taken: %v %v", took, err)
+		t.Fatalf("Offer of a fork: accepted %v, error %v", took, err)
 	}
 	if took, err := node.Offer(data[:len(data)-1], config.SourcePeer); took || err == nil {
-		t.Fatal("broken text taken")
+		t.Fatal("Offer accepted a truncated encoding")
 	}
 }
 
-// restart replaces a node by one that knows nothing and asks its peers.
+// restart replaces a node with a new one that has only what its peers respond.
 func (f *fleet) restart(t *rapid.T) {
 	i := rapid.IntRange(0, fleetSize-1).Draw(t, "node")
 	f.nodes[i] = config.NewStore()
@@ -204,14 +205,14 @@
 	return f.nodes[rapid.IntRange(0, fleetSize-1).Draw(t, "node")]
 }
 
-// check is the oracle: versions that took effect rise, each change took
-// effect as often as its operator was told, and no node goes back or has
-// content of its own.
+// check is the oracle: versions take effect in increasing order, each change took
+// effect exactly as reported to its operator, and no node returns to a lower
+// version or runs content that never took effect.
 func (f *fleet) check(t *rapid.T) {
 	for ; f.checked < len(f.store.took); f.checked++ {
 		set := f.store.took[f.checked]
 		if f.checked > 0 && set.Version <= f.store.took[f.checked-1].Version {
-			t.Fatalf("version %d took effect late", set.Version)
+			t.Fatalf("version %d took effect after a higher or equal version", set.Version)
 		}
 		data, err := config.Encode(set)
 		if err != nil {
@@ -222,18 +223,18 @@
 	}
 	for _, set := range f.store.took {
 		if f.dropped[set.ChangeID] || f.store.times(set.ChangeID) != 1 {
-			t.Fatalf("change %s in force %d times, reported as never: %v", set.ChangeID, f.store.times(set.ChangeID), f.dropped[set.ChangeID])
+			t.Fatalf("change %s took effect %d times, reported as not applied: %v", set.ChangeID, f.store.times(set.ChangeID), f.dropped[set.ChangeID])
 		}
 	}
 	for id := range f.done {
 		if f.store.times(id) != 1 {
-			t.Fatalf("change %s reported as applied, in force %d times", id, f.store.times(id))
+			t.Fatalf("change %s reported as applied, took effect %d times", id, f.store.times(id))
 		}
 	}
 	for i, node := range f.nodes {
 		now := node.Current()
 		if now.Version() < f.floor[i] || now.Hash() != f.accepted[now.Version()] {
-			t.Fatalf("node %d: version %d after %d, content %s", i, now.Version(), f.floor[i], now.Hash())
+			t.Fatalf("node %d: active version %d after version %d, content hash %s", i, now.Version(), f.floor[i], now.Hash())
 		}
 		f.floor[i] = now.Version()
 	}
@@ -255,13 +256,13 @@
 	return 0
 }
 
-// noDeadline hides T.Deadline, which may not be called in a bubble.
+// noDeadline hides T.Deadline, which must not be called in a synctest bubble.
 type noDeadline struct{ rapid.TB }
 
-// Operators race, answers get lost, writes land late, messages repeat and
-// overtake one another, nodes restart with nothing and forgers offer a second
-// content, in any order. No node may go back within one incarnation or run
-// content that never took effect, and no operator may be told wrong.
+// Operators race, responses are lost, writes take effect late, messages are
+// repeated and reordered, nodes restart without state, and malicious peers offer
+// forks, in any order. Within one incarnation no node may return to a lower version
+// or run content that never took effect, and no operator may get a wrong result.
 func TestFleetNeverGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
--- a/config/offers_fuzz_test.go
+++ b/config/offers_fuzz_test.go
@@ -11,39 +11,39 @@
 	"pollengauge.dev/config"
 )
 
-// hearer is a Store that keeps the highest version that it was told of lately,
-// whether or not it could be put in force.
+// hearer is the part of Store that records the highest version known to exist.
 type hearer interface {
 	Hear(version uint64, at, now time.Time)
 	Newest(now time.Time) (version uint64, at time.Time)
 	Behind(now time.Time) bool
 }
 
-// newsCounts is how long a Store counts a version as existing after it was last
-// known to.
+// newsCounts is how long a Store treats a version as existing after the last notice
+// of it, the value of config.HeardFor.
 const newsCounts = time.Minute
 
-// news is a version that was known to exist at a time.
+// news is a notice that a version existed at a certain time.
 type news struct {
 	version uint64
 	at      time.Time
 }
 
-// reference is what a Store has to hold after any offers, without its locks,
-// pointers and encodings.
+// reference is a plain model of a Store, without locks, pointers and encodings: it
+// holds what the Store must hold after the same offers.
 type reference struct {
 	version uint64
 	content byte
 	source  config.Source
-	// now is the time, and heard all news so far.
+	// now is the current time, and heard lists all notices so far.
 	now   time.Time
 	heard []news
-	// told has what a subscriber must have been told, nil while there is none.
+	// told lists the versions of which the subscriber must have been notified; it
+	// is nil without a subscriber.
 	told []uint64
 }
 
-// offered is one Set as a platform or a peer sends it. Sets with the same version
-// and another content are forks.
+// offered is one Set as the platform or a peer sends it. Sets with equal versions
+// and different content are forks.
 type offered struct {
 	version uint64
 	content byte
@@ -57,7 +57,8 @@
 	return set
 }
 
-// take returns whether the Store must take o, and whether it must call it a fork.
+// take applies o to the reference. It reports whether the Store must accept o, and
+// whether the Store must report o as a fork.
 func (r *reference) take(o offered) (taken, fork bool) {
 	switch {
 	case o.version > r.version:
@@ -72,8 +73,8 @@
 	return false, false
 }
 
-// The operations that a drawn script is made of. Each is two bytes: what to do,
-// and with which version; the rest of the first tells the content.
+// The operations of a fuzzed script. Each takes two bytes: the first modulo opCount is the
+// operation and its quotient selects the content, the second selects the version.
 const (
 	opOfferPlatform = iota
 	opOfferPeer
@@ -87,10 +88,11 @@
 	opCount
 )
 
-// versionsDrawn keeps versions close, so that repeats, forks and falls are common.
+// versionsDrawn is small, so that repeated versions, forks and lower versions are
+// common.
 const versionsDrawn = 12
 
-// playOffers runs a script against a Store and the reference, and compares them
+// playOffers runs a script against a Store and the reference and compares them
 // after each step.
 func playOffers(t *testing.T, script []byte) {
 	c := qt.New(t)
@@ -133,7 +135,7 @@
 	}
 }
 
-// offer gives o to the Store and checks what becomes of it.
+// offer offers o to the Store and compares the result with the reference.
 func offer(c *qt.C, store *config.Store, want *reference, o offered, decoded bool) {
 	c.Helper()
 	var taken bool
@@ -155,8 +157,8 @@
 	}
 }
 
-// hear tells the Store of a version. What it knew of before may be forgotten only
-// for a higher one.
+// hear reports a version to the Store and checks that the newest known version does
+// not decrease and is at least the reported one.
 func hear(c *qt.C, hears hearer, want *reference, heard news) {
 	c.Helper()
 	before, _ := hears.Newest(want.now)
@@ -166,8 +168,8 @@
 	c.Assert(after >= max(before, heard.version), qt.IsTrue, qt.Commentf("%d before, heard of %d, %d after", before, heard.version, after))
 }
 
-// refuse gives the Store what it can't use: a part of an encoding, or a Set
-// without the profile that every one has.
+// refuse offers data that the Store must reject: a truncated encoding, or a Set
+// without the mandatory default profile.
 func refuse(c *qt.C, store *config.Store, o offered, invalid bool) {
 	c.Helper()
 	set := o.set()
@@ -212,7 +214,8 @@
 	c.Assert(real && newest >= want.version, qt.IsTrue, qt.Commentf("newest %d, in force %d", newest, want.version))
 }
 
-// offerScripts rise, fall, repeat, fork, refuse and hear.
+// offerScripts cover higher, lower and repeated versions, forks, rejected Sets and
+// notices.
 var offerScripts = [][]byte{
 	{opOfferPlatform, 1, opOfferPeer, 3, opOfferPlatform, 2, opOfferPeer, 3},
 	{opSubscribe, 0, opOfferPeer, 5, opOfferPeer + opCount, 5, opOfferSet, 4, opOfferSet, 6},
@@ -221,17 +224,17 @@
 	{opOfferPeer, 0, opOfferPeer + opCount, 0, opSubscribe, 0, opOfferSet, 9, opCancel, 0, opOfferSet, 11},
 }
 
-// Configurations come from the platform and from peers, in any order, some of them
-// late, forked or not usable. The version in force must be the highest that was
-// usable, at once and in the eyes of every subscriber, and never fall; told from a
-// later one that is only heard of.
+// Sets arrive from the platform and from peers in any order, some late, forked or
+// invalid. The Store must always have the highest valid version active, notify
+// every subscriber of it, never return to a lower one, and report separately a
+// higher version that is only known to exist.
 func TestOffersAgreeWithAReference(t *testing.T) {
 	for _, script := range offerScripts {
 		playOffers(t, script)
 	}
 }
 
-// FuzzOffers is the same for drawn scripts.
+// FuzzOffers does the same as TestOffersAgreeWithAReference with fuzzed scripts.
 func FuzzOffers(f *testing.F) {
 	for _, script := range offerScripts {
 		f.Add(script)
--- a/config/parse.go
+++ b/config/parse.go
@@ -8,7 +8,7 @@
 	"pollengauge.dev/customer"
 )
 
-// Format is the syntax of a file.
+// Format is the syntax of a configuration file.
 type Format string
 
 // The formats that Parse reads.
@@ -17,10 +17,10 @@
 	JSON Format = "json"
 )
 
-// Parse reads a Set, fills in defaults and validates it. What can't be read is
-// a *ParseError if it is the file as a whole, otherwise ParseErrors with every
-// place. What can be read but not accepted is a *ValidationError whose problems
-// have lines. Problems are looked for only in a file that can be read.
+// Parse reads a Set, fills in defaults and validates it. It returns a *ParseError
+// if the file as a whole can't be read, ParseErrors with every faulty place if
+// fields can't be read, and otherwise, if the Set is invalid, a *ValidationError
+// whose problems have line numbers.
 func Parse(data []byte, format Format) (Set, error) {
 	if len(data) > MaxEncoded {
 		return Set{}, &ParseError{Field: rootField, Value: strconv.Itoa(len(data)), Want: "at most 524288 bytes"}
@@ -39,7 +39,7 @@
 	return s, nil
 }
 
-// rootField is the Field of an error that concerns the file as a whole.
+// rootField is the Field of a ParseError that concerns the file as a whole.
 const rootField = "set"
 
 func parseTree(data []byte, format Format) (*yaml.Node, error) {
--- a/config/parse_errors.go
+++ b/config/parse_errors.go
@@ -2,11 +2,11 @@
 
 import "strings"
 
-// ParseError is one place where a file can't be read as a Set.
+// ParseError is one place where a file can't be parsed as a Set.
 type ParseError struct {
-	// Line counts from 1; 0 when the place is not known.
+	// Line counts from 1; it is 0 if the place is not known.
 	Line int
-	// Field is the path of the field, such as profiles[2].deadline.
+	// Field is the path of the field, for example profiles[2].deadline.
 	Field string
 	Value string
 	Want  string
@@ -17,8 +17,8 @@
 	return atLine(e.Line, e.Field) + ": " + shown(e.Value) + ": want " + e.Want
 }
 
-// ParseErrors are all places where a file can't be read as a Set, in the order
-// of the file, those of missing fields after the rest of their object.
+// ParseErrors lists all places where a file can't be parsed as a Set, in file
+// order. Missing fields follow the other errors of their object.
 type ParseErrors []*ParseError
 
 // Error implements error.
@@ -30,7 +30,8 @@
 	return strings.Join(lines, "; ")
 }
 
-// Unwrap returns the places, so that errors.As finds the first *ParseError.
+// Unwrap returns the individual errors, so that errors.As finds the first
+// *ParseError.
 func (e ParseErrors) Unwrap() []error {
 	causes := make([]error, len(e))
 	for i, place := range e {
@@ -39,7 +40,7 @@
 	return causes
 }
 
-// with returns e and the places of err, which is nil, one place or several.
+// with appends err, which is nil, a *ParseError or ParseErrors.
 func (e ParseErrors) with(err error) ParseErrors {
 	switch err := err.(type) {
 	case *ParseError:
@@ -50,7 +51,7 @@
 	return e
 }
 
-// orNil returns e as an error, nil if it has no place.
+// orNil returns e as an error, or nil if e is empty.
 func (e ParseErrors) orNil() error {
 	if len(e) == 0 {
 		return nil
--- a/config/parse_test.go
+++ b/config/parse_test.go
@@ -14,8 +14,8 @@
 
 const minimal = "profiles:\n  - {name: default, priority: 3}\n"
 
-// An operator mistypes one line. Left out or guessed at, the mistake would
-// come into force as a default; the answer must name the line and the field.
+// An operator mistypes one line. If Parse ignored the mistake or guessed, a default
+// would become active instead; the error must name the line and the field.
 func TestParseNamesTheMistake(t *testing.T) {
 	cases := []struct {
 		text  string
@@ -52,9 +52,9 @@
 	c.Check(err, qt.ErrorMatches, `line 1: set: "": want a nesting of at most 16`)
 }
 
-// A file written for another build has several fields that this one doesn't
-// know, and a value of the wrong type. Told one at a time, each costs an apply
-// under pressure; the answer has all of them with their lines.
+// A file written for another build has several unknown fields and a value of the
+// wrong type. The error must list all of them with their lines; one error at a time
+// would cost the operator one apply each during an incident.
 func TestParseListsEveryPlace(t *testing.T) {
 	c := qt.New(t)
 	text := minimal + "    retires: 2\n    deadline: 5\n  - {nmae: b, priority: 1}\nlimit: {}\n"
@@ -73,8 +73,9 @@
 	c.Check(err, qt.ErrorMatches, `line 2: a: .*; line 3: b: .*; line 1: profiles: .*`)
 }
 
-// A set of a thousand lines is refused for a value out of range. A path alone
-// makes the operator count list entries; the problem has the line.
+// A Set with a thousand lines is rejected because a value is out of range. The
+// problem must have the line, because with only the path the operator would have to
+// count list entries.
 func TestProblemsHaveLines(t *testing.T) {
 	c := qt.New(t)
 	text := "limits:\n  retryRatio: 2\nprofiles:\n  - name: browse\n    priority: 16\n    brownout:\n      maxAge: 1s\n      vary: [Cookie]\n"
@@ -93,8 +94,9 @@
 	c.Check(err, qt.ErrorMatches, "configuration refused: line 4: profiles.0..deadline: .*")
 }
 
-// A change with many faults comes back once with all of them, each under its
-// path; an operator under pressure must not find them one at a time.
+// A change with many faults must be rejected with all of them at once, each with
+// its path, so that an operator does not find them one at a time during an
+// incident.
 func TestValidateListsEveryProblem(t *testing.T) {
 	c := qt.New(t)
 	filing := config.NewProfile("filing", 3)
@@ -134,8 +136,9 @@
 	c.Check(err, qt.ErrorAs, new(*config.ValidationError))
 }
 
-// The sets of both teams must load, and whatever the shed order of a later
-// edit, filings, payments, bookings and closures stay above the reads.
+// The example Sets of both teams must load, and in each of them filings, payments,
+// bookings and closures must rank above the reads, whatever order a later edit
+// gives the rest.
 func TestExamples(t *testing.T) {
 	cases := []struct {
 		file, last, first string
@@ -182,8 +185,8 @@
 	}
 }
 
-// Whatever bytes an operator's file holds: a Set that Parse takes is valid,
-// survives every form that it is shown and sent in, and compiles.
+// FuzzParse parses arbitrary bytes as an operator's file. A Set that Parse accepts
+// must be valid, survive every format in which it is shown or sent, and compile.
 func FuzzParse(f *testing.F) {
 	for _, name := range []string{"nyitottkapu", "tenantwise"} {
 		data, err := os.ReadFile("../examples/" + name + ".yaml")
@@ -224,8 +227,8 @@
 	})
 }
 
-// Whatever bytes a peer sends: the Store refuses them with a type, or takes
-// them and then gives the very same bytes on to the next peer.
+// FuzzOffer offers arbitrary bytes from a peer. The Store must reject them with a
+// typed error, or accept them and return exactly the same bytes for the next peer.
 func FuzzOffer(f *testing.F) {
 	set := config.Default()
 	set.Version = 1
--- a/config/read_values.go
+++ b/config/read_values.go
@@ -8,8 +8,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// maxFileInt is far above the range of any whole number in a Set, so a value
-// that is merely out of range still reaches Validate.
+// maxFileInt is far above the range of any integer in a Set, so that a value which
+// is merely out of range is reported by Validate.
 const maxFileInt = math.MaxInt32
 
 func readInt(n *yaml.Node, at string, out *int) error {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// textValue is Duration or Preference.
+// textValue is implemented by *Duration and *Preference.
 type textValue interface {
 	UnmarshalText(text []byte) error
 }
--- a/config/route.go
+++ b/config/route.go
@@ -6,41 +6,42 @@
 	"strings"
 )
 
-// Bounds of Route.
+// Limits on routes.
 const (
-	// MaxRoutes and MaxShares are the most entries of a list in a Set that
-	// operators submit; see Validate.
+	// MaxRoutes and MaxShares are the maximum numbers of routes and of shares per
+	// route in a Set that operators submit; see Validate.
 	MaxRoutes = 2048
 	MaxShares = 16
-	// MaxWeight bounds Share.Weight, so that sums of weights can't overflow.
+	// MaxWeight limits Share.Weight, so that sums of weights can't overflow.
 	MaxWeight = 1_000_000
-	// maxHostLength is the longest name of a host (RFC 1035), in bytes.
+	// maxHostLength is the maximum length of a host name (RFC 1035), in bytes.
 	maxHostLength = 253
 )
 
-// Route sends the requests for one host and path to a service, or to several
-// in fixed proportions. Where a Set has routes, callers name hosts and paths
-// and know nothing of services. Of the routes of a host the one with the
-// longest prefix wins.
+// Route sends the requests for one host and path prefix to a service, or splits
+// them among several services by weight. In a Set with routes, callers address
+// hosts and paths and need not know services. Among the routes of a host, the one
+// with the longest prefix wins.
 type Route struct {
-	// Name tells routes apart for people.
+	// Name identifies the route to operators.
 	Name string `json:"name" yaml:"name"`
-	// Host is the request's Host without a port.
+	// Host is the host of the request without a port.
 	Host string `json:"host" yaml:"host"`
-	// PathPrefix begins and ends with a slash. It is compared byte for byte
-	// with the path as it came.
+	// PathPrefix begins and ends with a slash. It is compared byte for byte with
+	// the path as received.
 	PathPrefix string `json:"pathPrefix" yaml:"pathPrefix"`
-	// Shares are the services and their weights. A route without a share above
-	// 0 is there, and its requests can't be served.
+	// Shares are the services and their weights. A route whose weights are all 0
+	// matches requests but can't serve them.
 	Shares []Share `json:"shares" yaml:"shares"`
 	// Profile is the name of the profile.
 	Profile string `json:"profile" yaml:"profile"`
 }
 
-// Share is the part of a route's requests that one service gets.
+// Share is a service and its share of the requests of a route.
 type Share struct {
 	Service string `json:"service" yaml:"service"`
-	// Weight is relative to the sum of the route's weights. 0 gets nothing.
+	// Weight is relative to the sum of the weights of the route. A service with
+	// weight 0 gets no requests.
 	Weight int `json:"weight" yaml:"weight"`
 }
 
@@ -86,18 +87,18 @@
 	return s != "" && len(s) <= MaxPathLength && s[0] == '/' && s[len(s)-1] == '/' && validText(s)
 }
 
-// routeKey is what a route matches.
+// routeKey identifies what a route matches.
 type routeKey struct{ host, prefix string }
 
-// routes finds the route of a request.
+// routes indexes the routes of a Set by host.
 type routes struct {
 	byHost map[string]*hostRoutes
 }
 
-// hostRoutes are the routes of one host.
+// hostRoutes indexes the routes of one host by path prefix.
 type hostRoutes struct {
 	byPrefix map[string]*Route
-	// longest is the length of the longest prefix.
+	// longest is the length of the longest prefix, in bytes.
 	longest int
 }
 
@@ -116,12 +117,12 @@
 	return r
 }
 
-// Route returns the route of a request, nil if there is none. The host is
-// without a port and in lower case, the path as it came on the wire, without
-// its query.
+// Route returns the route of a request, or nil if there is none. host must be in
+// lower case without a port, and path must be the raw path as received, without the
+// query.
 //
-// Prefixes end with a slash, so only those that end at a slash of the path are
-// looked up, from the longest: the work does not grow with the routes.
+// Route prefixes end with a slash, so Route looks up only the prefixes of path that
+// end at a slash, longest first: the cost does not depend on the number of routes.
 func (c *Compiled) Route(host, path string) *Route {
 	h := c.routes.byHost[host]
 	if h == nil {
@@ -140,7 +141,8 @@
 	return nil
 }
 
-// Unserved returns how many routes have no share above 0, and the name of the first.
+// Unserved returns the number of routes whose weights are all 0, and the name of
+// the first one.
 func (c *Compiled) Unserved() (count int, first string) {
 	for i := range c.set.Routes {
 		r := &c.set.Routes[i]
@@ -155,10 +157,11 @@
 	return count, first
 }
 
-// Routed tells whether callers of this Set name hosts and paths.
+// Routed reports whether the Set has routes, so that callers address hosts and
+// paths.
 func (c *Compiled) Routed() bool { return len(c.set.Routes) > 0 }
 
-// clone returns a copy that shares no memory with r.
+// clone returns a deep copy of r.
 func (r Route) clone() Route {
 	r.Shares = slices.Clone(r.Shares)
 	return r
--- a/config/route_test.go
+++ b/config/route_test.go
@@ -20,9 +20,9 @@
 
 func to(service string) []config.Share { return []config.Share{{Service: service, Weight: 1}} }
 
-// A request goes to another service than the operator meant if a shorter
-// prefix wins or a segment is cut. Route, which looks at slashes only, must
-// agree with the plain rule: the longest prefix that begins the path.
+// A request reaches the wrong service if a shorter prefix wins or if a prefix ends
+// inside a path segment. Route, which examines only slashes, must agree with the
+// plain rule: the longest route prefix of the path wins.
 func TestRouteAgreesWithTheRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prefix := rapid.StringMatching(`/([xy]{1,2}/){0,3}`)
@@ -54,13 +54,13 @@
 			t.Fatalf("%q: got %q, want %q", path, got, want)
 		}
 		if compiled.Route("other.example", path) != nil {
-			t.Fatal("a route of another host")
+			t.Fatal("Route returned a route of another host")
 		}
 	})
 }
 
-// An operator mistypes a route. Each fault is named by its place, and nothing
-// comes into force.
+// An operator mistypes a route. Validate must reject the Set and name the path of
+// each fault.
 func TestFaultyRoutesAreNamed(t *testing.T) {
 	c := qt.New(t)
 	good := config.Route{Name: "r", Host: "h.example", PathPrefix: "/a/", Profile: "read", Shares: to("s")}
@@ -84,8 +84,8 @@
 	}
 }
 
-// Routes travel between nodes and through files as part of the set. One that is
-// lost or changed on the way would be another configuration of the same version.
+// Routes are sent between nodes and written to files as part of the Set. A route
+// lost or changed on the way would give one version two different contents.
 func TestRoutesSurviveFilesAndPeers(t *testing.T) {
 	c := qt.New(t)
 	set := routedSet(config.Route{Name: "r", Host: "h.example", PathPrefix: "/a/", Profile: "read", Shares: []config.Share{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}})
@@ -103,7 +103,7 @@
 	c.Check(config.FormatDiff(config.Diff(set, changed)), qt.Contains, "~ routes[h.example/a/].shares: s:90,t:10 -> t:1")
 }
 
-// Operators look for the routes whose requests nobody serves.
+// Operators need to find the routes whose requests no service receives.
 func TestUnservedRoutesAreNamed(t *testing.T) {
 	c := qt.New(t)
 	route := func(name string, shares ...config.Share) config.Route {
--- a/config/scalars.go
+++ b/config/scalars.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Duration is a time.Duration that JSON and YAML show as text such as "250ms".
+// Duration is a time.Duration that is encoded in JSON and YAML as text such as "250ms".
 type Duration time.Duration
 
-// Std returns d as the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // String returns the text form.
@@ -19,8 +19,8 @@
 
 const wantDuration = `a duration with unit, such as "250ms" or "2s"`
 
-// UnmarshalText implements encoding.TextUnmarshaler. A number without a unit
-// is refused, because its reader can't tell seconds from milliseconds.
+// UnmarshalText implements encoding.TextUnmarshaler. It rejects a number without a
+// unit, which could mean seconds or milliseconds.
 func (d *Duration) UnmarshalText(text []byte) error {
 	value, err := time.ParseDuration(string(text))
 	if err != nil || string(text) == "0" {
@@ -30,9 +30,9 @@
 	return nil
 }
 
-// Preference weighs goodput against recovery time, from PreferGoodput (0) to
-// PreferRecovery (1). Its text is one of the names goodput, balanced and
-// recovery, or a number between 0 and 1.
+// Preference is a trade-off between goodput and recovery time, from PreferGoodput
+// (0) to PreferRecovery (1). Its text form is goodput, balanced, recovery, or a
+// number from 0 to 1.
 type Preference float64
 
 // The named preferences.
@@ -86,38 +86,38 @@
 	return nil
 }
 
-// KeyMode says whether a call must bring an idempotency key.
+// KeyMode states whether a caller must send an idempotency key.
 type KeyMode string
 
-// The key modes.
+// The values of KeyMode.
 const (
-	// KeyOptional: a call without a key gets one from its first node.
+	// KeyOptional: the first node generates a key for a call without one.
 	KeyOptional KeyMode = "optional"
-	// KeyRequired: a call without a key is refused before it runs.
+	// KeyRequired: a call without a key is rejected before it runs.
 	KeyRequired KeyMode = "required"
 )
 
-// RecordMode says where the fate of a call is kept.
+// RecordMode states where the fate of a call is recorded.
 type RecordMode string
 
-// The record modes.
+// The values of RecordMode.
 const (
-	// RecordNone keeps the fate in the memory of the key's home node.
+	// RecordNone stores the fate in the memory of the node that owns the key.
 	RecordNone RecordMode = "none"
-	// RecordClaim also writes a claim to the platform before dispatch, so
-	// that the fate outlives the home node.
+	// RecordClaim also writes a claim to the platform before dispatch, so that the
+	// fate survives the loss of the owner.
 	RecordClaim RecordMode = "claim"
-	// RecordPeer tells another member of the call before dispatch, so that an
-	// operator finds it if the home is lost.
+	// RecordPeer reports the call to another member before dispatch, so that
+	// operators can find it if the owner is lost.
 	RecordPeer RecordMode = "peer"
 )
 
 var recordModes = []RecordMode{RecordNone, RecordClaim, RecordPeer}
 
-// needsKey reports whether the mode has a meaning for unrepeatable calls only.
+// needsKey reports whether the mode applies to unrepeatable profiles only.
 func (m RecordMode) needsKey() bool { return m == RecordClaim || m == RecordPeer }
 
 func formatFloat(f float64) string { return strconv.FormatFloat(f, 'g', -1, 64) }
 
-// inRange is false for NaN.
+// inRange reports whether low <= f <= high. It is false for NaN.
 func inRange(f, low, high float64) bool { return f >= low && f <= high }
--- a/config/store.go
+++ b/config/store.go
@@ -7,40 +7,42 @@
 	"sync/atomic"
 )
 
-// Source says where a Set came from.
+// Source names where a Set came from.
 type Source string
 
-// The sources.
+// The values of Source.
 const (
 	SourceDefault  Source = "default"
 	SourcePlatform Source = "platform"
 	SourcePeer     Source = "peer"
 )
 
-// Status describes what a Store has in force.
+// Status describes the active Set of a Store.
 type Status struct {
 	Version  uint64
 	ChangeID string
 	Hash     string
 	Source   Source
-	// Heard is false while the embedded default is in force because no
-	// stored Set was ever heard of.
+	// Heard reports whether a stored Set was received. While it is false, the
+	// embedded default is active.
 	Heard bool
 }
 
-// Store holds the Set that is in force on one node. Its version only goes up.
+// Store holds the active Set of one node. The version of the active Set never
+// decreases.
 type Store struct {
 	current atomic.Pointer[accepted]
-	// heard is the highest version that was heard of lately, nil before any.
+	// heard is the highest version recently known to exist, nil if none was
+	// reported.
 	heard atomic.Pointer[heardVersion]
 
-	// mu is held while a Set is put in force and subscribers are told, so
-	// that each of them sees every version once and in order.
+	// mu is held while a Set is activated and subscribers are notified, so that
+	// each subscriber sees every version once and in order.
 	mu          sync.Mutex
 	subscribers []*subscriber
 }
 
-// accepted is never changed after it was stored.
+// accepted is a Set that the Store accepted. It is immutable once stored.
 type accepted struct {
 	compiled *Compiled
 	encoded  []byte
@@ -51,29 +53,29 @@
 	notify func(*Compiled)
 }
 
-// NewStore returns a Store with the embedded default in force.
+// NewStore returns a Store in which the embedded default is active.
 func NewStore() *Store {
 	set := Default()
 	encoded, err := Encode(set)
 	if err != nil {
-		panic(err) // Default has just validated the same Set.
+		panic(err) // Default returns a Set that it has validated.
 	}
 	s := &Store{}
 	s.current.Store(&accepted{compiled: compile(set, encoded), encoded: encoded, source: SourceDefault})
 	return s
 }
 
-// Current returns what is in force. It never returns nil and takes no lock.
+// Current returns the active Set. It never returns nil and takes no lock.
 func (s *Store) Current() *Compiled { return s.current.Load().compiled }
 
-// Encoded returns the version in force and its encoding, which peers pass to
-// Offer. The bytes must not be changed.
+// Encoded returns the active version and its encoding, which other nodes pass to
+// Offer. Callers must not modify the bytes.
 func (s *Store) Encoded() (version uint64, data []byte) {
 	now := s.current.Load()
 	return now.compiled.Version(), now.encoded
 }
 
-// Status returns what is in force and where it came from.
+// Status returns the active version and its source.
 func (s *Store) Status() Status {
 	now := s.current.Load()
 	return Status{
@@ -85,10 +87,10 @@
 	}
 }
 
-// Offer puts an encoded Set in force if it is valid and its version is
-// higher than the one in force, and reports whether it did. A lower or equal
-// Set is ignored without error, for gossip repeats and reorders. Other bytes
-// under the version in force are a *ForkError, and invalid ones an
+// Offer activates an encoded Set if it is valid and its version is higher than the
+// active one, and reports whether it did. It ignores lower versions and repeats of
+// the active Set without an error, because gossip repeats and reorders messages.
+// Other content under the active version is a *ForkError; invalid data is an
 // *EncodingError or *ValidationError.
 func (s *Store) Offer(data []byte, source Source) (bool, error) {
 	if bytes.Equal(data, s.current.Load().encoded) {
@@ -114,11 +116,11 @@
 	return s.install(&accepted{compiled: compile(set, data), encoded: data, source: source})
 }
 
-// install compares and replaces under one lock.
+// install compares versions and replaces the active Set under one lock.
 //
-// Failure: two Offers that both saw version 3 in force, one with 4 and one
-// with 5, would end with whichever stored last. Symptom: a node falls back
-// from 5 to 4. Comparing under the lock that guards the store is enough.
+// Without the lock, two concurrent Offers of versions 4 and 5 could both read
+// version 3 as active, and if version 4 was stored last the node would fall back
+// from 5 to 4.
 func (s *Store) install(next *accepted) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,14 +138,14 @@
 	return true, nil
 }
 
-// firstStored tells whether next is what operators stored as version 0, in place of
-// the embedded default.
+// firstStored reports whether next is a version 0 stored on the platform that
+// replaces the embedded default.
 func firstStored(now, next *accepted) bool {
 	return now.source == SourceDefault && next.source == SourcePlatform
 }
 
 func forked(now, next *accepted) error {
-	// Version 0 is each build's own default and makes no claim.
+	// Version 0 is the embedded default, which may differ between builds.
 	if now.compiled.hash == next.compiled.hash || now.compiled.Version() == 0 {
 		return nil
 	}
@@ -157,9 +159,9 @@
 	}
 }
 
-// Subscribe calls notify with what is in force, and then with each new
-// version in order, until the returned function is called. Calls never
-// overlap. notify must not call Offer, Subscribe or cancel, and must be quick.
+// Subscribe calls notify with the active Set, and then with each new version in
+// order, until the returned function is called. Calls never overlap. notify must
+// return quickly and must not call Offer, Subscribe or cancel.
 func (s *Store) Subscribe(notify func(*Compiled)) (cancel func()) {
 	sub := &subscriber{notify: notify}
 	s.mu.Lock()
--- a/config/store_test.go
+++ b/config/store_test.go
@@ -15,7 +15,7 @@
 	"pollengauge.dev/standin"
 )
 
-// version is the encoded default as that version.
+// version returns the encoded default Set with version n.
 func version(c *qt.C, n uint64) []byte {
 	set := config.Default()
 	set.Version = n
@@ -24,8 +24,8 @@
 	return data
 }
 
-// Gossip delivers versions from many peers at once and in any order. A
-// subscriber that saw 5 and then 4 would run the node on an old Set.
+// Gossip delivers versions from many peers at once and in any order. If a
+// subscriber saw version 5 and then version 4, the node would run an old Set.
 func TestConcurrentOffersOnlyRise(t *testing.T) {
 	c := qt.New(t)
 	const versions, workers = 800, 8
@@ -44,8 +44,8 @@
 		}()
 		select {
 		case <-crossed:
-			t.Error("an Offer crossed another one's notification")
-		case <-time.After(50 * time.Millisecond): // Only a fault ends it sooner.
+			t.Error("an Offer completed while another Offer was notifying subscribers")
+		case <-time.After(50 * time.Millisecond): // Without a fault, the Offer is still blocked now.
 		}
 	})
 	_, err := store.Offer(version(c, 1), config.SourcePeer)
@@ -54,7 +54,8 @@
 	for worker := range uint64(workers) {
 		var messages [][]byte
 		for i := range uint64(versions / workers) {
-			// Neighbouring versions at one time, and an old one after each.
+			// Concurrent workers offer neighbouring versions, each followed by an
+			// old one.
 			messages = append(messages, version(c, workers*i+worker+1), version(c, i+1))
 		}
 		wg.Go(func() {
@@ -79,9 +80,9 @@
 	return func(context.Context) ([]byte, error) { return data, nil }
 }
 
-// A VM is replaced while the platform is down. Its peers are a stale one, a
-// broken one, one that never answers and two that are up to date. The node
-// must end on the highest version, and not wait beyond its deadline.
+// A VM is replaced while the platform is down. One of its peers is stale, one sends
+// invalid data, one never responds, and two are up to date. The node must activate
+// the highest version and not wait beyond its deadline.
 func TestBootstrapTakesTheHighest(t *testing.T) {
 	inBubble(t, func(c *qt.C, ctx context.Context) {
 		memory := standin.NewMemory()
@@ -103,9 +104,9 @@
 	})
 }
 
-// A node starts when nobody can tell it anything. It must say so and treat
-// writes as unrepeatable; take what is stored within seconds once the
-// platform is back; and keep that when the object is deleted.
+// A node starts while neither the platform nor a peer responds. It must report that
+// and treat writes as unrepeatable, activate the stored Set within seconds of the
+// recovery of the platform, and keep it when the object is deleted.
 func TestFollowThroughOutages(t *testing.T) {
 	inBubble(t, func(c *qt.C, ctx context.Context) {
 		ctx, cancel := context.WithCancel(ctx)
@@ -147,8 +148,8 @@
 
 var _ objects.Store = (*scripted)(nil)
 
-// BenchmarkOffer is what a node spends on a new version, and how large the
-// larger of the example sets is on the wire.
+// BenchmarkOffer measures the cost of a new version on a node, and the encoded size
+// of the larger example Set.
 func BenchmarkOffer(b *testing.B) {
 	file, err := os.ReadFile("../examples/nyitottkapu.yaml")
 	if err != nil {
--- a/config/tree.go
+++ b/config/tree.go
@@ -9,7 +9,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Tags that the YAML library resolves plain values to.
+// Tags that the YAML library assigns to plain scalars.
 const (
 	tagString = "!!str"
 	tagInt    = "!!int"
@@ -19,16 +19,17 @@
 	tagTime   = "!!timestamp"
 )
 
-// maxDepth is above the depth of any Set. It bounds the recursion that a
-// hostile JSON file could ask for.
+// maxDepth is greater than the nesting depth of any Set. It limits the recursion
+// that a malicious JSON file can cause.
 const maxDepth = 16
 
-// fields maps the fields that an object may have to their readers.
+// fields maps the field names that an object may have to the functions that read
+// them.
 type fields map[string]func(n *yaml.Node, at string) error
 
-// readObject reads each field of n once and returns which ones were there. It
-// refuses unknown, repeated and missing fields; the error has all of them, and
-// all that the readers refused.
+// readObject reads each field of n and returns the names of the fields present.
+// Unknown, repeated and missing fields are errors; the returned error lists all of
+// them together with the errors of the field readers.
 func readObject(n *yaml.Node, at string, readers fields, required ...string) (map[string]bool, error) {
 	if n.Kind != yaml.MappingNode {
 		return nil, badNode(n, at, "an object with fields")
@@ -58,7 +59,8 @@
 	return present, refused.orNil()
 }
 
-// readList reads every entry of n. The error has what all entries refused.
+// readList reads every entry of n. The returned error lists the errors of all
+// entries.
 func readList[T any](n *yaml.Node, at string, limit int, out *[]T, read func(*yaml.Node, string, *T) error) error {
 	if n.Kind != yaml.SequenceNode {
 		return badNode(n, at, "a list")
@@ -102,8 +104,9 @@
 	return at + "." + name
 }
 
-// parseYAML reads one document. Aliases stay unresolved, and every reader
-// refuses them, so a small file can't expand into a large one.
+// parseYAML parses a file with exactly one YAML document. Aliases are not resolved,
+// and every reader rejects them, so that a small file can't expand into a large
+// one.
 func parseYAML(data []byte) (*yaml.Node, error) {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	var document yaml.Node
--- a/config/tree_json.go
+++ b/config/tree_json.go
@@ -9,8 +9,9 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// parseJSON builds the same tree as parseYAML, so that both formats have one
-// set of readers. encoding/json alone would hide repeated fields and lines.
+// parseJSON builds the same kind of tree as parseYAML, so that one set of readers
+// serves both formats. Unmarshalling with encoding/json would hide repeated fields
+// and line numbers.
 func parseJSON(data []byte) (*yaml.Node, error) {
 	reader := &jsonReader{data: data, decoder: json.NewDecoder(bytes.NewReader(data)), line: 1}
 	reader.decoder.UseNumber()
@@ -27,7 +28,7 @@
 type jsonReader struct {
 	data    []byte
 	decoder *json.Decoder
-	// line is the line of byte offset counted.
+	// line is the line number at byte offset counted.
 	line    int
 	counted int64
 }
@@ -75,8 +76,8 @@
 	return tagFloat
 }
 
-// composite reads an object or list after its opening delimiter. The decoder
-// has already made sure that delimiters match.
+// composite reads an object or list after its opening delimiter. The decoder has
+// already checked that delimiters match.
 func (r *jsonReader) composite(open json.Delim, depth int) (*yaml.Node, error) {
 	if depth > maxDepth {
 		return nil, r.fail("", "a nesting of at most 16")
--- a/config/validate.go
+++ b/config/validate.go
@@ -13,9 +13,9 @@
 	"pollengauge.dev/call"
 )
 
-// Bounds of a Set that operators submit; see Validate.
+// Limits on a Set that operators submit; see Validate.
 const (
-	// MaxProfiles, MaxAssignments and MaxVary are the most entries of a list.
+	// MaxProfiles, MaxAssignments and MaxVary are maximum numbers of list entries.
 	MaxProfiles    = 256
 	MaxAssignments = 1024
 	MaxVary        = 8
@@ -23,27 +23,28 @@
 	MaxNameLength = 63
 	MaxPathLength = 256
 	MaxTextLength = 500
-	// MaxCredit bounds extra attempts for one request.
+	// MaxCredit limits Profile.Credit.
 	MaxCredit = 16
-	// MinDeadline and MaxDeadline bound Profile.Deadline.
+	// MinDeadline and MaxDeadline limit Profile.Deadline.
 	MinDeadline = Duration(10 * time.Millisecond)
 	MaxDeadline = Duration(call.MaxTimeout)
-	// MaxStale bounds Brownout.MaxAge.
+	// MaxStale limits Brownout.MaxAge.
 	MaxStale = Duration(24 * time.Hour)
-	// MaxRetryRatio bounds Limits.RetryRatio.
+	// MaxRetryRatio limits Limits.RetryRatio.
 	MaxRetryRatio = 0.5
-	// MinHeaderBytes and MaxHeaderBytes bound Limits.HeaderBytes: a usual head
-	// has some hundred bytes, and a node holds one for each connection.
+	// MinHeaderBytes and MaxHeaderBytes limit Limits.HeaderBytes: usual request
+	// headers have a few hundred bytes, and a node buffers one set of headers per
+	// connection.
 	MinHeaderBytes = 1 << 10
 	MaxHeaderBytes = 1 << 20
-	// MaxBodyBytes bounds Limits.BodyBytes. Longer bodies need no bound: they
-	// are streamed, not held.
+	// MaxBodyBytes limits Limits.BodyBytes. Longer bodies need no limit, because
+	// nodes stream bodies instead of buffering them.
 	MaxBodyBytes = 1 << 30
-	// MinIdleTimeout and MaxIdleTimeout bound Limits.IdleTimeout.
+	// MinIdleTimeout and MaxIdleTimeout limit Limits.IdleTimeout.
 	MinIdleTimeout = Duration(100 * time.Millisecond)
 	MaxIdleTimeout = Duration(10 * time.Minute)
-	// MaxVersion keeps versions exact in tools that read JSON numbers as
-	// floating point.
+	// MaxVersion keeps versions exact in tools that read JSON numbers as floating
+	// point.
 	MaxVersion = 1 << 53
 
 	maxMethodLength = 16
@@ -55,18 +56,19 @@
 	wantText   = "at most 500 bytes of UTF-8 without control characters"
 )
 
-// Validate checks a Set that is to be submitted, and returns a *ValidationError
-// with every problem, or nil. Apply runs it before a change is stored.
+// Validate checks a Set that operators submit. It returns nil or a *ValidationError
+// with every problem. Apply calls it before it stores a change.
 func Validate(s Set) error { return validate(s, true) }
 
-// usable checks what a node needs to put a Set in force that was accepted
-// elsewhere: by Apply, by another build, or by the platform. How many entries it
-// has and how long they are is no reason to refuse it.
+// usable checks whether a node can activate a Set that was accepted elsewhere: by
+// Apply, by another build, or by the platform. It does not check the number or the
+// length of entries.
 //
-// The failure: operators add customers until their routes are more than a bound
-// of this build. Every node refuses that version and all later ones, and answers
-// 404 on the new routes for good, though the platform has acknowledged them.
-// Bounds on submitting are enough, since their refusal reaches who can act on it.
+// If nodes enforced those limits, then as soon as operators added more routes than
+// this build allows, every node would reject that version and all later ones and
+// answer 404 on the new routes for good, although the platform had accepted them.
+// Checking the limits on submission is enough, because there the error reaches the
+// operator who can act on it.
 func usable(s Set) error { return validate(s, false) }
 
 func validate(s Set, submitted bool) error {
@@ -97,12 +99,13 @@
 }
 
 type validator struct {
-	// submitted tells that the Set is to be submitted, so that bounds count.
+	// submitted is true for a Set that operators submit, to which the size limits
+	// apply.
 	submitted bool
 	problems  []Problem
 }
 
-// bound is check for what only a Set that is to be submitted must hold.
+// bound is check for a limit that applies only to submitted Sets.
 func (v *validator) bound(ok bool, path, value, want string) {
 	v.check(ok || !v.submitted, path, value, want)
 }
@@ -153,8 +156,8 @@
 func (v *validator) brownout(p Profile, at string) {
 	b := p.Brownout
 	v.check(b.MaxAge >= 0 && b.MaxAge <= MaxStale, at+".maxAge", b.MaxAge.String(), "0s to 24h")
-	// A stored answer to a filing would tell its caller that this filing
-	// went out, when it was an earlier one that did.
+	// A stored response to an earlier filing would tell the caller that the current
+	// filing was sent.
 	v.check(b.MaxAge == 0 || !p.Unrepeatable, at+".maxAge", b.MaxAge.String(), "0s, because the profile is unrepeatable")
 	v.bound(len(b.Vary) <= MaxVary, at+".vary", strconv.Itoa(len(b.Vary)), "at most 8 headers")
 	for i, name := range b.Vary {
@@ -163,15 +166,15 @@
 	if b.MaxAge == 0 {
 		return
 	}
-	// Without the identity headers in the key, one caller would be shown
-	// the stored answer of another.
+	// Without the identity headers in the cache key, one caller would receive the
+	// stored response of another.
 	for _, name := range identityHeaders {
 		v.check(slices.Contains(b.Vary, name), at+".vary", strings.Join(b.Vary, ","), "a list that contains "+name)
 	}
 }
 
-// order refuses a Set in which work that must not be lost would be shed
-// before, or mixed with, work that may be asked for again.
+// order rejects a Set in which unrepeatable work, which must not be lost, would be
+// shed before or together with work that callers can safely repeat.
 func (v *validator) order(profiles []Profile) {
 	top := -1
 	name := ""
@@ -208,7 +211,7 @@
 	}
 }
 
-// match returns what a matches, in one form for each meaning.
+// match returns what a matches, with equivalent forms normalized to one.
 func (a Assignment) match() Assignment {
 	a.Profile = ""
 	if a.PathPrefix == "/" {
--- a/config/versions_test.go
+++ b/config/versions_test.go
@@ -8,11 +8,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Nodes of two builds run side by side and the newer one's operator applies a
-// set with a field that the older build does not know. Dropped there, the same
-// version would mean two things: the older build must refuse the set, from the
-// platform as from a peer, and keep the last one. Fields around the set are
-// history and pass.
+// Nodes of two builds run side by side, and an operator applies a Set with a field
+// that only the newer build knows. If the older build dropped the field, one
+// version would have two meanings. It must reject the Set, both from the platform
+// and from a peer, and keep its last one. Unknown fields outside the Set belong to
+// the history and are ignored.
 func TestSetOfANewerBuildIsRefusedWhole(t *testing.T) {
 	c := qt.New(t)
 	set := Default()
