--- a/config/apply.go
+++ b/config/apply.go
@@ -15,7 +15,7 @@
 	// gives up.
 	DefaultAttempts = 5
 
-	idBase = 36
+	changeIDBase = 36
 )
 
 // applyBackoff is the delay between attempts of one Apply. It is short because an
@@ -67,21 +67,21 @@
 // *RaceError, a *ChangeIDError, or an *ApplyError, which states whether the change
 // may have taken effect.
 func Apply(ctx context.Context, store objects.Store, draft Set, opts ApplyOptions) (Result, error) {
-	p, err := newPublication(store, draft, opts)
+	p, err := newPendingChange(store, draft, opts)
 	if err != nil {
 		return Result{}, err
 	}
 	document, object, err := load(ctx, store)
 	if err != nil {
-		return Result{}, p.failed(FateNotApplied, err)
+		return Result{}, p.applyError(FateNotApplied, err)
 	}
-	if result, found, err := p.find(document); found {
+	if result, found, err := p.findRecorded(document); found {
 		return result, err
 	}
 	if document.Set.Version != opts.ExpectVersion {
-		return Result{}, p.race(document)
+		return Result{}, p.raceError(document)
 	}
-	return p.write(ctx, document, object)
+	return p.writeWithRetries(ctx, document, object)
 }
 
 // Rollback stores the content of an earlier version as the next version, so that
@@ -97,8 +97,8 @@
 	if err != nil {
 		// A repeated Rollback must find its own change even if later changes have
 		// pushed toVersion out of the history.
-		if change, done := document.change(opts.ChangeID); done {
-			return settled(change, document), nil
+		if change, done := document.findChange(opts.ChangeID); done {
+			return recordedResult(change, document), nil
 		}
 		return Result{}, err
 	}
@@ -108,100 +108,100 @@
 	return Apply(ctx, store, set, opts)
 }
 
-// publication is a change that Apply is writing to the platform.
-type publication struct {
+// pendingChange is a change that Apply is writing to the platform.
+type pendingChange struct {
 	store   objects.Store
 	opts    ApplyOptions
-	mine    Set
+	set     Set
 	content string
 }
 
-func newPublication(store objects.Store, draft Set, opts ApplyOptions) (*publication, error) {
+func newPendingChange(store objects.Store, draft Set, opts ApplyOptions) (*pendingChange, error) {
 	if opts.Rand == nil {
 		opts.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	if opts.ChangeID == "" {
-		opts.ChangeID = strconv.FormatUint(opts.Rand.Uint64(), idBase) + "-" + strconv.FormatUint(opts.Rand.Uint64(), idBase)
+		opts.ChangeID = strconv.FormatUint(opts.Rand.Uint64(), changeIDBase) + "-" + strconv.FormatUint(opts.Rand.Uint64(), changeIDBase)
 	}
 	if opts.Attempts <= 0 {
 		opts.Attempts = DefaultAttempts
 	}
-	mine := draft.clone()
-	mine.Version = max(opts.ExpectVersion, opts.Above) + 1
-	mine.ChangeID = opts.ChangeID
-	mine.Author = opts.Author
-	mine.Comment = opts.Comment
-	mine.At = opts.Now.UTC().Round(0)
-	if err := Validate(mine); err != nil {
+	set := draft.clone()
+	set.Version = max(opts.ExpectVersion, opts.Above) + 1
+	set.ChangeID = opts.ChangeID
+	set.Author = opts.Author
+	set.Comment = opts.Comment
+	set.At = opts.Now.UTC().Round(0)
+	if err := Validate(set); err != nil {
 		return nil, err
 	}
-	content, err := mine.ContentHash()
-	return &publication{store: store, opts: opts, mine: mine, content: content}, err
+	content, err := set.ContentHash()
+	return &pendingChange{store: store, opts: opts, set: set, content: content}, err
 }
 
-func (p *publication) failed(fate Fate, cause error) error {
+func (p *pendingChange) applyError(fate Fate, cause error) error {
 	return &ApplyError{ChangeID: p.opts.ChangeID, Fate: fate, Cause: cause}
 }
 
-func (p *publication) race(theirs Document) error {
+func (p *pendingChange) raceError(stored Document) error {
 	return &RaceError{
 		Expected:  p.opts.ExpectVersion,
-		Mine:      p.mine,
-		Theirs:    theirs.Set,
-		Forgotten: !theirs.recordsAfter(p.opts.ExpectVersion),
+		Mine:      p.set,
+		Theirs:    stored.Set,
+		Forgotten: !stored.recordsAllAfter(p.opts.ExpectVersion),
 	}
 }
 
-// find looks up this change in the recorded changes. Comparing only with the
+// findRecorded looks up this change in the recorded changes. Comparing only with the
 // current Set would miss a change that was immediately followed by another one, and
 // the operator would then apply it a second time and overwrite the other.
-func (p *publication) find(document Document) (result Result, found bool, err error) {
-	change, found := document.change(p.opts.ChangeID)
+func (p *pendingChange) findRecorded(document Document) (result Result, found bool, err error) {
+	change, found := document.findChange(p.opts.ChangeID)
 	if !found {
 		return Result{}, false, nil
 	}
 	if change.Content != p.content {
 		return Result{}, true, &ChangeIDError{ChangeID: change.ChangeID, Version: change.Version}
 	}
-	return settled(change, document), true, nil
+	return recordedResult(change, document), true, nil
 }
 
-func settled(change Change, document Document) Result {
+func recordedResult(change Change, document Document) Result {
 	return Result{ChangeID: change.ChangeID, Version: change.Version, Current: document.Set, Settled: true}
 }
 
-// write repeats one conditional write until it is known whether it took effect.
+// writeWithRetries repeats one conditional write until it is known whether it took effect.
 //
 // When a response is lost, the write may have taken effect, may still do so, or may
 // never do so. An unconditional second write could apply the change twice, and
 // giving up could report an active change as failed. Every attempt is therefore
 // conditional on the same object version, so at most one can take effect, and a
 // conflict returns the Document that shows whether one did.
-func (p *publication) write(ctx context.Context, base Document, object objects.Object) (Result, error) {
-	_, value, err := base.followedBy(p.mine, p.content)
+func (p *pendingChange) writeWithRetries(ctx context.Context, base Document, object objects.Object) (Result, error) {
+	_, value, err := base.withNextSet(p.set, p.content)
 	if err != nil {
-		return Result{}, p.failed(FateNotApplied, err)
+		return Result{}, p.applyError(FateNotApplied, err)
 	}
 	object.Value = value
 	fate := FateNotApplied
 	for attempt := 0; ; attempt++ {
-		err = p.put(ctx, object)
+		err = p.createOrUpdate(ctx, object)
 		if err == nil {
-			return Result{ChangeID: p.mine.ChangeID, Version: p.mine.Version, Current: p.mine}, nil
+			return Result{ChangeID: p.set.ChangeID, Version: p.set.Version, Current: p.set}, nil
 		}
 		if conflict := (*objects.ConflictError)(nil); errors.As(err, &conflict) {
-			return p.settle(conflict.Current, fate)
+			return p.resolveConflict(conflict.Current, fate)
 		}
 		if ambiguous := (*objects.AmbiguousError)(nil); errors.As(err, &ambiguous) {
 			fate = FateUnknown
 		}
 		if attempt+1 >= p.opts.Attempts || !applyBackoff.Wait(ctx, attempt, p.opts.Rand) {
-			return Result{}, p.failed(fate, err)
+			return Result{}, p.applyError(fate, err)
 		}
 	}
 }
 
-func (p *publication) put(ctx context.Context, object objects.Object) error {
+func (p *pendingChange) createOrUpdate(ctx context.Context, object objects.Object) error {
 	var err error
 	if object.Version == 0 {
 		_, err = p.store.Create(ctx, object.Kind, object.Name, object.Value)
@@ -211,19 +211,19 @@
 	return err
 }
 
-// settle determines the outcome from the Document that caused a conflict. The
+// resolveConflict determines the outcome from the Document that caused a conflict. The
 // object is no longer at the version that all attempts were conditional on, so a
 // change that is missing from the Document can't take effect any more.
-func (p *publication) settle(current objects.Object, fate Fate) (Result, error) {
+func (p *pendingChange) resolveConflict(current objects.Object, fate Fate) (Result, error) {
 	document, err := DecodeDocument(current.Value)
 	if err != nil {
-		return Result{}, p.failed(fate, err)
+		return Result{}, p.applyError(fate, err)
 	}
-	if result, found, err := p.find(document); found {
+	if result, found, err := p.findRecorded(document); found {
 		return result, err
 	}
-	if fate == FateUnknown && !document.recordsAfter(p.opts.ExpectVersion) {
-		return Result{}, p.failed(FateUnknown, p.race(document))
+	if fate == FateUnknown && !document.recordsAllAfter(p.opts.ExpectVersion) {
+		return Result{}, p.applyError(FateUnknown, p.raceError(document))
 	}
-	return Result{}, p.race(document)
+	return Result{}, p.raceError(document)
 }
--- a/config/compiled.go
+++ b/config/compiled.go
@@ -13,24 +13,24 @@
 	hash       string
 	byName     map[string]*Profile
 	fallback   *Profile
-	services   map[string]*rules
-	any        *rules
+	services   map[string]*serviceRules
+	anyService *serviceRules
 	routes     routes
 	customers  *customer.Directory
-	priorities priorities
+	priorities priorityTable
 }
 
-// rules are the assignments of one service, indexed by path prefix.
-type rules struct {
-	byPrefix map[string]*methods
-	// longest is the length of the longest prefix, in bytes.
-	longest int
+// serviceRules are the assignments of one service, indexed by path prefix.
+type serviceRules struct {
+	byPrefix map[string]*prefixRules
+	// longestPrefix is the length of the longest prefix, in bytes.
+	longestPrefix int
 }
 
-// methods are the assignments of one path prefix, indexed by HTTP method.
-type methods struct {
-	any      *Profile
-	byMethod map[string]*Profile
+// prefixRules are the assignments of one path prefix, indexed by HTTP method.
+type prefixRules struct {
+	anyMethod *Profile
+	byMethod  map[string]*Profile
 }
 
 // Compile validates s and indexes it for Match.
@@ -50,7 +50,7 @@
 		set:      s,
 		hash:     Hash(encoded),
 		byName:   make(map[string]*Profile, len(s.Profiles)),
-		services: make(map[string]*rules),
+		services: make(map[string]*serviceRules),
 	}
 	for i := range s.Profiles {
 		c.byName[s.Profiles[i].Name] = &s.Profiles[i]
@@ -59,11 +59,11 @@
 	for _, a := range s.Assignments {
 		c.add(a)
 	}
-	c.any = c.services[AnyService]
+	c.anyService = c.services[AnyService]
 	delete(c.services, AnyService)
 	c.routes = compileRoutes(s.Routes)
 	c.customers = customer.NewDirectory(s.Customers)
-	c.priorities = joinPriorities(s.Customers, s.Profiles)
+	c.priorities = newPriorityTable(s.Customers, s.Profiles)
 	return c
 }
 
@@ -71,17 +71,17 @@
 	match := a.match()
 	service := c.services[match.Service]
 	if service == nil {
-		service = &rules{byPrefix: make(map[string]*methods)}
+		service = &serviceRules{byPrefix: make(map[string]*prefixRules)}
 		c.services[match.Service] = service
 	}
 	prefix := service.byPrefix[match.PathPrefix]
 	if prefix == nil {
-		prefix = &methods{byMethod: make(map[string]*Profile)}
+		prefix = &prefixRules{byMethod: make(map[string]*Profile)}
 		service.byPrefix[match.PathPrefix] = prefix
 	}
-	service.longest = max(service.longest, len(match.PathPrefix))
+	service.longestPrefix = max(service.longestPrefix, len(match.PathPrefix))
 	if match.Method == "" {
-		prefix.any = c.byName[a.Profile]
+		prefix.anyMethod = c.byName[a.Profile]
 		return
 	}
 	prefix.byMethod[match.Method] = c.byName[a.Profile]
@@ -92,22 +92,22 @@
 //
 // requestPath must be decoded, as url.URL.Path is.
 func (c *Compiled) Match(service, method, requestPath string) *Profile {
-	requestPath = cleaned(requestPath)
+	requestPath = cleanPath(requestPath)
 	if p := c.services[service].match(method, requestPath); p != nil {
 		return p
 	}
-	if p := c.any.match(method, requestPath); p != nil {
+	if p := c.anyService.match(method, requestPath); p != nil {
 		return p
 	}
 	return c.fallback
 }
 
-// cleaned resolves dot segments and repeated slashes.
+// cleanPath resolves dot segments and repeated slashes.
 //
 // An upstream that cleans paths handles /browse/../filings as a filing, while the
 // prefix of the raw path selects the browsing profile, under which the filing could
 // be retried. Most paths need no cleaning and return unchanged.
-func cleaned(requestPath string) string {
+func cleanPath(requestPath string) string {
 	if strings.Contains(requestPath, "//") || strings.Contains(requestPath, "/.") {
 		return path.Clean(requestPath)
 	}
@@ -116,13 +116,13 @@
 
 // match tries the prefixes of requestPath that end at a segment boundary, longest
 // first.
-func (r *rules) match(method, requestPath string) *Profile {
+func (r *serviceRules) match(method, requestPath string) *Profile {
 	if r == nil {
 		return nil
 	}
 	end := len(requestPath)
-	if end > r.longest {
-		end = r.cut(requestPath)
+	if end > r.longestPrefix {
+		end = r.longestCandidate(requestPath)
 	}
 	for end > 0 {
 		if p := r.byPrefix[requestPath[:end]].match(method); p != nil {
@@ -133,21 +133,21 @@
 	return r.byPrefix[""].match(method)
 }
 
-// cut returns the length of the longest prefix of requestPath that ends at a
+// longestCandidate returns the length of the longest prefix of requestPath that ends at a
 // segment boundary and that an assignment could have. This bounds the lookups for a
 // path with many slashes by the number of segments of the longest assignment.
-func (r *rules) cut(requestPath string) int {
-	return strings.LastIndexByte(requestPath[:r.longest+1], '/')
+func (r *serviceRules) longestCandidate(requestPath string) int {
+	return strings.LastIndexByte(requestPath[:r.longestPrefix+1], '/')
 }
 
-func (m *methods) match(method string) *Profile {
+func (m *prefixRules) match(method string) *Profile {
 	if m == nil {
 		return nil
 	}
 	if p, ok := m.byMethod[method]; ok {
 		return p
 	}
-	return m.any
+	return m.anyMethod
 }
 
 // Profile returns the profile with the given name, or nil. Hops downstream of the
--- a/config/compiled_test.go
+++ b/config/compiled_test.go
@@ -10,9 +10,9 @@
 	"pollengauge.dev/config"
 )
 
-// slowMatch is the reference for Match: it tries every assignment and selects the
+// referenceMatch is the reference for Match: it tries every assignment and selects the
 // most specific one.
-func slowMatch(set config.Set, service, method, path string) string {
+func referenceMatch(set config.Set, service, method, path string) string {
 	best, profile := -1, config.DefaultProfileName
 	for _, a := range set.Assignments {
 		prefix := strings.TrimSuffix(a.PathPrefix, "/")
@@ -39,7 +39,7 @@
 // A wrong profile can cause a filing to run twice. Match, which looks up prefixes
 // from the longest to the shortest, must agree with the reference for every set and
 // path.
-func TestMatchAgreesWithTheRule(t *testing.T) {
+func TestMatchAgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := rapid.SampledFrom([]string{"a", "b", "*"})
 		method := rapid.SampledFrom([]string{"", "GET", "POST"})
@@ -60,7 +60,7 @@
 		}
 		for range 10 {
 			s, m, p := service.Draw(t, "called"), method.Draw(t, "by"), path.Draw(t, "path")
-			if got, want := compiled.Match(s, m, p).Name, slowMatch(set, s, m, p); got != want {
+			if got, want := compiled.Match(s, m, p).Name, referenceMatch(set, s, m, p); got != want {
 				t.Fatalf("%s %s %s: got %s, want %s", s, m, p, got, want)
 			}
 		}
--- a/config/customers_bench_test.go
+++ b/config/customers_bench_test.go
@@ -29,7 +29,7 @@
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
 			set := manyCustomers(count)
 			b.ReportAllocs()
-			var kept *Store
+			var store *Store
 			for i := range b.N {
 				set.Version = uint64(i) + 1
 				data, err := Encode(set)
@@ -37,8 +37,8 @@
 					b.Fatal(err)
 				}
 				b.SetBytes(int64(len(data)))
-				kept = NewStore()
-				if _, err := kept.Offer(data, SourcePeer); err != nil {
+				store = NewStore()
+				if _, err := store.Offer(data, SourcePeer); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -46,7 +46,7 @@
 			var memory runtime.MemStats
 			runtime.ReadMemStats(&memory)
 			b.ReportMetric(float64(memory.HeapAlloc)/(1<<20), "MB-held")
-			runtime.KeepAlive(kept)
+			runtime.KeepAlive(store)
 		})
 	}
 }
--- a/config/diff.go
+++ b/config/diff.go
@@ -88,7 +88,7 @@
 		out = diffFields(out, old, it)
 	}
 	for _, it := range from {
-		if _, left := before[it.path]; left {
+		if _, unmatched := before[it.path]; unmatched {
 			out = append(out, Difference{Op: Removed, Path: it.path, From: it.summary()})
 		}
 	}
--- a/config/document.go
+++ b/config/document.go
@@ -100,10 +100,10 @@
 	if err := json.Unmarshal(value, &stored); err != nil {
 		return Document{}, &EncodingError{Want: "a document in JSON", Cause: err}
 	}
-	if err := onlyKnownFields(stored.Set); err != nil {
+	if err := checkKnownFields(stored.Set); err != nil {
 		return Document{}, &EncodingError{Want: "a set with the fields of this build", Cause: err}
 	}
-	if err := usable(d.Set); err != nil {
+	if err := validateForNode(d.Set); err != nil {
 		return Document{}, err
 	}
 	return d, nil
@@ -123,7 +123,7 @@
 	return *d.Set.Version, true
 }
 
-func onlyKnownFields(set []byte) error {
+func checkKnownFields(set []byte) error {
 	if len(set) == 0 {
 		return nil
 	}
@@ -138,18 +138,18 @@
 	if version == d.Set.Version {
 		return d.Set, nil
 	}
-	var kept []uint64
+	var stored []uint64
 	for _, earlier := range d.Earlier {
 		if earlier.Version == version {
 			return earlier.unpack()
 		}
-		kept = append(kept, earlier.Version)
+		stored = append(stored, earlier.Version)
 	}
-	return Set{}, &NoVersionError{Version: version, Kept: append(kept, d.Set.Version)}
+	return Set{}, &NoVersionError{Version: version, Kept: append(stored, d.Set.Version)}
 }
 
-// change returns the recorded change with the given id.
-func (d Document) change(id string) (Change, bool) {
+// findChange returns the recorded change with the given id.
+func (d Document) findChange(id string) (Change, bool) {
 	i := slices.IndexFunc(d.Changes, func(c Change) bool { return c.ChangeID == id })
 	if i < 0 {
 		return Change{}, false
@@ -157,14 +157,14 @@
 	return d.Changes[i], true
 }
 
-// recordsAfter reports whether Changes includes every change made after version.
-func (d Document) recordsAfter(version uint64) bool {
+// recordsAllAfter reports whether Changes includes every change made after version.
+func (d Document) recordsAllAfter(version uint64) bool {
 	return len(d.Changes) < MaxChanges || d.Changes[0].Version <= version+1
 }
 
-// followedBy returns the Document that results from replacing d.Set with next, and
+// withNextSet returns the Document that results from replacing d.Set with next, and
 // its encoding.
-func (d Document) followedBy(next Set, content string) (Document, []byte, error) {
+func (d Document) withNextSet(next Set, content string) (Document, []byte, error) {
 	after := Document{Set: next}
 	after.Changes = append(slices.Clone(d.Changes), Change{
 		Version:  next.Version,
@@ -174,19 +174,19 @@
 		At:       next.At,
 		Content:  content,
 	})
-	after.Changes = last(after.Changes, MaxChanges)
+	after.Changes = lastN(after.Changes, MaxChanges)
 	packed, err := pack(d.Set)
 	if err != nil {
 		return Document{}, nil, err
 	}
-	after.Earlier = last(append(slices.Clone(d.Earlier), packed), MaxHistory)
-	return after.fit()
+	after.Earlier = lastN(append(slices.Clone(d.Earlier), packed), MaxHistory)
+	return after.trimToFit()
 }
 
-// fit drops the oldest Sets until the encoded Document fits into one object. The
+// trimToFit drops the oldest Sets until the encoded Document fits into one object. The
 // Set and the changes alone always fit: MaxEncoded plus 64 change records are below
 // the limit.
-func (d Document) fit() (Document, []byte, error) {
+func (d Document) trimToFit() (Document, []byte, error) {
 	for {
 		value, err := marshal(d)
 		if err != nil {
@@ -199,7 +199,7 @@
 	}
 }
 
-func last[T any](list []T, n int) []T { return list[max(0, len(list)-n):] }
+func lastN[T any](list []T, n int) []T { return list[max(0, len(list)-n):] }
 
 func pack(s Set) (EarlierSet, error) {
 	data, err := Encode(s)
--- a/config/encode.go
+++ b/config/encode.go
@@ -23,17 +23,17 @@
 // Encode checks that a node can use s and returns its canonical encoding: equal
 // Sets have equal encodings, and Decode accepts no other bytes.
 func Encode(s Set) ([]byte, error) {
-	if err := usable(s); err != nil {
+	if err := validateForNode(s); err != nil {
 		return nil, err
 	}
 	data, err := marshal(s)
 	if err == nil && len(data) > MaxHeld {
-		return nil, &EncodingError{Want: wantHeld}
+		return nil, &EncodingError{Want: wantMaxSize}
 	}
 	return data, err
 }
 
-const wantHeld = "at most 16 MiB"
+const wantMaxSize = "at most 16 MiB"
 
 func marshal(v any) ([]byte, error) {
 	data, err := json.Marshal(v)
@@ -51,7 +51,7 @@
 // requires that the decoded Set encodes to exactly the same bytes.
 func Decode(data []byte) (Set, error) {
 	if len(data) > MaxHeld {
-		return Set{}, &EncodingError{Want: wantHeld}
+		return Set{}, &EncodingError{Want: wantMaxSize}
 	}
 	var s Set
 	if err := json.Unmarshal(data, &s); err != nil {
--- a/config/errors.go
+++ b/config/errors.go
@@ -6,8 +6,8 @@
 	"unicode/utf8"
 )
 
-// maxShownValue is the maximum length of a value in an error text, in bytes.
-const maxShownValue = 60
+// maxShownBytes is the maximum length of a value in an error text, in bytes.
+const maxShownBytes = 60
 
 // ValueError reports a value that could not be parsed.
 type ValueError struct {
@@ -16,7 +16,7 @@
 }
 
 // Error implements error.
-func (e *ValueError) Error() string { return shown(e.Value) + ": want " + e.Want }
+func (e *ValueError) Error() string { return quoteTruncated(e.Value) + ": want " + e.Want }
 
 // Problem is one reason why a Set is rejected.
 type Problem struct {
@@ -31,7 +31,7 @@
 
 // String formats the problem as one line.
 func (p Problem) String() string {
-	return atLine(p.Line, p.Path) + ": " + shown(p.Value) + ": want " + p.Want
+	return prefixLine(p.Line, p.Path) + ": " + quoteTruncated(p.Value) + ": want " + p.Want
 }
 
 // ValidationError lists all problems of a Set.
@@ -86,23 +86,23 @@
 		", refused " + e.OfferedHash + " of change " + e.OfferedChange + " from " + string(e.Source)
 }
 
-// atLine prefixes field with its line number, if it is known.
-func atLine(line int, field string) string {
+// prefixLine prefixes field with its line number, if it is known.
+func prefixLine(line int, field string) string {
 	if line == 0 {
 		return field
 	}
 	return "line " + strconv.Itoa(line) + ": " + field
 }
 
-// shown quotes value and truncates a long one, so that malicious input can't flood
+// quoteTruncated quotes value and truncates a long one, so that malicious input can't flood
 // a log.
-func shown(value string) string {
-	if len(value) <= maxShownValue {
+func quoteTruncated(value string) string {
+	if len(value) <= maxShownBytes {
 		return strconv.Quote(value)
 	}
-	cut := maxShownValue
-	for cut > 0 && !utf8.RuneStart(value[cut]) {
-		cut--
+	end := maxShownBytes
+	for end > 0 && !utf8.RuneStart(value[end]) {
+		end--
 	}
-	return strconv.Quote(value[:cut] + "...")
+	return strconv.Quote(value[:end] + "...")
 }
--- a/config/follow.go
+++ b/config/follow.go
@@ -98,15 +98,15 @@
 // Individual peers may be stale or malicious: a version lower than another one
 // received is ignored, and an invalid Set counts as a failure.
 func Bootstrap(ctx context.Context, s *Store, store objects.Store, peers []Peer) BootstrapResult {
-	answers := make(chan answer, len(peers)+1)
-	go func() { answers <- askPlatform(ctx, s, store) }()
+	responses := make(chan sourceResponse, len(peers)+1)
+	go func() { responses <- queryPlatform(ctx, s, store) }()
 	for _, peer := range peers {
-		go func() { answers <- askPeer(ctx, s, peer) }()
+		go func() { responses <- queryPeer(ctx, s, peer) }()
 	}
 	result := BootstrapResult{Asked: len(peers) + 1}
 	for range result.Asked {
 		select {
-		case a := <-answers:
+		case a := <-responses:
 			result.add(a)
 		case <-ctx.Done():
 			result.Status = s.Status()
@@ -117,12 +117,12 @@
 	return result
 }
 
-type answer struct {
+type sourceResponse struct {
 	platform bool
 	err      error
 }
 
-func (r *BootstrapResult) add(a answer) {
+func (r *BootstrapResult) add(a sourceResponse) {
 	if a.err != nil {
 		r.Failures = append(r.Failures, a.err)
 		return
@@ -131,21 +131,21 @@
 	r.Stored = r.Stored || a.platform
 }
 
-func askPlatform(ctx context.Context, s *Store, store objects.Store) answer {
+func queryPlatform(ctx context.Context, s *Store, store objects.Store) sourceResponse {
 	object, err := store.Get(ctx, ObjectKind, ObjectName)
 	if missing := (*objects.NotFoundError)(nil); errors.As(err, &missing) {
-		return answer{platform: true}
+		return sourceResponse{platform: true}
 	}
 	if err == nil {
 		_, err = s.OfferObject(object)
 	}
-	return answer{platform: true, err: err}
+	return sourceResponse{platform: true, err: err}
 }
 
-func askPeer(ctx context.Context, s *Store, peer Peer) answer {
+func queryPeer(ctx context.Context, s *Store, peer Peer) sourceResponse {
 	data, err := peer(ctx)
 	if err == nil {
 		_, err = s.Offer(data, SourcePeer)
 	}
-	return answer{err: err}
+	return sourceResponse{err: err}
 }
--- a/config/heard.go
+++ b/config/heard.go
@@ -11,27 +11,27 @@
 // itself behind.
 const HeardFor = time.Minute
 
-// heardVersion is the highest version known to exist. It is immutable once stored.
-type heardVersion struct {
+// knownVersion is the highest version known to exist. It is immutable once stored.
+type knownVersion struct {
 	version uint64
-	// at is the time at which the version was last known to exist.
-	at time.Time
+	// lastKnown is the time at which the version was last known to exist.
+	lastKnown time.Time
 }
 
-func (h *heardVersion) counts(now time.Time) bool {
-	return h != nil && now.Sub(h.at) < HeardFor
+func (h *knownVersion) isFresh(now time.Time) bool {
+	return h != nil && now.Sub(h.lastKnown) < HeardFor
 }
 
 // Hear records that a version was known to exist at the given time, whether or not
 // this node can activate it. It ignores notices that are HeardFor old or older.
 func (s *Store) Hear(version uint64, at, now time.Time) {
-	next := &heardVersion{version: version, at: at}
-	for next.counts(now) {
-		known := s.heard.Load()
-		if known.counts(now) && (version < known.version || (version == known.version && !at.After(known.at))) {
+	next := &knownVersion{version: version, lastKnown: at}
+	for next.isFresh(now) {
+		known := s.newestKnown.Load()
+		if known.isFresh(now) && (version < known.version || (version == known.version && !at.After(known.lastKnown))) {
 			return
 		}
-		if s.heard.CompareAndSwap(known, next) {
+		if s.newestKnown.CompareAndSwap(known, next) {
 			return
 		}
 	}
@@ -41,11 +41,11 @@
 // last known. It is higher than the active version if this node rejected the newest
 // Set or has not received it yet.
 func (s *Store) Newest(now time.Time) (version uint64, at time.Time) {
-	inForce := s.Current().Version()
-	if known := s.heard.Load(); known.counts(now) && known.version > inForce {
-		return known.version, known.at
+	activeVersion := s.Current().Version()
+	if known := s.newestKnown.Load(); known.isFresh(now) && known.version > activeVersion {
+		return known.version, known.lastKnown
 	}
-	return inForce, now
+	return activeVersion, now
 }
 
 // Behind reports whether a version higher than the active one is known to exist.
--- a/config/heard_test.go
+++ b/config/heard_test.go
@@ -12,7 +12,7 @@
 // Operators store a version of a newer build, which this build rejects. Its version
 // number must still be read, because otherwise the node could not report that it is
 // behind.
-func TestVersionOfARefusedDocumentIsRead(t *testing.T) {
+func TestStoredVersionOfRejectedDocument(t *testing.T) {
 	c := qt.New(t)
 	value := []byte(`{"set":{"version":7,"fieldOfANewerBuild":1}}`)
 	_, err := NewStore().OfferObject(objects.Object{Kind: ObjectKind, Name: ObjectName, Value: value})
@@ -27,7 +27,7 @@
 // Nodes report versions in any order. A lower version must not replace a higher
 // one, an expired one must not count, and the active version must not count as
 // newer.
-func TestHeardVersions(t *testing.T) {
+func TestKnownVersions(t *testing.T) {
 	c := qt.New(t)
 	s := NewStore()
 	start := time.Unix(1000, 0)
--- a/config/lines.go
+++ b/config/lines.go
@@ -14,11 +14,11 @@
 	line := 0
 	n := root
 	for _, step := range strings.FieldsFunc(path, func(r rune) bool { return strings.ContainsRune(".[]", r) }) {
-		at, next := child(n, step)
+		childLine, next := child(n, step)
 		if next == nil {
 			break
 		}
-		line = at
+		line = childLine
 		n = next
 	}
 	return line
@@ -42,11 +42,11 @@
 	return 0, nil
 }
 
-// withLines sets the lines of the problems if err is a *ValidationError.
-func withLines(err error, root *yaml.Node) error {
-	if refused, ok := err.(*ValidationError); ok {
-		for i := range refused.Problems {
-			problem := &refused.Problems[i]
+// setLines sets the lines of the problems if err is a *ValidationError.
+func setLines(err error, root *yaml.Node) error {
+	if invalid, ok := err.(*ValidationError); ok {
+		for i := range invalid.Problems {
+			problem := &invalid.Problems[i]
 			problem.Line = lineOf(root, problem.Path)
 		}
 	}
--- a/config/model_test.go
+++ b/config/model_test.go
@@ -18,20 +18,20 @@
 // old messages late.
 type fleet struct {
 	ctx   context.Context
-	store *scripted
+	store *faultyPlatform
 	nodes []*config.Store
-	// floor holds the last version seen on the current incarnation of each node.
-	floor []uint64
+	// lastVersions holds the last version seen on the current incarnation of each node.
+	lastVersions []uint64
 	// sent holds every accepted encoding. Messages stay in it, so they can be
 	// delivered repeatedly.
 	sent [][]byte
 
-	changes  int
-	unsure   []attempt       // may have taken effect; to be retried
-	done     map[string]bool // reported as applied
-	dropped  map[string]bool // reported as never applied
-	accepted map[uint64]string
-	checked  int // number of entries of store.took that check has seen
+	changes            int
+	unknownFate        []attempt       // may have taken effect; to be retried
+	reportedApplied    map[string]bool // reported as applied
+	reportedNotApplied map[string]bool // reported as never applied
+	acceptedHashes     map[uint64]string
+	checked            int // number of entries of store.applied that check has seen
 }
 
 type attempt struct {
@@ -42,30 +42,30 @@
 const fleetSize = 3
 
 func newFleet(ctx context.Context) *fleet {
-	f := &fleet{ctx: ctx, store: newScripted(), done: map[string]bool{}, dropped: map[string]bool{}, accepted: map[uint64]string{0: config.NewStore().Current().Hash()}}
+	f := &fleet{ctx: ctx, store: newFaultyPlatform(), reportedApplied: map[string]bool{}, reportedNotApplied: map[string]bool{}, acceptedHashes: map[uint64]string{0: config.NewStore().Current().Hash()}}
 	for range fleetSize {
 		f.nodes = append(f.nodes, config.NewStore())
-		f.floor = append(f.floor, 0)
+		f.lastVersions = append(f.lastVersions, 0)
 	}
 	return f
 }
 
 func drawPlan(t *rapid.T) []fault {
-	return rapid.SliceOfN(rapid.SampledFrom([]fault{fine, fine, down, drop, lose, delay}), 0, 3).Draw(t, "plan")
+	return rapid.SliceOfN(rapid.SampledFrom([]fault{noFault, noFault, rejectWrite, loseResponse, loseRequest, delayWrite}), 0, 3).Draw(t, "plan")
 }
 
 // operate applies a change based on the stored version or the one before it, while
 // the platform injects faults and another operator may apply a change in between.
 func (f *fleet) operate(t *rapid.T) {
 	f.changes++
-	stored := f.stored()
+	stored := f.storedVersion()
 	from := stored - min(stored, rapid.SampledFrom([]uint64{0, 0, 0, 1}).Draw(t, "behind"))
-	opts := options(from, "c"+strconv.Itoa(f.changes))
+	opts := applyOptions(from, "c"+strconv.Itoa(f.changes))
 	opts.Attempts = 2
 	next := attempt{draft: draft(f.changes), opts: opts}
 	if rapid.IntRange(0, 3).Draw(t, "rival") == 0 {
 		f.changes++
-		rival := attempt{draft: draft(f.changes), opts: options(from, "c"+strconv.Itoa(f.changes))}
+		rival := attempt{draft: draft(f.changes), opts: applyOptions(from, "c"+strconv.Itoa(f.changes))}
 		f.store.before = func() { f.apply(t, rival) }
 	}
 	f.store.plan = drawPlan(t)
@@ -77,32 +77,32 @@
 // apply applies a change and checks the result against what took effect.
 func (f *fleet) apply(t *rapid.T, a attempt) {
 	result, err := config.Apply(f.ctx, f.store, a.draft, a.opts)
-	f.judge(t, a, result, err)
+	f.checkResult(t, a, result, err)
 }
 
-func (f *fleet) judge(t *rapid.T, a attempt, result config.Result, err error) {
+func (f *fleet) checkResult(t *rapid.T, a attempt, result config.Result, err error) {
 	id := a.opts.ChangeID
 	var race *config.RaceError
 	var failed *config.ApplyError
 	switch {
 	case err == nil:
-		f.done[id] = true
-		if f.store.times(id) != 1 || f.store.version(id) != result.Version {
-			t.Fatalf("%s reported as version %d, took effect %d times", id, result.Version, f.store.times(id))
+		f.reportedApplied[id] = true
+		if f.store.appliedCount(id) != 1 || f.store.appliedVersion(id) != result.Version {
+			t.Fatalf("%s reported as version %d, took effect %d times", id, result.Version, f.store.appliedCount(id))
 		}
 	case errors.As(err, &race):
-		f.dropped[id] = true
+		f.reportedNotApplied[id] = true
 	case errors.As(err, &failed) && failed.Fate == config.FateUnknown:
-		f.unsure = append(f.unsure, a)
-	case errors.As(err, &failed) && !f.isUnsure(id):
-		f.dropped[id] = true
+		f.unknownFate = append(f.unknownFate, a)
+	case errors.As(err, &failed) && !f.hasUnknownFate(id):
+		f.reportedNotApplied[id] = true
 	case failed == nil:
 		t.Fatalf("%s: %v", id, err)
 	}
 }
 
-func (f *fleet) isUnsure(id string) bool {
-	for _, a := range f.unsure {
+func (f *fleet) hasUnknownFate(id string) bool {
+	for _, a := range f.unknownFate {
 		if a.opts.ChangeID == id {
 			return true
 		}
@@ -110,24 +110,24 @@
 	return false
 }
 
-// settle retries a change of unknown fate under its change id.
-func (f *fleet) settle(t *rapid.T) {
-	if len(f.unsure) == 0 {
+// retryUnknown retries a change of unknown fate under its change id.
+func (f *fleet) retryUnknown(t *rapid.T) {
+	if len(f.unknownFate) == 0 {
 		t.Skip()
 	}
-	a := rapid.SampledFrom(f.unsure).Draw(t, "unsure")
+	a := rapid.SampledFrom(f.unknownFate).Draw(t, "unsure")
 	f.store.plan = drawPlan(t)
 	f.apply(t, a)
 	f.store.plan = nil
 }
 
-func (f *fleet) back(t *rapid.T) {
-	stored := f.stored()
+func (f *fleet) rollBack(t *rapid.T) {
+	stored := f.storedVersion()
 	if stored < 2 {
 		t.Skip()
 	}
 	f.changes++
-	opts := options(stored, "c"+strconv.Itoa(f.changes))
+	opts := applyOptions(stored, "c"+strconv.Itoa(f.changes))
 	to := rapid.Uint64Range(1, stored-1).Draw(t, "to")
 	result, err := config.Rollback(f.ctx, f.store, to, opts)
 	if err != nil {
@@ -137,16 +137,16 @@
 		}
 		return
 	}
-	f.judge(t, attempt{opts: opts}, result, nil)
+	f.checkResult(t, attempt{opts: opts}, result, nil)
 }
 
-// land delivers a delayed write whose sender has stopped waiting for the response.
-func (f *fleet) land(t *rapid.T) {
-	if len(f.store.late) == 0 {
+// deliverDelayedWrite delivers a delayed write whose sender has stopped waiting for the response.
+func (f *fleet) deliverDelayedWrite(t *rapid.T) {
+	if len(f.store.delayedWrites) == 0 {
 		t.Skip()
 	}
-	i := rapid.IntRange(0, len(f.store.late)-1).Draw(t, "late")
-	f.store.late[i]()
+	i := rapid.IntRange(0, len(f.store.delayedWrites)-1).Draw(t, "late")
+	f.store.delayedWrites[i]()
 }
 
 func (f *fleet) watch(t *rapid.T) {
@@ -169,8 +169,8 @@
 	}
 }
 
-// forge offers other content under the active version, and a truncated encoding.
-func (f *fleet) forge(t *rapid.T) {
+// offerInvalid offers other content under the active version, and a truncated encoding.
+func (f *fleet) offerInvalid(t *rapid.T) {
 	node := f.drawNode(t)
 	version, data := node.Encoded()
 	if version == 0 {
@@ -178,10 +178,10 @@
 	}
 	var fork *config.ForkError
 	other := strings.Replace(string(data), `"author":"`, `"author":"not `, 1)
-	if took, err := node.Offer([]byte(other), config.SourcePeer); took || !errors.As(err, &fork) {
-		t.Fatalf("Offer of a fork: accepted %v, error %v", took, err)
+	if accepted, err := node.Offer([]byte(other), config.SourcePeer); accepted || !errors.As(err, &fork) {
+		t.Fatalf("Offer of a fork: accepted %v, error %v", accepted, err)
 	}
-	if took, err := node.Offer(data[:len(data)-1], config.SourcePeer); took || err == nil {
+	if accepted, err := node.Offer(data[:len(data)-1], config.SourcePeer); accepted || err == nil {
 		t.Fatal("Offer accepted a truncated encoding")
 	}
 }
@@ -190,7 +190,7 @@
 func (f *fleet) restart(t *rapid.T) {
 	i := rapid.IntRange(0, fleetSize-1).Draw(t, "node")
 	f.nodes[i] = config.NewStore()
-	f.floor[i] = 0
+	f.lastVersions[i] = 0
 	for j, peer := range f.nodes {
 		if rapid.Bool().Draw(t, "answers") && j != i {
 			_, data := peer.Encoded()
@@ -209,9 +209,9 @@
 // effect exactly as reported to its operator, and no node returns to a lower
 // version or runs content that never took effect.
 func (f *fleet) check(t *rapid.T) {
-	for ; f.checked < len(f.store.took); f.checked++ {
-		set := f.store.took[f.checked]
-		if f.checked > 0 && set.Version <= f.store.took[f.checked-1].Version {
+	for ; f.checked < len(f.store.applied); f.checked++ {
+		set := f.store.applied[f.checked]
+		if f.checked > 0 && set.Version <= f.store.applied[f.checked-1].Version {
 			t.Fatalf("version %d took effect after a higher or equal version", set.Version)
 		}
 		data, err := config.Encode(set)
@@ -219,36 +219,36 @@
 			t.Fatal(err)
 		}
 		f.sent = append(f.sent, data)
-		f.accepted[set.Version] = config.Hash(data)
+		f.acceptedHashes[set.Version] = config.Hash(data)
 	}
-	for _, set := range f.store.took {
-		if f.dropped[set.ChangeID] || f.store.times(set.ChangeID) != 1 {
-			t.Fatalf("change %s took effect %d times, reported as not applied: %v", set.ChangeID, f.store.times(set.ChangeID), f.dropped[set.ChangeID])
+	for _, set := range f.store.applied {
+		if f.reportedNotApplied[set.ChangeID] || f.store.appliedCount(set.ChangeID) != 1 {
+			t.Fatalf("change %s took effect %d times, reported as not applied: %v", set.ChangeID, f.store.appliedCount(set.ChangeID), f.reportedNotApplied[set.ChangeID])
 		}
 	}
-	for id := range f.done {
-		if f.store.times(id) != 1 {
-			t.Fatalf("change %s reported as applied, took effect %d times", id, f.store.times(id))
+	for id := range f.reportedApplied {
+		if f.store.appliedCount(id) != 1 {
+			t.Fatalf("change %s reported as applied, took effect %d times", id, f.store.appliedCount(id))
 		}
 	}
 	for i, node := range f.nodes {
-		now := node.Current()
-		if now.Version() < f.floor[i] || now.Hash() != f.accepted[now.Version()] {
-			t.Fatalf("node %d: active version %d after version %d, content hash %s", i, now.Version(), f.floor[i], now.Hash())
+		active := node.Current()
+		if active.Version() < f.lastVersions[i] || active.Hash() != f.acceptedHashes[active.Version()] {
+			t.Fatalf("node %d: active version %d after version %d, content hash %s", i, active.Version(), f.lastVersions[i], active.Hash())
 		}
-		f.floor[i] = now.Version()
+		f.lastVersions[i] = active.Version()
 	}
 }
 
-func (f *fleet) stored() uint64 {
-	if len(f.store.took) == 0 {
+func (f *fleet) storedVersion() uint64 {
+	if len(f.store.applied) == 0 {
 		return 0
 	}
-	return f.store.took[len(f.store.took)-1].Version
+	return f.store.applied[len(f.store.applied)-1].Version
 }
 
-func (s *scripted) version(id string) uint64 {
-	for _, set := range s.took {
+func (s *faultyPlatform) appliedVersion(id string) uint64 {
+	for _, set := range s.applied {
 		if set.ChangeID == id {
 			return set.Version
 		}
@@ -263,7 +263,7 @@
 // repeated and reordered, nodes restart without state, and malicious peers offer
 // forks, in any order. Within one incarnation no node may return to a lower version
 // or run content that never took effect, and no operator may get a wrong result.
-func TestFleetNeverGoesBack(t *testing.T) {
+func TestFleetVersionsNeverDecrease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		rapid.Check(noDeadline{t}, func(t *rapid.T) {
@@ -271,12 +271,12 @@
 			t.Repeat(map[string]func(*rapid.T){
 				"operate": f.operate,
 				"rush":    f.operate,
-				"settle":  f.settle,
-				"back":    f.back,
-				"land":    f.land,
+				"settle":  f.retryUnknown,
+				"back":    f.rollBack,
+				"land":    f.deliverDelayedWrite,
 				"watch":   f.watch,
 				"deliver": f.deliver,
-				"forge":   f.forge,
+				"forge":   f.offerInvalid,
 				"restart": f.restart,
 				"":        f.check,
 			})
--- a/config/parse.go
+++ b/config/parse.go
@@ -34,7 +34,7 @@
 		return Set{}, err
 	}
 	if err := Validate(s); err != nil {
-		return Set{}, withLines(err, root)
+		return Set{}, setLines(err, root)
 	}
 	return s, nil
 }
@@ -54,99 +54,99 @@
 
 func readSet(n *yaml.Node, s *Set) error {
 	s.Limits.RetryRatio = DefaultRetryRatio
-	_, err := readObject(n, "", fields{
-		"version":  func(n *yaml.Node, at string) error { return readVersion(n, at, &s.Version) },
-		"changeId": func(n *yaml.Node, at string) error { return readString(n, at, &s.ChangeID) },
-		"author":   func(n *yaml.Node, at string) error { return readString(n, at, &s.Author) },
-		"comment":  func(n *yaml.Node, at string) error { return readString(n, at, &s.Comment) },
-		"at":       func(n *yaml.Node, at string) error { return readTime(n, at, &s.At) },
-		"profiles": func(n *yaml.Node, at string) error {
-			return readList(n, at, MaxProfiles, &s.Profiles, readProfile)
+	_, err := readObject(n, "", fieldReaders{
+		"version":  func(n *yaml.Node, path string) error { return readVersion(n, path, &s.Version) },
+		"changeId": func(n *yaml.Node, path string) error { return readString(n, path, &s.ChangeID) },
+		"author":   func(n *yaml.Node, path string) error { return readString(n, path, &s.Author) },
+		"comment":  func(n *yaml.Node, path string) error { return readString(n, path, &s.Comment) },
+		"at":       func(n *yaml.Node, path string) error { return readTime(n, path, &s.At) },
+		"profiles": func(n *yaml.Node, path string) error {
+			return readList(n, path, MaxProfiles, &s.Profiles, readProfile)
 		},
-		"assignments": func(n *yaml.Node, at string) error {
-			return readList(n, at, MaxAssignments, &s.Assignments, readAssignment)
+		"assignments": func(n *yaml.Node, path string) error {
+			return readList(n, path, MaxAssignments, &s.Assignments, readAssignment)
 		},
-		"routes": func(n *yaml.Node, at string) error {
-			return readList(n, at, MaxRoutes, &s.Routes, readRoute)
+		"routes": func(n *yaml.Node, path string) error {
+			return readList(n, path, MaxRoutes, &s.Routes, readRoute)
 		},
-		"customers": func(n *yaml.Node, at string) error {
-			return readList(n, at, customer.MaxCustomers, &s.Customers, readCustomer)
+		"customers": func(n *yaml.Node, path string) error {
+			return readList(n, path, customer.MaxCustomers, &s.Customers, readCustomer)
 		},
-		"limits": func(n *yaml.Node, at string) error { return readLimits(n, at, &s.Limits) },
+		"limits": func(n *yaml.Node, path string) error { return readLimits(n, path, &s.Limits) },
 	}, "profiles")
 	return err
 }
 
-func readLimits(n *yaml.Node, at string, l *Limits) error {
-	_, err := readObject(n, at, fields{
-		"retryRatio":  func(n *yaml.Node, at string) error { return readFloat(n, at, &l.RetryRatio) },
-		"headerBytes": func(n *yaml.Node, at string) error { return readInt(n, at, &l.HeaderBytes) },
-		"bodyBytes":   func(n *yaml.Node, at string) error { return readInt(n, at, &l.BodyBytes) },
-		"idleTimeout": func(n *yaml.Node, at string) error { return readText(n, at, &l.IdleTimeout) },
+func readLimits(n *yaml.Node, path string, l *Limits) error {
+	_, err := readObject(n, path, fieldReaders{
+		"retryRatio":  func(n *yaml.Node, path string) error { return readFloat(n, path, &l.RetryRatio) },
+		"headerBytes": func(n *yaml.Node, path string) error { return readInt(n, path, &l.HeaderBytes) },
+		"bodyBytes":   func(n *yaml.Node, path string) error { return readInt(n, path, &l.BodyBytes) },
+		"idleTimeout": func(n *yaml.Node, path string) error { return readText(n, path, &l.IdleTimeout) },
 	})
 	return err
 }
 
-func readAssignment(n *yaml.Node, at string, a *Assignment) error {
-	_, err := readObject(n, at, fields{
-		"service":    func(n *yaml.Node, at string) error { return readString(n, at, &a.Service) },
-		"method":     func(n *yaml.Node, at string) error { return readString(n, at, &a.Method) },
-		"pathPrefix": func(n *yaml.Node, at string) error { return readString(n, at, &a.PathPrefix) },
-		"profile":    func(n *yaml.Node, at string) error { return readString(n, at, &a.Profile) },
+func readAssignment(n *yaml.Node, path string, a *Assignment) error {
+	_, err := readObject(n, path, fieldReaders{
+		"service":    func(n *yaml.Node, path string) error { return readString(n, path, &a.Service) },
+		"method":     func(n *yaml.Node, path string) error { return readString(n, path, &a.Method) },
+		"pathPrefix": func(n *yaml.Node, path string) error { return readString(n, path, &a.PathPrefix) },
+		"profile":    func(n *yaml.Node, path string) error { return readString(n, path, &a.Profile) },
 	}, "service", "profile")
 	return err
 }
 
-func readRoute(n *yaml.Node, at string, r *Route) error {
-	_, err := readObject(n, at, fields{
-		"name":       func(n *yaml.Node, at string) error { return readString(n, at, &r.Name) },
-		"host":       func(n *yaml.Node, at string) error { return readString(n, at, &r.Host) },
-		"pathPrefix": func(n *yaml.Node, at string) error { return readString(n, at, &r.PathPrefix) },
-		"shares": func(n *yaml.Node, at string) error {
-			return readList(n, at, MaxShares, &r.Shares, readShare)
+func readRoute(n *yaml.Node, path string, r *Route) error {
+	_, err := readObject(n, path, fieldReaders{
+		"name":       func(n *yaml.Node, path string) error { return readString(n, path, &r.Name) },
+		"host":       func(n *yaml.Node, path string) error { return readString(n, path, &r.Host) },
+		"pathPrefix": func(n *yaml.Node, path string) error { return readString(n, path, &r.PathPrefix) },
+		"shares": func(n *yaml.Node, path string) error {
+			return readList(n, path, MaxShares, &r.Shares, readShare)
 		},
-		"profile": func(n *yaml.Node, at string) error { return readString(n, at, &r.Profile) },
+		"profile": func(n *yaml.Node, path string) error { return readString(n, path, &r.Profile) },
 	}, "name", "host", "pathPrefix", "shares", "profile")
 	return err
 }
 
-func readShare(n *yaml.Node, at string, s *Share) error {
-	_, err := readObject(n, at, fields{
-		"service": func(n *yaml.Node, at string) error { return readString(n, at, &s.Service) },
-		"weight":  func(n *yaml.Node, at string) error { return readInt(n, at, &s.Weight) },
+func readShare(n *yaml.Node, path string, s *Share) error {
+	_, err := readObject(n, path, fieldReaders{
+		"service": func(n *yaml.Node, path string) error { return readString(n, path, &s.Service) },
+		"weight":  func(n *yaml.Node, path string) error { return readInt(n, path, &s.Weight) },
 	}, "service", "weight")
 	return err
 }
 
-func readProfile(n *yaml.Node, at string, p *Profile) error {
+func readProfile(n *yaml.Node, path string, p *Profile) error {
 	*p = NewProfile("", 0)
-	present, err := readObject(n, at, fields{
-		"name":         func(n *yaml.Node, at string) error { return readString(n, at, &p.Name) },
-		"priority":     func(n *yaml.Node, at string) error { return readInt(n, at, &p.Priority) },
-		"internal":     func(n *yaml.Node, at string) error { return readBool(n, at, &p.Internal) },
-		"public":       func(n *yaml.Node, at string) error { return readBool(n, at, &p.Public) },
-		"unrepeatable": func(n *yaml.Node, at string) error { return readBool(n, at, &p.Unrepeatable) },
-		"key":          func(n *yaml.Node, at string) error { return readString(n, at, &p.Key) },
-		"record":       func(n *yaml.Node, at string) error { return readString(n, at, &p.Record) },
-		"deadline":     func(n *yaml.Node, at string) error { return readText(n, at, &p.Deadline) },
-		"target":       func(n *yaml.Node, at string) error { return readText(n, at, &p.Target) },
-		"maxWait":      func(n *yaml.Node, at string) error { return readText(n, at, &p.MaxWait) },
-		"credit":       func(n *yaml.Node, at string) error { return readInt(n, at, &p.Credit) },
-		"brownout":     func(n *yaml.Node, at string) error { return readBrownout(n, at, &p.Brownout) },
-		"prefer":       func(n *yaml.Node, at string) error { return readText(n, at, &p.Prefer) },
-		"callerHeader": func(n *yaml.Node, at string) error { return readString(n, at, &p.CallerHeader) },
+	present, err := readObject(n, path, fieldReaders{
+		"name":         func(n *yaml.Node, path string) error { return readString(n, path, &p.Name) },
+		"priority":     func(n *yaml.Node, path string) error { return readInt(n, path, &p.Priority) },
+		"internal":     func(n *yaml.Node, path string) error { return readBool(n, path, &p.Internal) },
+		"public":       func(n *yaml.Node, path string) error { return readBool(n, path, &p.Public) },
+		"unrepeatable": func(n *yaml.Node, path string) error { return readBool(n, path, &p.Unrepeatable) },
+		"key":          func(n *yaml.Node, path string) error { return readString(n, path, &p.Key) },
+		"record":       func(n *yaml.Node, path string) error { return readString(n, path, &p.Record) },
+		"deadline":     func(n *yaml.Node, path string) error { return readText(n, path, &p.Deadline) },
+		"target":       func(n *yaml.Node, path string) error { return readText(n, path, &p.Target) },
+		"maxWait":      func(n *yaml.Node, path string) error { return readText(n, path, &p.MaxWait) },
+		"credit":       func(n *yaml.Node, path string) error { return readInt(n, path, &p.Credit) },
+		"brownout":     func(n *yaml.Node, path string) error { return readBrownout(n, path, &p.Brownout) },
+		"prefer":       func(n *yaml.Node, path string) error { return readText(n, path, &p.Prefer) },
+		"callerHeader": func(n *yaml.Node, path string) error { return readString(n, path, &p.CallerHeader) },
 	}, "name", "priority")
 	if !present["maxWait"] {
-		p.MaxWait = p.Deadline / defaultWaitShare
+		p.MaxWait = p.Deadline / maxWaitDivisor
 	}
 	return err
 }
 
-func readBrownout(n *yaml.Node, at string, b *Brownout) error {
-	present, err := readObject(n, at, fields{
-		"maxAge": func(n *yaml.Node, at string) error { return readText(n, at, &b.MaxAge) },
-		"vary": func(n *yaml.Node, at string) error {
-			return readList(n, at, MaxVary, &b.Vary, readString[string])
+func readBrownout(n *yaml.Node, path string, b *Brownout) error {
+	present, err := readObject(n, path, fieldReaders{
+		"maxAge": func(n *yaml.Node, path string) error { return readText(n, path, &b.MaxAge) },
+		"vary": func(n *yaml.Node, path string) error {
+			return readList(n, path, MaxVary, &b.Vary, readString[string])
 		},
 	})
 	if b.MaxAge > 0 && !present["vary"] {
--- a/config/parse_errors.go
+++ b/config/parse_errors.go
@@ -14,7 +14,7 @@
 
 // Error implements error.
 func (e *ParseError) Error() string {
-	return atLine(e.Line, e.Field) + ": " + shown(e.Value) + ": want " + e.Want
+	return prefixLine(e.Line, e.Field) + ": " + quoteTruncated(e.Value) + ": want " + e.Want
 }
 
 // ParseErrors lists all places where a file can't be parsed as a Set, in file
@@ -24,8 +24,8 @@
 // Error implements error.
 func (e ParseErrors) Error() string {
 	lines := make([]string, len(e))
-	for i, place := range e {
-		lines[i] = place.Error()
+	for i, parseError := range e {
+		lines[i] = parseError.Error()
 	}
 	return strings.Join(lines, "; ")
 }
@@ -34,8 +34,8 @@
 // *ParseError.
 func (e ParseErrors) Unwrap() []error {
 	causes := make([]error, len(e))
-	for i, place := range e {
-		causes[i] = place
+	for i, parseError := range e {
+		causes[i] = parseError
 	}
 	return causes
 }
--- a/config/parse_test.go
+++ b/config/parse_test.go
@@ -16,7 +16,7 @@
 
 // An operator mistypes one line. If Parse ignored the mistake or guessed, a default
 // would become active instead; the error must name the line and the field.
-func TestParseNamesTheMistake(t *testing.T) {
+func TestParseErrorNamesLineAndField(t *testing.T) {
 	cases := []struct {
 		text  string
 		line  int
@@ -55,13 +55,13 @@
 // A file written for another build has several unknown fields and a value of the
 // wrong type. The error must list all of them with their lines; one error at a time
 // would cost the operator one apply each during an incident.
-func TestParseListsEveryPlace(t *testing.T) {
+func TestParseListsEveryError(t *testing.T) {
 	c := qt.New(t)
 	text := minimal + "    retires: 2\n    deadline: 5\n  - {nmae: b, priority: 1}\nlimit: {}\n"
 	text = strings.Replace(text, "{name: default, priority: 3}", "name: default\n    priority: 3", 1)
 	_, err := config.Parse([]byte(text), config.YAML)
-	var places config.ParseErrors
-	c.Assert(errors.As(err, &places), qt.IsTrue)
+	var parseErrors config.ParseErrors
+	c.Assert(errors.As(err, &parseErrors), qt.IsTrue)
 	c.Check(strings.Split(err.Error(), "; "), qt.DeepEquals, []string{
 		`line 4: profiles[0].retires: "retires": want a known field`,
 		`line 5: profiles[0].deadline: "5": want a duration with unit, such as "250ms" or "2s"`,
@@ -242,18 +242,18 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c := qt.New(t)
 		store := config.NewStore()
-		took, err := store.Offer(data, config.SourcePeer)
+		accepted, err := store.Offer(data, config.SourcePeer)
 		if err != nil {
 			var encoding *config.EncodingError
 			var invalid *config.ValidationError
 			c.Assert(errors.As(err, &encoding) || errors.As(err, &invalid), qt.IsTrue, qt.Commentf("%T", err))
 		}
-		if took {
+		if accepted {
 			again, err := config.Encode(store.Current().Set())
 			c.Assert(err, qt.IsNil)
-			version, kept := store.Encoded()
+			version, stored := store.Encoded()
 			c.Assert(version > 0, qt.IsTrue)
-			c.Assert(string(kept), qt.Equals, string(data))
+			c.Assert(string(stored), qt.Equals, string(data))
 			c.Assert(string(again), qt.Equals, string(data))
 		}
 	})
--- a/config/read_values.go
+++ b/config/read_values.go
@@ -12,53 +12,53 @@
 // is merely out of range is reported by Validate.
 const maxFileInt = math.MaxInt32
 
-func readInt(n *yaml.Node, at string, out *int) error {
+func readInt(n *yaml.Node, path string, out *int) error {
 	value, err := strconv.Atoi(n.Value)
 	if !isScalar(n, tagInt) || err != nil || value > maxFileInt || value < -maxFileInt {
-		return badNode(n, at, "a whole number")
+		return nodeError(n, path, "a whole number")
 	}
 	*out = value
 	return nil
 }
 
-func readVersion(n *yaml.Node, at string, out *uint64) error {
+func readVersion(n *yaml.Node, path string, out *uint64) error {
 	value, err := strconv.ParseUint(n.Value, 10, 64)
 	if !isScalar(n, tagInt) || err != nil {
-		return badNode(n, at, "a whole number from 0")
+		return nodeError(n, path, "a whole number from 0")
 	}
 	*out = value
 	return nil
 }
 
-func readFloat(n *yaml.Node, at string, out *float64) error {
+func readFloat(n *yaml.Node, path string, out *float64) error {
 	value, err := strconv.ParseFloat(n.Value, 64)
 	if !isScalar(n, tagInt, tagFloat) || err != nil {
-		return badNode(n, at, "a number")
+		return nodeError(n, path, "a number")
 	}
 	*out = value
 	return nil
 }
 
-func readBool(n *yaml.Node, at string, out *bool) error {
+func readBool(n *yaml.Node, path string, out *bool) error {
 	if !isScalar(n, tagBool) || (n.Value != "true" && n.Value != "false") {
-		return badNode(n, at, "true or false")
+		return nodeError(n, path, "true or false")
 	}
 	*out = n.Value == "true"
 	return nil
 }
 
-func readString[S ~string](n *yaml.Node, at string, out *S) error {
+func readString[S ~string](n *yaml.Node, path string, out *S) error {
 	if !isScalar(n, tagString) {
-		return badNode(n, at, "a string; put quotes around it if it looks like another type")
+		return nodeError(n, path, "a string; put quotes around it if it looks like another type")
 	}
 	*out = S(n.Value)
 	return nil
 }
 
-func readTime(n *yaml.Node, at string, out *time.Time) error {
+func readTime(n *yaml.Node, path string, out *time.Time) error {
 	value, err := time.Parse(time.RFC3339Nano, n.Value)
 	if !isScalar(n, tagString, tagTime) || err != nil {
-		return badNode(n, at, "a time such as 2026-12-02T15:04:05Z")
+		return nodeError(n, path, "a time such as 2026-12-02T15:04:05Z")
 	}
 	*out = value.UTC()
 	return nil
@@ -69,9 +69,9 @@
 	UnmarshalText(text []byte) error
 }
 
-func readText(n *yaml.Node, at string, out textValue) error {
+func readText(n *yaml.Node, path string, out textValue) error {
 	if !isScalar(n, tagString, tagInt, tagFloat) {
-		return badNode(n, at, "a plain value")
+		return nodeError(n, path, "a plain value")
 	}
 	err := out.UnmarshalText([]byte(n.Value))
 	if err == nil {
@@ -81,5 +81,5 @@
 	if value, ok := err.(*ValueError); ok {
 		want = value.Want
 	}
-	return badNode(n, at, want)
+	return nodeError(n, path, want)
 }
--- a/config/route.go
+++ b/config/route.go
@@ -46,35 +46,35 @@
 }
 
 func (v *validator) routes(s Set) {
-	v.bound(len(s.Routes) <= MaxRoutes, "routes", strconv.Itoa(len(s.Routes)), "at most "+strconv.Itoa(MaxRoutes)+" routes")
+	v.checkSubmitted(len(s.Routes) <= MaxRoutes, "routes", strconv.Itoa(len(s.Routes)), "at most "+strconv.Itoa(MaxRoutes)+" routes")
 	profiles := make(map[string]bool, len(s.Profiles))
 	for _, p := range s.Profiles {
 		profiles[p.Name] = true
 	}
 	seen := make(map[routeKey]bool, len(s.Routes))
 	for i, r := range s.Routes {
-		at := "routes[" + strconv.Itoa(i) + "]"
-		v.bound(r.Name != "" && len(r.Name) <= MaxPathLength && validText(r.Name), at+".name", r.Name, "1 to 256 bytes of text")
-		v.bound(validHost(r.Host), at+".host", r.Host, "a host in lower case without a port")
-		v.bound(validRoutePrefix(r.PathPrefix), at+".pathPrefix", r.PathPrefix, "a path of at most 256 bytes that begins and ends with /")
-		v.check(profiles[r.Profile], at+".profile", r.Profile, "the name of a profile")
-		v.shares(r.Shares, at+".shares")
+		path := "routes[" + strconv.Itoa(i) + "]"
+		v.checkSubmitted(r.Name != "" && len(r.Name) <= MaxPathLength && validText(r.Name), path+".name", r.Name, "1 to 256 bytes of text")
+		v.checkSubmitted(validHost(r.Host), path+".host", r.Host, "a host in lower case without a port")
+		v.checkSubmitted(validRoutePrefix(r.PathPrefix), path+".pathPrefix", r.PathPrefix, "a path of at most 256 bytes that begins and ends with /")
+		v.check(profiles[r.Profile], path+".profile", r.Profile, "the name of a profile")
+		v.shares(r.Shares, path+".shares")
 		key := routeKey{r.Host, r.PathPrefix}
-		v.bound(!seen[key], at, r.Host+r.PathPrefix, "a host and prefix that no other route has")
+		v.checkSubmitted(!seen[key], path, r.Host+r.PathPrefix, "a host and prefix that no other route has")
 		seen[key] = true
 	}
 }
 
-func (v *validator) shares(shares []Share, at string) {
-	v.bound(len(shares) >= 1 && len(shares) <= MaxShares, at, strconv.Itoa(len(shares)), "1 to "+strconv.Itoa(MaxShares)+" services")
+func (v *validator) shares(shares []Share, path string) {
+	v.checkSubmitted(len(shares) >= 1 && len(shares) <= MaxShares, path, strconv.Itoa(len(shares)), "1 to "+strconv.Itoa(MaxShares)+" services")
 	total := 0
 	for i, s := range shares {
-		place := at + "[" + strconv.Itoa(i) + "]"
-		v.bound(validName(s.Service), place+".service", s.Service, wantName)
-		v.check(s.Weight >= 0 && s.Weight <= MaxWeight, place+".weight", strconv.Itoa(s.Weight), "0 to "+strconv.Itoa(MaxWeight))
+		sharePath := path + "[" + strconv.Itoa(i) + "]"
+		v.checkSubmitted(validName(s.Service), sharePath+".service", s.Service, wantName)
+		v.check(s.Weight >= 0 && s.Weight <= MaxWeight, sharePath+".weight", strconv.Itoa(s.Weight), "0 to "+strconv.Itoa(MaxWeight))
 		total += max(s.Weight, 0)
 	}
-	v.bound(total > 0, at, strconv.Itoa(total), "weights of which one is above 0")
+	v.checkSubmitted(total > 0, path, strconv.Itoa(total), "weights of which one is above 0")
 }
 
 func validHost(s string) bool {
@@ -98,8 +98,8 @@
 // hostRoutes indexes the routes of one host by path prefix.
 type hostRoutes struct {
 	byPrefix map[string]*Route
-	// longest is the length of the longest prefix, in bytes.
-	longest int
+	// longestPrefix is the length of the longest prefix, in bytes.
+	longestPrefix int
 }
 
 func compileRoutes(list []Route) routes {
@@ -112,7 +112,7 @@
 			r.byHost[route.Host] = host
 		}
 		host.byPrefix[route.PathPrefix] = route
-		host.longest = max(host.longest, len(route.PathPrefix))
+		host.longestPrefix = max(host.longestPrefix, len(route.PathPrefix))
 	}
 	return r
 }
@@ -128,7 +128,7 @@
 	if h == nil {
 		return nil
 	}
-	for end := min(len(path), h.longest); end > 0; {
+	for end := min(len(path), h.longestPrefix); end > 0; {
 		slash := strings.LastIndexByte(path[:end], '/')
 		if slash < 0 {
 			return nil
--- a/config/route_test.go
+++ b/config/route_test.go
@@ -18,12 +18,12 @@
 	}
 }
 
-func to(service string) []config.Share { return []config.Share{{Service: service, Weight: 1}} }
+func singleShare(service string) []config.Share { return []config.Share{{Service: service, Weight: 1}} }
 
 // A request reaches the wrong service if a shorter prefix wins or if a prefix ends
 // inside a path segment. Route, which examines only slashes, must agree with the
 // plain rule: the longest route prefix of the path wins.
-func TestRouteAgreesWithTheRule(t *testing.T) {
+func TestRouteAgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prefix := rapid.StringMatching(`/([xy]{1,2}/){0,3}`)
 		var routes []config.Route
@@ -32,7 +32,7 @@
 			p := prefix.Draw(t, "prefix")
 			if !seen[p] {
 				seen[p] = true
-				routes = append(routes, config.Route{Name: p, Host: "h.example", PathPrefix: p, Profile: "read", Shares: to("s")})
+				routes = append(routes, config.Route{Name: p, Host: "h.example", PathPrefix: p, Profile: "read", Shares: singleShare("s")})
 			}
 		}
 		compiled, err := config.Compile(routedSet(routes...))
@@ -63,8 +63,8 @@
 // each fault.
 func TestFaultyRoutesAreNamed(t *testing.T) {
 	c := qt.New(t)
-	good := config.Route{Name: "r", Host: "h.example", PathPrefix: "/a/", Profile: "read", Shares: to("s")}
-	for place, spoil := range map[string]func(*config.Route){
+	good := config.Route{Name: "r", Host: "h.example", PathPrefix: "/a/", Profile: "read", Shares: singleShare("s")}
+	for path, breakRoute := range map[string]func(*config.Route){
 		"routes[1].name":       func(r *config.Route) { r.Name = "" },
 		"routes[1].host":       func(r *config.Route) { r.Host = "H:80" },
 		"routes[1].pathPrefix": func(r *config.Route) { r.PathPrefix = "/b" },
@@ -77,10 +77,10 @@
 	} {
 		bad := good
 		bad.PathPrefix = "/b/"
-		spoil(&bad)
+		breakRoute(&bad)
 		var refused *config.ValidationError
-		c.Assert(config.Validate(routedSet(good, bad)), qt.ErrorAs, &refused, qt.Commentf("%s", place))
-		c.Check(refused.Problems[0].Path, qt.Equals, place)
+		c.Assert(config.Validate(routedSet(good, bad)), qt.ErrorAs, &refused, qt.Commentf("%s", path))
+		c.Check(refused.Problems[0].Path, qt.Equals, path)
 	}
 }
 
@@ -99,7 +99,7 @@
 	parsed, err := config.Parse(text, config.YAML)
 	c.Assert(err, qt.IsNil)
 	c.Check(config.Diff(set, parsed), qt.HasLen, 0)
-	changed := routedSet(config.Route{Name: "r", Host: "h.example", PathPrefix: "/a/", Profile: "read", Shares: to("t")})
+	changed := routedSet(config.Route{Name: "r", Host: "h.example", PathPrefix: "/a/", Profile: "read", Shares: singleShare("t")})
 	c.Check(config.FormatDiff(config.Diff(set, changed)), qt.Contains, "~ routes[h.example/a/].shares: s:90,t:10 -> t:1")
 }
 
@@ -109,7 +109,7 @@
 	route := func(name string, shares ...config.Share) config.Route {
 		return config.Route{Name: name, Host: "h.example", PathPrefix: "/" + name + "/", Profile: "read", Shares: shares}
 	}
-	compiled, err := config.Compile(routedSet(route("a", to("s")...), route("b"), route("c", config.Share{Service: "s"})))
+	compiled, err := config.Compile(routedSet(route("a", singleShare("s")...), route("b"), route("c", config.Share{Service: "s"})))
 	c.Assert(err, qt.IsNil)
 	count, first := compiled.Unserved()
 	c.Check(count, qt.Equals, 2)
--- a/config/set.go
+++ b/config/set.go
@@ -182,8 +182,8 @@
 	DefaultDeadline   = Duration(5 * time.Second)
 	DefaultCredit     = 2
 	DefaultRetryRatio = 0.1
-	// defaultWaitShare divides the deadline to give the default MaxWait.
-	defaultWaitShare = 10
+	// maxWaitDivisor divides the deadline to give the default MaxWait.
+	maxWaitDivisor = 10
 )
 
 // identityHeaders are the headers that Brownout.Vary must contain.
@@ -197,7 +197,7 @@
 		Key:      KeyOptional,
 		Record:   RecordNone,
 		Deadline: DefaultDeadline,
-		MaxWait:  DefaultDeadline / defaultWaitShare,
+		MaxWait:  DefaultDeadline / maxWaitDivisor,
 		Credit:   DefaultCredit,
 		Prefer:   PreferBalanced,
 	}
--- a/config/store.go
+++ b/config/store.go
@@ -31,10 +31,10 @@
 // Store holds the active Set of one node. The version of the active Set never
 // decreases.
 type Store struct {
-	current atomic.Pointer[accepted]
-	// heard is the highest version recently known to exist, nil if none was
+	current atomic.Pointer[activeSet]
+	// newestKnown is the highest version recently known to exist, nil if none was
 	// reported.
-	heard atomic.Pointer[heardVersion]
+	newestKnown atomic.Pointer[knownVersion]
 
 	// mu is held while a Set is activated and subscribers are notified, so that
 	// each subscriber sees every version once and in order.
@@ -42,8 +42,8 @@
 	subscribers []*subscriber
 }
 
-// accepted is a Set that the Store accepted. It is immutable once stored.
-type accepted struct {
+// activeSet is a Set that the Store accepted. It is immutable once stored.
+type activeSet struct {
 	compiled *Compiled
 	encoded  []byte
 	source   Source
@@ -61,7 +61,7 @@
 		panic(err) // Default returns a Set that it has validated.
 	}
 	s := &Store{}
-	s.current.Store(&accepted{compiled: compile(set, encoded), encoded: encoded, source: SourceDefault})
+	s.current.Store(&activeSet{compiled: compile(set, encoded), encoded: encoded, source: SourceDefault})
 	return s
 }
 
@@ -71,19 +71,19 @@
 // Encoded returns the active version and its encoding, which other nodes pass to
 // Offer. Callers must not modify the bytes.
 func (s *Store) Encoded() (version uint64, data []byte) {
-	now := s.current.Load()
-	return now.compiled.Version(), now.encoded
+	active := s.current.Load()
+	return active.compiled.Version(), active.encoded
 }
 
 // Status returns the active version and its source.
 func (s *Store) Status() Status {
-	now := s.current.Load()
+	active := s.current.Load()
 	return Status{
-		Version:  now.compiled.Version(),
-		ChangeID: now.compiled.set.ChangeID,
-		Hash:     now.compiled.hash,
-		Source:   now.source,
-		Heard:    now.source != SourceDefault,
+		Version:  active.compiled.Version(),
+		ChangeID: active.compiled.set.ChangeID,
+		Hash:     active.compiled.hash,
+		Source:   active.source,
+		Heard:    active.source != SourceDefault,
 	}
 }
 
@@ -100,7 +100,7 @@
 	if err != nil {
 		return false, err
 	}
-	next := &accepted{compiled: compile(set, data), encoded: bytes.Clone(data), source: source}
+	next := &activeSet{compiled: compile(set, data), encoded: bytes.Clone(data), source: source}
 	return s.install(next)
 }
 
@@ -113,7 +113,7 @@
 	if bytes.Equal(data, s.current.Load().encoded) {
 		return false, nil
 	}
-	return s.install(&accepted{compiled: compile(set, data), encoded: data, source: source})
+	return s.install(&activeSet{compiled: compile(set, data), encoded: data, source: source})
 }
 
 // install compares versions and replaces the active Set under one lock.
@@ -121,15 +121,15 @@
 // Without the lock, two concurrent Offers of versions 4 and 5 could both read
 // version 3 as active, and if version 4 was stored last the node would fall back
 // from 5 to 4.
-func (s *Store) install(next *accepted) (bool, error) {
+func (s *Store) install(next *activeSet) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.current.Load()
-	if next.compiled.Version() < now.compiled.Version() {
+	active := s.current.Load()
+	if next.compiled.Version() < active.compiled.Version() {
 		return false, nil
 	}
-	if next.compiled.Version() == now.compiled.Version() && !firstStored(now, next) {
-		return false, forked(now, next)
+	if next.compiled.Version() == active.compiled.Version() && !replacesDefault(active, next) {
+		return false, forkError(active, next)
 	}
 	s.current.Store(next)
 	for _, sub := range s.subscribers {
@@ -138,21 +138,21 @@
 	return true, nil
 }
 
-// firstStored reports whether next is a version 0 stored on the platform that
+// replacesDefault reports whether next is a version 0 stored on the platform that
 // replaces the embedded default.
-func firstStored(now, next *accepted) bool {
-	return now.source == SourceDefault && next.source == SourcePlatform
+func replacesDefault(active, next *activeSet) bool {
+	return active.source == SourceDefault && next.source == SourcePlatform
 }
 
-func forked(now, next *accepted) error {
+func forkError(active, next *activeSet) error {
 	// Version 0 is the embedded default, which may differ between builds.
-	if now.compiled.hash == next.compiled.hash || now.compiled.Version() == 0 {
+	if active.compiled.hash == next.compiled.hash || active.compiled.Version() == 0 {
 		return nil
 	}
 	return &ForkError{
-		Version:       now.compiled.Version(),
-		KeptHash:      now.compiled.hash,
-		KeptChange:    now.compiled.set.ChangeID,
+		Version:       active.compiled.Version(),
+		KeptHash:      active.compiled.hash,
+		KeptChange:    active.compiled.set.ChangeID,
 		OfferedHash:   next.compiled.hash,
 		OfferedChange: next.compiled.set.ChangeID,
 		Source:        next.source,
--- a/config/store_test.go
+++ b/config/store_test.go
@@ -15,8 +15,8 @@
 	"pollengauge.dev/standin"
 )
 
-// version returns the encoded default Set with version n.
-func version(c *qt.C, n uint64) []byte {
+// encodedDefault returns the encoded default Set with version n.
+func encodedDefault(c *qt.C, n uint64) []byte {
 	set := config.Default()
 	set.Version = n
 	data, err := config.Encode(set)
@@ -26,29 +26,29 @@
 
 // Gossip delivers versions from many peers at once and in any order. If a
 // subscriber saw version 5 and then version 4, the node would run an old Set.
-func TestConcurrentOffersOnlyRise(t *testing.T) {
+func TestConcurrentOffersOnlyRaiseVersion(t *testing.T) {
 	c := qt.New(t)
 	const versions, workers = 800, 8
 	store := config.NewStore()
 	var seen []uint64
-	second := version(c, 2)
-	crossed := make(chan struct{})
-	cancel := store.Subscribe(func(now *config.Compiled) {
-		seen = append(seen, now.Version())
+	second := encodedDefault(c, 2)
+	offered := make(chan struct{})
+	cancel := store.Subscribe(func(active *config.Compiled) {
+		seen = append(seen, active.Version())
 		if len(seen) != 2 {
 			return
 		}
 		go func() {
-			defer close(crossed)
+			defer close(offered)
 			_, _ = store.Offer(second, config.SourcePeer)
 		}()
 		select {
-		case <-crossed:
+		case <-offered:
 			t.Error("an Offer completed while another Offer was notifying subscribers")
 		case <-time.After(50 * time.Millisecond): // Without a fault, the Offer is still blocked now.
 		}
 	})
-	_, err := store.Offer(version(c, 1), config.SourcePeer)
+	_, err := store.Offer(encodedDefault(c, 1), config.SourcePeer)
 	c.Assert(err, qt.IsNil)
 	var wg sync.WaitGroup
 	for worker := range uint64(workers) {
@@ -56,7 +56,7 @@
 		for i := range uint64(versions / workers) {
 			// Concurrent workers offer neighbouring versions, each followed by an
 			// old one.
-			messages = append(messages, version(c, workers*i+worker+1), version(c, i+1))
+			messages = append(messages, encodedDefault(c, workers*i+worker+1), encodedDefault(c, i+1))
 		}
 		wg.Go(func() {
 			for _, message := range messages {
@@ -67,7 +67,7 @@
 		})
 	}
 	wg.Wait()
-	<-crossed
+	<-offered
 	cancel()
 	c.Check(seen[0], qt.Equals, uint64(0))
 	for i := 1; i < len(seen); i++ {
@@ -76,15 +76,15 @@
 	c.Check(store.Current().Version(), qt.Equals, uint64(versions))
 }
 
-func peer(data []byte) config.Peer {
+func staticPeer(data []byte) config.Peer {
 	return func(context.Context) ([]byte, error) { return data, nil }
 }
 
 // A VM is replaced while the platform is down. One of its peers is stale, one sends
 // invalid data, one never responds, and two are up to date. The node must activate
 // the highest version and not wait beyond its deadline.
-func TestBootstrapTakesTheHighest(t *testing.T) {
-	inBubble(t, func(c *qt.C, ctx context.Context) {
+func TestBootstrapActivatesHighestVersion(t *testing.T) {
+	runInBubble(t, func(c *qt.C, ctx context.Context) {
 		memory := standin.NewMemory()
 		memory.SetFaults(standin.Faults{Down: true})
 		hung := make(chan struct{})
@@ -93,7 +93,7 @@
 			<-hung
 			return nil, context.Canceled
 		}
-		peers := []config.Peer{peer(version(c, 7)), peer(version(c, 3)), peer([]byte("{}")), silent, peer(version(c, 7))}
+		peers := []config.Peer{staticPeer(encodedDefault(c, 7)), staticPeer(encodedDefault(c, 3)), staticPeer([]byte("{}")), silent, staticPeer(encodedDefault(c, 7))}
 		ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		defer cancel()
 		result := config.Bootstrap(ctx, config.NewStore(), memory, peers)
@@ -108,10 +108,10 @@
 // and treat writes as unrepeatable, activate the stored Set within seconds of the
 // recovery of the platform, and keep it when the object is deleted.
 func TestFollowThroughOutages(t *testing.T) {
-	inBubble(t, func(c *qt.C, ctx context.Context) {
+	runInBubble(t, func(c *qt.C, ctx context.Context) {
 		ctx, cancel := context.WithCancel(ctx)
 		memory := standin.NewMemory()
-		_, err := config.Apply(ctx, memory, draft(1), options(0, "a"))
+		_, err := config.Apply(ctx, memory, draft(1), applyOptions(0, "a"))
 		c.Assert(err, qt.IsNil)
 		memory.SetFaults(standin.Faults{Down: true})
 
@@ -130,7 +130,7 @@
 
 		memory.SetFaults(standin.Faults{DuplicateNext: 1, LateNext: 1, LateMillis: 900})
 		for n, id := range []string{"b", "c"} {
-			_, err := config.Apply(ctx, memory, draft(n), options(uint64(n+1), id))
+			_, err := config.Apply(ctx, memory, draft(n), applyOptions(uint64(n+1), id))
 			c.Assert(err, qt.IsNil)
 		}
 		time.Sleep(5 * time.Second)
@@ -146,7 +146,7 @@
 	})
 }
 
-var _ objects.Store = (*scripted)(nil)
+var _ objects.Store = (*faultyPlatform)(nil)
 
 // BenchmarkOffer measures the cost of a new version on a node, and the encoded size
 // of the larger example Set.
@@ -165,7 +165,7 @@
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		if took, _ := config.NewStore().Offer(data, config.SourcePeer); !took {
+		if accepted, _ := config.NewStore().Offer(data, config.SourcePeer); !accepted {
 			b.Fatal("refused")
 		}
 	}
--- a/config/tree.go
+++ b/config/tree.go
@@ -23,68 +23,68 @@
 // that a malicious JSON file can cause.
 const maxDepth = 16
 
-// fields maps the field names that an object may have to the functions that read
+// fieldReaders maps the field names that an object may have to the functions that read
 // them.
-type fields map[string]func(n *yaml.Node, at string) error
+type fieldReaders map[string]func(n *yaml.Node, path string) error
 
 // readObject reads each field of n and returns the names of the fields present.
 // Unknown, repeated and missing fields are errors; the returned error lists all of
 // them together with the errors of the field readers.
-func readObject(n *yaml.Node, at string, readers fields, required ...string) (map[string]bool, error) {
+func readObject(n *yaml.Node, path string, readers fieldReaders, required ...string) (map[string]bool, error) {
 	if n.Kind != yaml.MappingNode {
-		return nil, badNode(n, at, "an object with fields")
+		return nil, nodeError(n, path, "an object with fields")
 	}
-	var refused ParseErrors
+	var errs ParseErrors
 	present := make(map[string]bool, len(n.Content)/2)
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key := n.Content[i]
-		name := join(at, key.Value)
+		name := joinPath(path, key.Value)
 		read, known := readers[key.Value]
 		if !known || key.Kind != yaml.ScalarNode {
-			refused = append(refused, badNode(key, name, "a known field"))
+			errs = append(errs, nodeError(key, name, "a known field"))
 			continue
 		}
 		if present[key.Value] {
-			refused = append(refused, badNode(key, name, "each field once"))
+			errs = append(errs, nodeError(key, name, "each field once"))
 			continue
 		}
 		present[key.Value] = true
-		refused = refused.with(read(n.Content[i+1], name))
+		errs = errs.with(read(n.Content[i+1], name))
 	}
 	for _, name := range required {
 		if !present[name] {
-			refused = append(refused, &ParseError{Line: n.Line, Field: join(at, name), Want: "this field, which is missing"})
+			errs = append(errs, &ParseError{Line: n.Line, Field: joinPath(path, name), Want: "this field, which is missing"})
 		}
 	}
-	return present, refused.orNil()
+	return present, errs.orNil()
 }
 
 // readList reads every entry of n. The returned error lists the errors of all
 // entries.
-func readList[T any](n *yaml.Node, at string, limit int, out *[]T, read func(*yaml.Node, string, *T) error) error {
+func readList[T any](n *yaml.Node, path string, limit int, out *[]T, read func(*yaml.Node, string, *T) error) error {
 	if n.Kind != yaml.SequenceNode {
-		return badNode(n, at, "a list")
+		return nodeError(n, path, "a list")
 	}
 	if len(n.Content) > limit {
-		return &ParseError{Line: n.Line, Field: at, Value: strconv.Itoa(len(n.Content)), Want: "at most " + strconv.Itoa(limit) + " entries"}
+		return &ParseError{Line: n.Line, Field: path, Value: strconv.Itoa(len(n.Content)), Want: "at most " + strconv.Itoa(limit) + " entries"}
 	}
 	if len(n.Content) == 0 {
 		return nil
 	}
-	var refused ParseErrors
+	var errs ParseErrors
 	list := make([]T, len(n.Content))
 	for i, item := range n.Content {
-		refused = refused.with(read(item, at+"["+strconv.Itoa(i)+"]", &list[i]))
+		errs = errs.with(read(item, path+"["+strconv.Itoa(i)+"]", &list[i]))
 	}
 	*out = list
-	return refused.orNil()
+	return errs.orNil()
 }
 
 func isScalar(n *yaml.Node, tags ...string) bool {
 	return n.Kind == yaml.ScalarNode && slices.Contains(tags, n.ShortTag())
 }
 
-func badNode(n *yaml.Node, at, want string) *ParseError {
+func nodeError(n *yaml.Node, path, want string) *ParseError {
 	value := n.Value
 	switch n.Kind {
 	case yaml.MappingNode:
@@ -94,14 +94,14 @@
 	case yaml.AliasNode:
 		value = "an alias"
 	}
-	return &ParseError{Line: n.Line, Field: at, Value: value, Want: want}
+	return &ParseError{Line: n.Line, Field: path, Value: value, Want: want}
 }
 
-func join(at, name string) string {
-	if at == "" {
+func joinPath(path, name string) string {
+	if path == "" {
 		return name
 	}
-	return at + "." + name
+	return path + "." + name
 }
 
 // parseYAML parses a file with exactly one YAML document. Aliases are not resolved,
--- a/config/validate.go
+++ b/config/validate.go
@@ -60,7 +60,7 @@
 // with every problem. Apply calls it before it stores a change.
 func Validate(s Set) error { return validate(s, true) }
 
-// usable checks whether a node can activate a Set that was accepted elsewhere: by
+// validateForNode checks whether a node can activate a Set that was accepted elsewhere: by
 // Apply, by another build, or by the platform. It does not check the number or the
 // length of entries.
 //
@@ -69,21 +69,21 @@
 // answer 404 on the new routes for good, although the platform had accepted them.
 // Checking the limits on submission is enough, because there the error reaches the
 // operator who can act on it.
-func usable(s Set) error { return validate(s, false) }
+func validateForNode(s Set) error { return validate(s, false) }
 
 func validate(s Set, submitted bool) error {
 	v := &validator{submitted: submitted}
 	v.header(s)
 	v.profiles(s.Profiles)
 	if !s.AnyOrder {
-		v.order(s.Profiles)
+		v.priorityOrder(s.Profiles)
 	}
 	v.assignments(s)
 	v.routes(s)
 	v.customers(s)
 	v.limits(s.Limits)
 	if submitted && len(v.problems) == 0 {
-		v.size(s)
+		v.encodedSize(s)
 	}
 	if len(v.problems) == 0 {
 		return nil
@@ -105,8 +105,8 @@
 	problems  []Problem
 }
 
-// bound is check for a limit that applies only to submitted Sets.
-func (v *validator) bound(ok bool, path, value, want string) {
+// checkSubmitted is check for a limit that applies only to submitted Sets.
+func (v *validator) checkSubmitted(ok bool, path, value, want string) {
 	v.check(ok || !v.submitted, path, value, want)
 }
 
@@ -117,51 +117,51 @@
 }
 
 func (v *validator) header(s Set) {
-	v.bound(s.Version <= MaxVersion, "version", strconv.FormatUint(s.Version, 10), "at most 2^53")
-	v.bound(s.ChangeID == "" || call.ValidToken(s.ChangeID, MaxNameLength), "changeId", s.ChangeID, "at most 63 visible ASCII characters")
-	v.bound(validText(s.Author), "author", s.Author, wantText)
-	v.bound(validText(s.Comment), "comment", s.Comment, wantText)
+	v.checkSubmitted(s.Version <= MaxVersion, "version", strconv.FormatUint(s.Version, 10), "at most 2^53")
+	v.checkSubmitted(s.ChangeID == "" || call.ValidToken(s.ChangeID, MaxNameLength), "changeId", s.ChangeID, "at most 63 visible ASCII characters")
+	v.checkSubmitted(validText(s.Author), "author", s.Author, wantText)
+	v.checkSubmitted(validText(s.Comment), "comment", s.Comment, wantText)
 	_, offset := s.At.Zone()
 	year := s.At.Year()
 	v.check(offset == 0 && year >= 1 && year <= 9999, "at", s.At.String(), "a time in UTC")
 }
 
 func (v *validator) profiles(profiles []Profile) {
-	v.bound(len(profiles) <= MaxProfiles, "profiles", strconv.Itoa(len(profiles)), "at most 256 profiles")
+	v.checkSubmitted(len(profiles) <= MaxProfiles, "profiles", strconv.Itoa(len(profiles)), "at most 256 profiles")
 	seen := make(map[string]bool, len(profiles))
 	for i, p := range profiles {
-		at := "profiles[" + strconv.Itoa(i) + "]"
-		v.profile(p, at)
-		v.check(!seen[p.Name], at+".name", p.Name, "a name that no other profile has")
+		fieldPath := "profiles[" + strconv.Itoa(i) + "]"
+		v.profile(p, fieldPath)
+		v.check(!seen[p.Name], fieldPath+".name", p.Name, "a name that no other profile has")
 		seen[p.Name] = true
 	}
 	v.check(seen[DefaultProfileName], "profiles", DefaultProfileName, "a profile of this name for calls that no assignment matches")
 }
 
-func (v *validator) profile(p Profile, at string) {
-	v.check(validName(p.Name), at+".name", p.Name, wantName)
-	v.check(p.Priority >= 0 && p.Priority <= int(call.MaxPriority), at+".priority", strconv.Itoa(p.Priority), "0 to 15")
-	v.check(p.Key == KeyOptional || p.Key == KeyRequired, at+".key", string(p.Key), "optional or required")
-	v.check(slices.Contains(recordModes, p.Record), at+".record", string(p.Record), "none, claim or peer")
-	v.check(!p.Record.needsKey() || p.Unrepeatable, at+".record", string(p.Record), "none, because the profile is not unrepeatable")
-	v.check(p.Deadline >= MinDeadline && p.Deadline <= MaxDeadline, at+".deadline", p.Deadline.String(), "10ms to 10m")
-	v.check(p.Target >= 0 && p.Target <= p.Deadline, at+".target", p.Target.String(), "0s to the deadline")
-	v.check(p.MaxWait >= 0 && p.MaxWait <= p.Deadline, at+".maxWait", p.MaxWait.String(), "0s to the deadline")
-	v.check(p.Credit >= 0 && p.Credit <= MaxCredit, at+".credit", strconv.Itoa(p.Credit), "0 to 16")
-	v.check(inRange(float64(p.Prefer), 0, 1), at+".prefer", formatFloat(float64(p.Prefer)), wantPreference)
-	v.check(p.CallerHeader == "" || validHeader(p.CallerHeader), at+".callerHeader", p.CallerHeader, wantHeader)
-	v.brownout(p, at+".brownout")
+func (v *validator) profile(p Profile, fieldPath string) {
+	v.check(validName(p.Name), fieldPath+".name", p.Name, wantName)
+	v.check(p.Priority >= 0 && p.Priority <= int(call.MaxPriority), fieldPath+".priority", strconv.Itoa(p.Priority), "0 to 15")
+	v.check(p.Key == KeyOptional || p.Key == KeyRequired, fieldPath+".key", string(p.Key), "optional or required")
+	v.check(slices.Contains(recordModes, p.Record), fieldPath+".record", string(p.Record), "none, claim or peer")
+	v.check(!p.Record.needsKey() || p.Unrepeatable, fieldPath+".record", string(p.Record), "none, because the profile is not unrepeatable")
+	v.check(p.Deadline >= MinDeadline && p.Deadline <= MaxDeadline, fieldPath+".deadline", p.Deadline.String(), "10ms to 10m")
+	v.check(p.Target >= 0 && p.Target <= p.Deadline, fieldPath+".target", p.Target.String(), "0s to the deadline")
+	v.check(p.MaxWait >= 0 && p.MaxWait <= p.Deadline, fieldPath+".maxWait", p.MaxWait.String(), "0s to the deadline")
+	v.check(p.Credit >= 0 && p.Credit <= MaxCredit, fieldPath+".credit", strconv.Itoa(p.Credit), "0 to 16")
+	v.check(inRange(float64(p.Prefer), 0, 1), fieldPath+".prefer", formatFloat(float64(p.Prefer)), wantPreference)
+	v.check(p.CallerHeader == "" || validHeader(p.CallerHeader), fieldPath+".callerHeader", p.CallerHeader, wantHeader)
+	v.brownout(p, fieldPath+".brownout")
 }
 
-func (v *validator) brownout(p Profile, at string) {
+func (v *validator) brownout(p Profile, fieldPath string) {
 	b := p.Brownout
-	v.check(b.MaxAge >= 0 && b.MaxAge <= MaxStale, at+".maxAge", b.MaxAge.String(), "0s to 24h")
+	v.check(b.MaxAge >= 0 && b.MaxAge <= MaxStale, fieldPath+".maxAge", b.MaxAge.String(), "0s to 24h")
 	// A stored response to an earlier filing would tell the caller that the current
 	// filing was sent.
-	v.check(b.MaxAge == 0 || !p.Unrepeatable, at+".maxAge", b.MaxAge.String(), "0s, because the profile is unrepeatable")
-	v.bound(len(b.Vary) <= MaxVary, at+".vary", strconv.Itoa(len(b.Vary)), "at most 8 headers")
+	v.check(b.MaxAge == 0 || !p.Unrepeatable, fieldPath+".maxAge", b.MaxAge.String(), "0s, because the profile is unrepeatable")
+	v.checkSubmitted(len(b.Vary) <= MaxVary, fieldPath+".vary", strconv.Itoa(len(b.Vary)), "at most 8 headers")
 	for i, name := range b.Vary {
-		v.check(validHeader(name) && !slices.Contains(b.Vary[:i], name), at+".vary["+strconv.Itoa(i)+"]", name, wantHeader+", once")
+		v.check(validHeader(name) && !slices.Contains(b.Vary[:i], name), fieldPath+".vary["+strconv.Itoa(i)+"]", name, wantHeader+", once")
 	}
 	if b.MaxAge == 0 {
 		return
@@ -169,44 +169,44 @@
 	// Without the identity headers in the cache key, one caller would receive the
 	// stored response of another.
 	for _, name := range identityHeaders {
-		v.check(slices.Contains(b.Vary, name), at+".vary", strings.Join(b.Vary, ","), "a list that contains "+name)
+		v.check(slices.Contains(b.Vary, name), fieldPath+".vary", strings.Join(b.Vary, ","), "a list that contains "+name)
 	}
 }
 
-// order rejects a Set in which unrepeatable work, which must not be lost, would be
+// priorityOrder rejects a Set in which unrepeatable work, which must not be lost, would be
 // shed before or together with work that callers can safely repeat.
-func (v *validator) order(profiles []Profile) {
-	top := -1
+func (v *validator) priorityOrder(profiles []Profile) {
+	highest := -1
 	name := ""
 	for _, p := range profiles {
-		if !p.Unrepeatable && !p.Internal && p.Priority > top {
-			top = p.Priority
+		if !p.Unrepeatable && !p.Internal && p.Priority > highest {
+			highest = p.Priority
 			name = p.Name
 		}
 	}
 	for i, p := range profiles {
 		if p.Unrepeatable {
-			want := "above " + strconv.Itoa(top) + ", the priority of the repeatable profile " + name
-			v.check(p.Priority > top, "profiles["+strconv.Itoa(i)+"].priority", strconv.Itoa(p.Priority), want)
+			want := "above " + strconv.Itoa(highest) + ", the priority of the repeatable profile " + name
+			v.check(p.Priority > highest, "profiles["+strconv.Itoa(i)+"].priority", strconv.Itoa(p.Priority), want)
 		}
 	}
 }
 
 func (v *validator) assignments(s Set) {
-	v.bound(len(s.Assignments) <= MaxAssignments, "assignments", strconv.Itoa(len(s.Assignments)), "at most 1024 assignments")
+	v.checkSubmitted(len(s.Assignments) <= MaxAssignments, "assignments", strconv.Itoa(len(s.Assignments)), "at most 1024 assignments")
 	names := make(map[string]bool, len(s.Profiles))
 	for _, p := range s.Profiles {
 		names[p.Name] = true
 	}
 	seen := make(map[Assignment]bool, len(s.Assignments))
 	for i, a := range s.Assignments {
-		at := "assignments[" + strconv.Itoa(i) + "]"
-		v.check(a.Service == AnyService || validName(a.Service), at+".service", a.Service, wantName+", or *")
-		v.check(validMethod(a.Method), at+".method", a.Method, "an HTTP method in capitals, or none")
-		v.check(validPrefix(a.PathPrefix), at+".pathPrefix", a.PathPrefix, "a clean path from / of at most 256 bytes, without a slash at its end, or none")
-		v.check(names[a.Profile], at+".profile", a.Profile, "the name of a profile")
+		fieldPath := "assignments[" + strconv.Itoa(i) + "]"
+		v.check(a.Service == AnyService || validName(a.Service), fieldPath+".service", a.Service, wantName+", or *")
+		v.check(validMethod(a.Method), fieldPath+".method", a.Method, "an HTTP method in capitals, or none")
+		v.check(validPrefix(a.PathPrefix), fieldPath+".pathPrefix", a.PathPrefix, "a clean path from / of at most 256 bytes, without a slash at its end, or none")
+		v.check(names[a.Profile], fieldPath+".profile", a.Profile, "the name of a profile")
 		match := a.match()
-		v.check(!seen[match], at, match.Service+" "+match.Method+" "+match.PathPrefix, "a match that no other assignment has")
+		v.check(!seen[match], fieldPath, match.Service+" "+match.Method+" "+match.PathPrefix, "a match that no other assignment has")
 		seen[match] = true
 	}
 }
@@ -220,7 +220,7 @@
 	return a
 }
 
-func (v *validator) size(s Set) {
+func (v *validator) encodedSize(s Set) {
 	data, err := marshal(s)
 	v.check(err == nil, "set", "", "values that JSON can hold")
 	v.check(len(data) <= MaxEncoded, "set", strconv.Itoa(len(data)), "at most 524288 bytes in all")
--- a/config/versions_test.go
+++ b/config/versions_test.go
@@ -13,7 +13,7 @@
 // version would have two meanings. It must reject the Set, both from the platform
 // and from a peer, and keep its last one. Unknown fields outside the Set belong to
 // the history and are ignored.
-func TestSetOfANewerBuildIsRefusedWhole(t *testing.T) {
+func TestSetWithUnknownFieldsIsRejected(t *testing.T) {
 	c := qt.New(t)
 	set := Default()
 	set.Version = 3
