--- a/config/apply.go
+++ b/config/apply.go
@@ -170,7 +170,8 @@
 	return Result{ChangeID: change.ChangeID, Version: change.Version, Current: document.Set, Settled: true}
 }
 
-// writeWithRetries repeats one conditional write until it is known whether it took effect.
+// writeWithRetries repeats one conditional write until it is known whether it took
+// effect or the attempts are used up.
 //
 // When a response is lost, the write may have taken effect, may still do so, or may
 // never do so. An unconditional second write could apply the change twice, and
@@ -211,9 +212,9 @@
 	return err
 }
 
-// resolveConflict determines the outcome from the Document that caused a conflict. The
-// object is no longer at the version that all attempts were conditional on, so a
-// change that is missing from the Document can't take effect any more.
+// resolveConflict determines the outcome from the Document that caused a conflict.
+// The object is no longer at the version that all attempts were conditional on, so
+// a change that is missing from the Document can't take effect any more.
 func (p *pendingChange) resolveConflict(current objects.Object, fate Fate) (Result, error) {
 	document, err := DecodeDocument(current.Value)
 	if err != nil {
--- a/config/compiled.go
+++ b/config/compiled.go
@@ -133,9 +133,10 @@
 	return r.byPrefix[""].match(method)
 }
 
-// longestCandidate returns the length of the longest prefix of requestPath that ends at a
-// segment boundary and that an assignment could have. This bounds the lookups for a
-// path with many slashes by the number of segments of the longest assignment.
+// longestCandidate returns the length of the longest prefix of requestPath that
+// ends at a segment boundary and that an assignment could have. This bounds the
+// lookups for a path with many slashes by the number of segments of the longest
+// assignment.
 func (r *serviceRules) longestCandidate(requestPath string) int {
 	return strings.LastIndexByte(requestPath[:r.longestPrefix+1], '/')
 }
--- a/config/document.go
+++ b/config/document.go
@@ -110,7 +110,8 @@
 }
 
 // StoredVersion reads only the version from the value of the object. It works even
-// if a newer build wrote a Set that this build rejects.
+// if a newer build wrote a Set that this build rejects. ok is false if value has no
+// readable version.
 func StoredVersion(value []byte) (version uint64, ok bool) {
 	var d struct {
 		Set struct {
@@ -183,9 +184,9 @@
 	return after.trimToFit()
 }
 
-// trimToFit drops the oldest Sets until the encoded Document fits into one object. The
-// Set and the changes alone always fit: MaxEncoded plus 64 change records are below
-// the limit.
+// trimToFit drops the oldest of the earlier Sets until the encoded Document fits
+// into one object. The Set and the changes alone always fit: MaxEncoded plus 64
+// change records are below the limit.
 func (d Document) trimToFit() (Document, []byte, error) {
 	for {
 		value, err := marshal(d)
--- a/config/errors.go
+++ b/config/errors.go
@@ -94,8 +94,8 @@
 	return "line " + strconv.Itoa(line) + ": " + field
 }
 
-// quoteTruncated quotes value and truncates a long one, so that malicious input can't flood
-// a log.
+// quoteTruncated quotes value and truncates a long one, so that malicious input
+// can't flood a log.
 func quoteTruncated(value string) string {
 	if len(value) <= maxShownBytes {
 		return strconv.Quote(value)
--- a/config/model_test.go
+++ b/config/model_test.go
@@ -27,11 +27,11 @@
 	sent [][]byte
 
 	changes            int
-	unknownFate        []attempt       // may have taken effect; to be retried
-	reportedApplied    map[string]bool // reported as applied
-	reportedNotApplied map[string]bool // reported as never applied
-	acceptedHashes     map[uint64]string
-	checked            int // number of entries of store.applied that check has seen
+	unknownFate        []attempt         // may have taken effect; to be retried
+	reportedApplied    map[string]bool   // by change id
+	reportedNotApplied map[string]bool   // by change id
+	acceptedHashes     map[uint64]string // by version
+	checked            int               // number of entries of store.applied that check has seen
 }
 
 type attempt struct {
--- a/config/offers_fuzz_test.go
+++ b/config/offers_fuzz_test.go
@@ -59,7 +59,7 @@
 
 // accept applies o to the reference. It reports whether the Store must accept o, and
 // whether the Store must report o as a fork.
-func (r *referenceStore) accept(o offeredSet) (taken, fork bool) {
+func (r *referenceStore) accept(o offeredSet) (accepted, fork bool) {
 	switch {
 	case o.version > r.version:
 		r.version, r.content, r.source = o.version, o.content, o.source
@@ -165,7 +165,7 @@
 	tracker.Hear(reported.version, reported.at, want.now)
 	want.notices = append(want.notices, reported)
 	after, _ := tracker.Newest(want.now)
-	c.Assert(after >= max(before, reported.version), qt.IsTrue, qt.Commentf("%d before, heard of %d, %d after", before, reported.version, after))
+	c.Assert(after >= max(before, reported.version), qt.IsTrue, qt.Commentf("%d before, notice of %d, %d after", before, reported.version, after))
 }
 
 // offerUnusable offers data that the Store must reject: a truncated encoding, or a Set
@@ -211,7 +211,7 @@
 	known := newest == want.version || slices.ContainsFunc(want.notices, func(n notice) bool {
 		return n.version == newest && want.now.Sub(n.at) < noticeLifetime
 	})
-	c.Assert(known && newest >= want.version, qt.IsTrue, qt.Commentf("newest %d, in force %d", newest, want.version))
+	c.Assert(known && newest >= want.version, qt.IsTrue, qt.Commentf("newest %d, active %d", newest, want.version))
 }
 
 // offerScripts cover higher, lower and repeated versions, forks, rejected Sets and
--- a/config/validate.go
+++ b/config/validate.go
@@ -60,9 +60,10 @@
 // with every problem. Apply calls it before it stores a change.
 func Validate(s Set) error { return validate(s, true) }
 
-// validateForNode checks whether a node can activate a Set that was accepted elsewhere: by
-// Apply, by another build, or by the platform. It does not check the number or the
-// length of entries.
+// validateForNode checks whether a node can activate a Set that was accepted
+// elsewhere: by Apply, by another build, or by the platform. It skips the limits
+// that checkSubmitted enforces, such as the numbers of profiles, assignments and
+// routes.
 //
 // If nodes enforced those limits, then as soon as operators added more routes than
 // this build allows, every node would reject that version and all later ones and
@@ -173,8 +174,8 @@
 	}
 }
 
-// priorityOrder rejects a Set in which unrepeatable work, which must not be lost, would be
-// shed before or together with work that callers can safely repeat.
+// priorityOrder rejects a Set in which unrepeatable work, which must not be lost,
+// would be shed before or together with work that callers can safely repeat.
 func (v *validator) priorityOrder(profiles []Profile) {
 	highest := -1
 	name := ""
