--- a/config/offers_fuzz_test.go
+++ b/config/offers_fuzz_test.go
@@ -34,7 +34,7 @@
 	version uint64
 	content byte
 	source  config.Source
-	// now is the current time, and heard lists all notices so far.
+	// now is the current time, and notices lists all notices so far.
 	now     time.Time
 	notices []notice
 	// notified lists the versions of which the subscriber must have been notified; it
