--- a/config/compiled.go
+++ b/config/compiled.go
@@ -7,33 +7,33 @@
 	"pollengauge.dev/customer"
 )
 
-// Compiled is a Set prepared for lookups on each call. It is immutable.
+// Compiled is a Set indexed for the lookups that each call needs. It is immutable.
 type Compiled struct {
 	set        Set
 	hash       string
 	byName     map[string]*Profile
 	fallback   *Profile
-	services   map[string]*rules
-	any        *rules
+	services   map[string]*serviceRules
+	anyService *serviceRules
 	routes     routes
 	customers  *customer.Directory
-	priorities priorities
+	priorities priorityTable
 }
 
-// rules are the assignments of one service.
-type rules struct {
-	byPrefix map[string]*methods
-	// longest is the length of the longest prefix.
-	longest int
+// serviceRules are the assignments of one service, indexed by path prefix.
+type serviceRules struct {
+	byPrefix map[string]*prefixRules
+	// longestPrefix is the length of the longest prefix, in bytes.
+	longestPrefix int
 }
 
-// methods are the assignments of one prefix.
-type methods struct {
-	any      *Profile
-	byMethod map[string]*Profile
+// prefixRules are the assignments of one path prefix, indexed by HTTP method.
+type prefixRules struct {
+	anyMethod *Profile
+	byMethod  map[string]*Profile
 }
 
-// Compile validates s and prepares it for Match.
+// Compile validates s and indexes it for Match.
 func Compile(s Set) (*Compiled, error) {
 	encoded, err := Encode(s)
 	if err != nil {
@@ -42,14 +42,15 @@
 	return compile(s, encoded), nil
 }
 
-// compile takes a valid Set. It copies what the caller could still change.
+// compile indexes a valid Set. It copies s, so that the caller may modify s
+// afterwards.
 func compile(s Set, encoded []byte) *Compiled {
 	s = s.clone()
 	c := &Compiled{
 		set:      s,
 		hash:     Hash(encoded),
 		byName:   make(map[string]*Profile, len(s.Profiles)),
-		services: make(map[string]*rules),
+		services: make(map[string]*serviceRules),
 	}
 	for i := range s.Profiles {
 		c.byName[s.Profiles[i].Name] = &s.Profiles[i]
@@ -58,11 +59,11 @@
 	for _, a := range s.Assignments {
 		c.add(a)
 	}
-	c.any = c.services[AnyService]
+	c.anyService = c.services[AnyService]
 	delete(c.services, AnyService)
 	c.routes = compileRoutes(s.Routes)
 	c.customers = customer.NewDirectory(s.Customers)
-	c.priorities = joinPriorities(s.Customers, s.Profiles)
+	c.priorities = newPriorityTable(s.Customers, s.Profiles)
 	return c
 }
 
@@ -70,57 +71,58 @@
 	match := a.match()
 	service := c.services[match.Service]
 	if service == nil {
-		service = &rules{byPrefix: make(map[string]*methods)}
+		service = &serviceRules{byPrefix: make(map[string]*prefixRules)}
 		c.services[match.Service] = service
 	}
 	prefix := service.byPrefix[match.PathPrefix]
 	if prefix == nil {
-		prefix = &methods{byMethod: make(map[string]*Profile)}
+		prefix = &prefixRules{byMethod: make(map[string]*Profile)}
 		service.byPrefix[match.PathPrefix] = prefix
 	}
-	service.longest = max(service.longest, len(match.PathPrefix))
+	service.longestPrefix = max(service.longestPrefix, len(match.PathPrefix))
 	if match.Method == "" {
-		prefix.any = c.byName[a.Profile]
+		prefix.anyMethod = c.byName[a.Profile]
 		return
 	}
 	prefix.byMethod[match.Method] = c.byName[a.Profile]
 }
 
 // Match returns the profile of a call. It never returns nil: a call that no
-// assignment matches has the profile named DefaultProfileName.
+// assignment matches has the profile DefaultProfileName.
 //
-// The path is taken decoded, as in url.URL.Path.
+// requestPath must be decoded, as url.URL.Path is.
 func (c *Compiled) Match(service, method, requestPath string) *Profile {
-	requestPath = cleaned(requestPath)
+	requestPath = cleanPath(requestPath)
 	if p := c.services[service].match(method, requestPath); p != nil {
 		return p
 	}
-	if p := c.any.match(method, requestPath); p != nil {
+	if p := c.anyService.match(method, requestPath); p != nil {
 		return p
 	}
 	return c.fallback
 }
 
-// cleaned resolves dots and doubled slashes.
+// cleanPath resolves dot segments and repeated slashes.
 //
-// Failure: an upstream that cleans paths serves /browse/../filings as a
-// filing, while the raw prefix says browsing. Symptom: a filing that is tried
-// twice. Most paths have nothing to resolve and skip the work.
-func cleaned(requestPath string) string {
+// An upstream that cleans paths handles /browse/../filings as a filing, while the
+// prefix of the raw path selects the browsing profile, under which the filing could
+// be retried. Most paths need no cleaning and return unchanged.
+func cleanPath(requestPath string) string {
 	if strings.Contains(requestPath, "//") || strings.Contains(requestPath, "/.") {
 		return path.Clean(requestPath)
 	}
 	return requestPath
 }
 
-// match tries each prefix of whole segments, the longest first.
-func (r *rules) match(method, requestPath string) *Profile {
+// match tries the prefixes of requestPath that end at a segment boundary, longest
+// first.
+func (r *serviceRules) match(method, requestPath string) *Profile {
 	if r == nil {
 		return nil
 	}
 	end := len(requestPath)
-	if end > r.longest {
-		end = r.cut(requestPath)
+	if end > r.longestPrefix {
+		end = r.longestCandidate(requestPath)
 	}
 	for end > 0 {
 		if p := r.byPrefix[requestPath[:end]].match(method); p != nil {
@@ -131,37 +133,38 @@
 	return r.byPrefix[""].match(method)
 }
 
-// cut returns the length of the longest prefix of whole segments that an
-// assignment could have. A path of many slashes so costs no more lookups
-// than the longest assignment has segments.
-func (r *rules) cut(requestPath string) int {
-	return strings.LastIndexByte(requestPath[:r.longest+1], '/')
+// longestCandidate returns the length of the longest prefix of requestPath that
+// ends at a segment boundary and that an assignment could have. This bounds the
+// lookups for a path with many slashes by the number of segments of the longest
+// assignment.
+func (r *serviceRules) longestCandidate(requestPath string) int {
+	return strings.LastIndexByte(requestPath[:r.longestPrefix+1], '/')
 }
 
-func (m *methods) match(method string) *Profile {
+func (m *prefixRules) match(method string) *Profile {
 	if m == nil {
 		return nil
 	}
 	if p, ok := m.byMethod[method]; ok {
 		return p
 	}
-	return m.any
+	return m.anyMethod
 }
 
-// Profile returns the profile of that name, or nil. A hop below the root
-// uses it for the name in the call's context.
+// Profile returns the profile with the given name, or nil. Hops downstream of the
+// root use it to look up the profile named in the context of the call.
 func (c *Compiled) Profile(name string) *Profile { return c.byName[name] }
 
-// Version returns the Set's version.
+// Version returns the version of the Set.
 func (c *Compiled) Version() uint64 { return c.set.Version }
 
-// Hash returns the hash of the Set's encoding.
+// Hash returns the hash of the encoded Set, as the function Hash computes it.
 func (c *Compiled) Hash() string { return c.hash }
 
-// Limits returns the Set's limits.
+// Limits returns the limits of the Set.
 func (c *Compiled) Limits() Limits { return c.set.Limits }
 
-// Profiles returns all profiles. They must not be changed.
+// Profiles returns all profiles. Callers must not modify them.
 func (c *Compiled) Profiles() []Profile { return c.set.Profiles }
 
 // Set returns a copy of the Set.
--- a/config/compiled_test.go
+++ b/config/compiled_test.go
@@ -10,9 +10,9 @@
 	"pollengauge.dev/config"
 )
 
-// slowMatch is the rule as the reference states it: try every assignment and
-// keep the most specific one.
-func slowMatch(set config.Set, service, method, path string) string {
+// referenceMatch is the reference for Match: it tries every assignment and selects the
+// most specific one.
+func referenceMatch(set config.Set, service, method, path string) string {
 	best, profile := -1, config.DefaultProfileName
 	for _, a := range set.Assignments {
 		prefix := strings.TrimSuffix(a.PathPrefix, "/")
@@ -36,10 +36,10 @@
 	return profile
 }
 
-// A wrong profile turns a filing into something that may run twice. Match,
-// which looks up prefixes from the longest to the shortest, must agree with
-// the plain rule on every set and path.
-func TestMatchAgreesWithTheRule(t *testing.T) {
+// A wrong profile can cause a filing to run twice. Match, which looks up prefixes
+// from the longest to the shortest, must agree with the reference for every set and
+// path.
+func TestMatchAgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := rapid.SampledFrom([]string{"a", "b", "*"})
 		method := rapid.SampledFrom([]string{"", "GET", "POST"})
@@ -60,15 +60,16 @@
 		}
 		for range 10 {
 			s, m, p := service.Draw(t, "called"), method.Draw(t, "by"), path.Draw(t, "path")
-			if got, want := compiled.Match(s, m, p).Name, slowMatch(set, s, m, p); got != want {
+			if got, want := compiled.Match(s, m, p).Name, referenceMatch(set, s, m, p); got != want {
 				t.Fatalf("%s %s %s: got %s, want %s", s, m, p, got, want)
 			}
 		}
 	})
 }
 
-// A caller dresses a filing's path up as a browsing one, or sends a path of
-// many slashes. The first must not change the profile, the second not stall.
+// A caller disguises the path of a filing as a browsing path, or sends a path with
+// many slashes. The former must not select another profile, and the latter must not
+// stall the lookup.
 func TestMatchHostilePaths(t *testing.T) {
 	c := qt.New(t)
 	write := config.NewProfile("filing", 9)
--- a/config/customers.go
+++ b/config/customers.go
@@ -11,91 +11,94 @@
 	"pollengauge.dev/customer"
 )
 
-// Customers finds the customers of the Set.
+// Customers returns the directory that looks up customers of the Set by key.
 func (c *Compiled) Customers() *customer.Directory { return c.customers }
 
-// KeysUnknown tells that a key which no customer has may be that of one that could
-// not be read.
+// KeysUnknown reports whether some customers could not be read, so that a key which
+// matches no customer may still be valid.
 func (c *Compiled) KeysUnknown() bool { return c.set.CustomersMissing }
 
-// KeyRequired tells whether callers of a profile must send the key of a customer.
+// KeyRequired reports whether callers that use profile p must send the key of a
+// customer.
 func (c *Compiled) KeyRequired(p *Profile) bool {
 	return !p.Public && (!c.customers.Empty() || c.set.CustomersMissing)
 }
 
-// PriorityFor is that of a customer's request: the customer's priority goes before the
-// profile's. Without a customer it is the profile's, among those of the customers with
-// the least priority.
-func (c *Compiled) PriorityFor(of *customer.Customer, p *Profile) call.Priority {
-	least := c.priorities.least
-	if of != nil {
-		least = of.Priority
+// PriorityFor returns the priority of a request from the given customer with
+// profile p. The priority of the customer is compared first, then the priority of
+// the profile. A request without a customer ranks with the customers of the lowest
+// priority.
+func (c *Compiled) PriorityFor(from *customer.Customer, p *Profile) call.Priority {
+	customerPriority := c.priorities.lowestCustomer
+	if from != nil {
+		customerPriority = from.Priority
 	}
-	return c.priorities.of(least, p.Priority)
+	return c.priorities.combine(customerPriority, p.Priority)
 }
 
-// priorities joins the priorities of customers and profiles to the ones by which
-// requests are shed.
-type priorities struct {
-	joined [customer.MaxPriority + 1][call.MaxPriority + 1]call.Priority
-	// least is the least priority of a customer.
-	least int
+// priorityTable maps a customer priority and a profile priority to the combined
+// priority by which requests are shed.
+type priorityTable struct {
+	combined [customer.MaxPriority + 1][call.MaxPriority + 1]call.Priority
+	// lowestCustomer is the lowest priority of any customer.
+	lowestCustomer int
 }
 
-func (p *priorities) of(customer, profile int) call.Priority {
-	return p.joined[clampPriority(customer)][clampPriority(profile)]
+func (p *priorityTable) combine(customer, profile int) call.Priority {
+	return p.combined[clampPriority(customer)][clampPriority(profile)]
 }
 
 func clampPriority(priority int) int { return min(max(priority, 0), int(call.MaxPriority)) }
 
-// joinPriorities gives each pair of priorities in use a place of its own, the
-// customer's first, as far as there are places; more pairs share them in their order.
-func joinPriorities(customers []customer.Customer, profiles []Profile) priorities {
-	var usedBy, usedOf [call.MaxPriority + 1]bool
+// newPriorityTable assigns each pair of priorities in use a combined priority,
+// ordered by the customer first. If there are more pairs than priorities,
+// neighbouring pairs share one and the order is kept.
+func newPriorityTable(customers []customer.Customer, profiles []Profile) priorityTable {
+	var customerPriorities, profilePriorities [call.MaxPriority + 1]bool
 	for i := range customers {
-		usedBy[clampPriority(customers[i].Priority)] = true
+		customerPriorities[clampPriority(customers[i].Priority)] = true
 	}
 	for i := range profiles {
-		usedOf[clampPriority(profiles[i].Priority)] = true
+		profilePriorities[clampPriority(profiles[i].Priority)] = true
 	}
-	var p priorities
-	p.least = max(slices.Index(usedBy[:], true), 0)
-	by, of := ranksOf(usedBy), ranksOf(usedOf)
-	pairs := max(by.count, 1) * max(of.count, 1)
+	var p priorityTable
+	p.lowestCustomer = max(slices.Index(customerPriorities[:], true), 0)
+	customerRanks, profileRanks := ranksOf(customerPriorities), ranksOf(profilePriorities)
+	pairs := max(customerRanks.count, 1) * max(profileRanks.count, 1)
 	const highest = int(call.MaxPriority)
-	for i := range p.joined {
-		for j := range p.joined[i] {
-			// Places are counted from the top.
-			place := by.place[i]*max(of.count, 1) + of.place[j]
+	for i := range p.combined {
+		for j := range p.combined[i] {
+			// Ranks are counted from the highest priority.
+			rank := customerRanks.above[i]*max(profileRanks.count, 1) + profileRanks.above[j]
 			switch {
-			case by.count <= 1:
-				p.joined[i][j] = call.Priority(j)
+			case customerRanks.count <= 1:
+				p.combined[i][j] = call.Priority(j)
 			case pairs <= highest+1:
-				p.joined[i][j] = call.Priority(highest - place)
+				p.combined[i][j] = call.Priority(highest - rank)
 			default:
-				p.joined[i][j] = call.Priority(highest - place*(highest+1)/pairs)
+				p.combined[i][j] = call.Priority(highest - rank*(highest+1)/pairs)
 			}
 		}
 	}
 	return p
 }
 
-// ranks has, for each priority, how many of those in use are above it.
+// ranks holds, for each priority, the number of higher priorities in use.
 type ranks struct {
-	place [call.MaxPriority + 1]int
+	above [call.MaxPriority + 1]int
 	count int
 }
 
 func ranksOf(used [call.MaxPriority + 1]bool) ranks {
 	var r ranks
 	for i := len(used) - 1; i >= 0; i-- {
-		r.place[i] = r.count
+		r.above[i] = r.count
 		if used[i] {
 			r.count++
 		}
 	}
-	for i := range r.place {
-		r.place[i] = min(r.place[i], max(r.count-1, 0))
+	for i := range r.above {
+		r.above[i] = min(r.above[i], max(r.count-1, 0))
 	}
 	return r
 }
@@ -105,44 +108,45 @@
 		return
 	}
 	for _, problem := range customer.Validate(s.Customers) {
-		at := "customers"
+		path := "customers"
 		if problem.Place >= 0 {
-			at += "[" + strconv.Itoa(problem.Place) + "]." + problem.Field
+			path += "[" + strconv.Itoa(problem.Place) + "]." + problem.Field
 		}
-		v.problems = append(v.problems, Problem{Path: at, Value: problem.Customer, Want: problem.Want})
+		v.problems = append(v.problems, Problem{Path: path, Value: problem.Customer, Want: problem.Want})
 	}
 }
 
-func readCustomer(n *yaml.Node, at string, c *customer.Customer) error {
-	_, err := readObject(n, at, fields{
-		"name": func(n *yaml.Node, at string) error { return readString(n, at, &c.Name) },
-		"keyDigests": func(n *yaml.Node, at string) error {
-			return readList(n, at, customer.MaxKeys, &c.Keys, readDigest)
+func readCustomer(n *yaml.Node, path string, c *customer.Customer) error {
+	_, err := readObject(n, path, fieldReaders{
+		"name": func(n *yaml.Node, path string) error { return readString(n, path, &c.Name) },
+		"keyDigests": func(n *yaml.Node, path string) error {
+			return readList(n, path, customer.MaxKeys, &c.Keys, readDigest)
 		},
-		"priority": func(n *yaml.Node, at string) error { return readInt(n, at, &c.Priority) },
-		"rate":     func(n *yaml.Node, at string) error { return readFloat(n, at, &c.Rate) },
-		"burst":    func(n *yaml.Node, at string) error { return readFloat(n, at, &c.Burst) },
+		"priority": func(n *yaml.Node, path string) error { return readInt(n, path, &c.Priority) },
+		"rate":     func(n *yaml.Node, path string) error { return readFloat(n, path, &c.Rate) },
+		"burst":    func(n *yaml.Node, path string) error { return readFloat(n, path, &c.Burst) },
 	}, "name", "keyDigests")
 	return err
 }
 
-// readDigest never shows the text: it may be a key that was put in a digest's place.
-func readDigest(n *yaml.Node, at string, d *customer.Digest) error {
+// readDigest never includes the value in its error: an operator may have entered a
+// key where its digest belongs.
+func readDigest(n *yaml.Node, path string, d *customer.Digest) error {
 	if n.Kind != yaml.ScalarNode || d.UnmarshalText([]byte(n.Value)) != nil {
-		return &ParseError{Line: n.Line, Field: at, Value: "(not shown)", Want: "the digest of a key in quotes, as pollengauge api-key prints it"}
+		return &ParseError{Line: n.Line, Field: path, Value: "(not shown)", Want: "the digest of a key in quotes, as pollengauge api-key prints it"}
 	}
 	return nil
 }
 
-// shownDigits are the characters of a digest by which people tell keys apart.
-const shownDigits = 8
+// shownDigestChars is the number of leading characters of a digest that a diff shows.
+const shownDigestChars = 8
 
 func customerItems(s Set) []item {
 	items := make([]item, len(s.Customers))
 	for i, c := range s.Customers {
 		keys := make([]string, len(c.Keys))
 		for k, digest := range c.Keys {
-			keys[k] = digest.String()[:shownDigits]
+			keys[k] = digest.String()[:shownDigestChars]
 		}
 		items[i] = item{path: "customers[" + c.Name + "]", fields: []field{
 			{"keyDigests", strings.Join(keys, ",")},
@@ -154,7 +158,7 @@
 	return items
 }
 
-// cloneCustomers returns a copy that shares no memory with list.
+// cloneCustomers returns a deep copy of list.
 func cloneCustomers(list []customer.Customer) []customer.Customer {
 	list = slices.Clone(list)
 	for i := range list {
--- a/config/customers_bench_test.go
+++ b/config/customers_bench_test.go
@@ -8,7 +8,7 @@
 	"pollengauge.dev/customer"
 )
 
-// manyCustomers is a set with so many customers of ten keys.
+// manyCustomers returns a Set with count customers of ten keys each.
 func manyCustomers(count int) Set {
 	set := Default()
 	set.Version = 1
@@ -22,14 +22,14 @@
 	return set
 }
 
-// BenchmarkCustomersInForce is what a node spends on putting a version in force that a
-// peer passed on, and holds afterwards.
+// BenchmarkCustomersInForce measures the time to activate a version received from a
+// peer, and the memory used afterwards.
 func BenchmarkCustomersInForce(b *testing.B) {
 	for _, count := range []int{78, 20_000} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
 			set := manyCustomers(count)
 			b.ReportAllocs()
-			var kept *Store
+			var store *Store
 			for i := range b.N {
 				set.Version = uint64(i) + 1
 				data, err := Encode(set)
@@ -37,8 +37,8 @@
 					b.Fatal(err)
 				}
 				b.SetBytes(int64(len(data)))
-				kept = NewStore()
-				if _, err := kept.Offer(data, SourcePeer); err != nil {
+				store = NewStore()
+				if _, err := store.Offer(data, SourcePeer); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -46,7 +46,7 @@
 			var memory runtime.MemStats
 			runtime.ReadMemStats(&memory)
 			b.ReportMetric(float64(memory.HeapAlloc)/(1<<20), "MB-held")
-			runtime.KeepAlive(kept)
+			runtime.KeepAlive(store)
 		})
 	}
 }
--- a/config/parse_errors.go
+++ b/config/parse_errors.go
@@ -2,11 +2,11 @@
 
 import "strings"
 
-// ParseError is one place where a file can't be read as a Set.
+// ParseError is one place where a file can't be parsed as a Set.
 type ParseError struct {
-	// Line counts from 1; 0 when the place is not known.
+	// Line counts from 1; it is 0 if the place is not known.
 	Line int
-	// Field is the path of the field, such as profiles[2].deadline.
+	// Field is the path of the field, for example profiles[2].deadline.
 	Field string
 	Value string
 	Want  string
@@ -14,32 +14,33 @@
 
 // Error implements error.
 func (e *ParseError) Error() string {
-	return atLine(e.Line, e.Field) + ": " + shown(e.Value) + ": want " + e.Want
+	return prefixLine(e.Line, e.Field) + ": " + quoteTruncated(e.Value) + ": want " + e.Want
 }
 
-// ParseErrors are all places where a file can't be read as a Set, in the order
-// of the file, those of missing fields after the rest of their object.
+// ParseErrors lists all places where a file can't be parsed as a Set, in file
+// order. Missing fields follow the other errors of their object.
 type ParseErrors []*ParseError
 
 // Error implements error.
 func (e ParseErrors) Error() string {
 	lines := make([]string, len(e))
-	for i, place := range e {
-		lines[i] = place.Error()
+	for i, parseError := range e {
+		lines[i] = parseError.Error()
 	}
 	return strings.Join(lines, "; ")
 }
 
-// Unwrap returns the places, so that errors.As finds the first *ParseError.
+// Unwrap returns the individual errors, so that errors.As finds the first
+// *ParseError.
 func (e ParseErrors) Unwrap() []error {
 	causes := make([]error, len(e))
-	for i, place := range e {
-		causes[i] = place
+	for i, parseError := range e {
+		causes[i] = parseError
 	}
 	return causes
 }
 
-// with returns e and the places of err, which is nil, one place or several.
+// with appends err, which is nil, a *ParseError or ParseErrors.
 func (e ParseErrors) with(err error) ParseErrors {
 	switch err := err.(type) {
 	case *ParseError:
@@ -50,7 +51,7 @@
 	return e
 }
 
-// orNil returns e as an error, nil if it has no place.
+// orNil returns e as an error, or nil if e is empty.
 func (e ParseErrors) orNil() error {
 	if len(e) == 0 {
 		return nil
--- a/config/route.go
+++ b/config/route.go
@@ -6,74 +6,75 @@
 	"strings"
 )
 
-// Bounds of Route.
+// Limits on routes.
 const (
-	// MaxRoutes and MaxShares are the most entries of a list in a Set that
-	// operators submit; see Validate.
+	// MaxRoutes and MaxShares are the maximum numbers of routes and of shares per
+	// route in a Set that operators submit; see Validate.
 	MaxRoutes = 2048
 	MaxShares = 16
-	// MaxWeight bounds Share.Weight, so that sums of weights can't overflow.
+	// MaxWeight limits Share.Weight, so that sums of weights can't overflow.
 	MaxWeight = 1_000_000
-	// maxHostLength is the longest name of a host (RFC 1035), in bytes.
+	// maxHostLength is the maximum length of a host name (RFC 1035), in bytes.
 	maxHostLength = 253
 )
 
-// Route sends the requests for one host and path to a service, or to several
-// in fixed proportions. Where a Set has routes, callers name hosts and paths
-// and know nothing of services. Of the routes of a host the one with the
-// longest prefix wins.
+// Route sends the requests for one host and path prefix to a service, or splits
+// them among several services by weight. In a Set with routes, callers address
+// hosts and paths and need not know services. Among the routes of a host, the one
+// with the longest prefix wins.
 type Route struct {
-	// Name tells routes apart for people.
+	// Name identifies the route to operators.
 	Name string `json:"name" yaml:"name"`
-	// Host is the request's Host without a port.
+	// Host is the host of the request without a port.
 	Host string `json:"host" yaml:"host"`
-	// PathPrefix begins and ends with a slash. It is compared byte for byte
-	// with the path as it came.
+	// PathPrefix begins and ends with a slash. It is compared byte for byte with
+	// the path as received.
 	PathPrefix string `json:"pathPrefix" yaml:"pathPrefix"`
-	// Shares are the services and their weights. A route without a share above
-	// 0 is there, and its requests can't be served.
+	// Shares are the services and their weights. A route whose weights are all 0
+	// matches requests but can't serve them.
 	Shares []Share `json:"shares" yaml:"shares"`
 	// Profile is the name of the profile.
 	Profile string `json:"profile" yaml:"profile"`
 }
 
-// Share is the part of a route's requests that one service gets.
+// Share is a service and its share of the requests of a route.
 type Share struct {
 	Service string `json:"service" yaml:"service"`
-	// Weight is relative to the sum of the route's weights. 0 gets nothing.
+	// Weight is relative to the sum of the weights of the route. A service with
+	// weight 0 gets no requests.
 	Weight int `json:"weight" yaml:"weight"`
 }
 
 func (v *validator) routes(s Set) {
-	v.bound(len(s.Routes) <= MaxRoutes, "routes", strconv.Itoa(len(s.Routes)), "at most "+strconv.Itoa(MaxRoutes)+" routes")
+	v.checkSubmitted(len(s.Routes) <= MaxRoutes, "routes", strconv.Itoa(len(s.Routes)), "at most "+strconv.Itoa(MaxRoutes)+" routes")
 	profiles := make(map[string]bool, len(s.Profiles))
 	for _, p := range s.Profiles {
 		profiles[p.Name] = true
 	}
 	seen := make(map[routeKey]bool, len(s.Routes))
 	for i, r := range s.Routes {
-		at := "routes[" + strconv.Itoa(i) + "]"
-		v.bound(r.Name != "" && len(r.Name) <= MaxPathLength && validText(r.Name), at+".name", r.Name, "1 to 256 bytes of text")
-		v.bound(validHost(r.Host), at+".host", r.Host, "a host in lower case without a port")
-		v.bound(validRoutePrefix(r.PathPrefix), at+".pathPrefix", r.PathPrefix, "a path of at most 256 bytes that begins and ends with /")
-		v.check(profiles[r.Profile], at+".profile", r.Profile, "the name of a profile")
-		v.shares(r.Shares, at+".shares")
+		path := "routes[" + strconv.Itoa(i) + "]"
+		v.checkSubmitted(r.Name != "" && len(r.Name) <= MaxPathLength && validText(r.Name), path+".name", r.Name, "1 to 256 bytes of text")
+		v.checkSubmitted(validHost(r.Host), path+".host", r.Host, "a host in lower case without a port")
+		v.checkSubmitted(validRoutePrefix(r.PathPrefix), path+".pathPrefix", r.PathPrefix, "a path of at most 256 bytes that begins and ends with /")
+		v.check(profiles[r.Profile], path+".profile", r.Profile, "the name of a profile")
+		v.shares(r.Shares, path+".shares")
 		key := routeKey{r.Host, r.PathPrefix}
-		v.bound(!seen[key], at, r.Host+r.PathPrefix, "a host and prefix that no other route has")
+		v.checkSubmitted(!seen[key], path, r.Host+r.PathPrefix, "a host and prefix that no other route has")
 		seen[key] = true
 	}
 }
 
-func (v *validator) shares(shares []Share, at string) {
-	v.bound(len(shares) >= 1 && len(shares) <= MaxShares, at, strconv.Itoa(len(shares)), "1 to "+strconv.Itoa(MaxShares)+" services")
+func (v *validator) shares(shares []Share, path string) {
+	v.checkSubmitted(len(shares) >= 1 && len(shares) <= MaxShares, path, strconv.Itoa(len(shares)), "1 to "+strconv.Itoa(MaxShares)+" services")
 	total := 0
 	for i, s := range shares {
-		place := at + "[" + strconv.Itoa(i) + "]"
-		v.bound(validName(s.Service), place+".service", s.Service, wantName)
-		v.check(s.Weight >= 0 && s.Weight <= MaxWeight, place+".weight", strconv.Itoa(s.Weight), "0 to "+strconv.Itoa(MaxWeight))
+		sharePath := path + "[" + strconv.Itoa(i) + "]"
+		v.checkSubmitted(validName(s.Service), sharePath+".service", s.Service, wantName)
+		v.check(s.Weight >= 0 && s.Weight <= MaxWeight, sharePath+".weight", strconv.Itoa(s.Weight), "0 to "+strconv.Itoa(MaxWeight))
 		total += max(s.Weight, 0)
 	}
-	v.bound(total > 0, at, strconv.Itoa(total), "weights of which one is above 0")
+	v.checkSubmitted(total > 0, path, strconv.Itoa(total), "weights of which one is above 0")
 }
 
 func validHost(s string) bool {
@@ -86,19 +87,19 @@
 	return s != "" && len(s) <= MaxPathLength && s[0] == '/' && s[len(s)-1] == '/' && validText(s)
 }
 
-// routeKey is what a route matches.
+// routeKey identifies what a route matches.
 type routeKey struct{ host, prefix string }
 
-// routes finds the route of a request.
+// routes indexes the routes of a Set by host.
 type routes struct {
 	byHost map[string]*hostRoutes
 }
 
-// hostRoutes are the routes of one host.
+// hostRoutes indexes the routes of one host by path prefix.
 type hostRoutes struct {
 	byPrefix map[string]*Route
-	// longest is the length of the longest prefix.
-	longest int
+	// longestPrefix is the length of the longest prefix, in bytes.
+	longestPrefix int
 }
 
 func compileRoutes(list []Route) routes {
@@ -111,23 +112,23 @@
 			r.byHost[route.Host] = host
 		}
 		host.byPrefix[route.PathPrefix] = route
-		host.longest = max(host.longest, len(route.PathPrefix))
+		host.longestPrefix = max(host.longestPrefix, len(route.PathPrefix))
 	}
 	return r
 }
 
-// Route returns the route of a request, nil if there is none. The host is
-// without a port and in lower case, the path as it came on the wire, without
-// its query.
+// Route returns the route of a request, or nil if there is none. host must be in
+// lower case without a port, and path must be the raw path as received, without the
+// query.
 //
-// Prefixes end with a slash, so only those that end at a slash of the path are
-// looked up, from the longest: the work does not grow with the routes.
+// Route prefixes end with a slash, so Route looks up only the prefixes of path that
+// end at a slash, longest first: the cost does not depend on the number of routes.
 func (c *Compiled) Route(host, path string) *Route {
 	h := c.routes.byHost[host]
 	if h == nil {
 		return nil
 	}
-	for end := min(len(path), h.longest); end > 0; {
+	for end := min(len(path), h.longestPrefix); end > 0; {
 		slash := strings.LastIndexByte(path[:end], '/')
 		if slash < 0 {
 			return nil
@@ -140,7 +141,8 @@
 	return nil
 }
 
-// Unserved returns how many routes have no share above 0, and the name of the first.
+// Unserved returns the number of routes whose weights are all 0, and the name of
+// the first one.
 func (c *Compiled) Unserved() (count int, first string) {
 	for i := range c.set.Routes {
 		r := &c.set.Routes[i]
@@ -155,10 +157,11 @@
 	return count, first
 }
 
-// Routed tells whether callers of this Set name hosts and paths.
+// Routed reports whether the Set has routes, so that callers address hosts and
+// paths.
 func (c *Compiled) Routed() bool { return len(c.set.Routes) > 0 }
 
-// clone returns a copy that shares no memory with r.
+// clone returns a deep copy of r.
 func (r Route) clone() Route {
 	r.Shares = slices.Clone(r.Shares)
 	return r
--- a/config/route_test.go
+++ b/config/route_test.go
@@ -18,12 +18,12 @@
 	}
 }
 
-func to(service string) []config.Share { return []config.Share{{Service: service, Weight: 1}} }
+func singleShare(service string) []config.Share { return []config.Share{{Service: service, Weight: 1}} }
 
-// A request goes to another service than the operator meant if a shorter
-// prefix wins or a segment is cut. Route, which looks at slashes only, must
-// agree with the plain rule: the longest prefix that begins the path.
-func TestRouteAgreesWithTheRule(t *testing.T) {
+// A request reaches the wrong service if a shorter prefix wins or if a prefix ends
+// inside a path segment. Route, which examines only slashes, must agree with the
+// plain rule: the longest route prefix of the path wins.
+func TestRouteAgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prefix := rapid.StringMatching(`/([xy]{1,2}/){0,3}`)
 		var routes []config.Route
@@ -32,7 +32,7 @@
 			p := prefix.Draw(t, "prefix")
 			if !seen[p] {
 				seen[p] = true
-				routes = append(routes, config.Route{Name: p, Host: "h.example", PathPrefix: p, Profile: "read", Shares: to("s")})
+				routes = append(routes, config.Route{Name: p, Host: "h.example", PathPrefix: p, Profile: "read", Shares: singleShare("s")})
 			}
 		}
 		compiled, err := config.Compile(routedSet(routes...))
@@ -54,17 +54,17 @@
 			t.Fatalf("%q: got %q, want %q", path, got, want)
 		}
 		if compiled.Route("other.example", path) != nil {
-			t.Fatal("a route of another host")
+			t.Fatal("Route returned a route of another host")
 		}
 	})
 }
 
-// An operator mistypes a route. Each fault is named by its place, and nothing
-// comes into force.
+// An operator mistypes a route. Validate must reject the Set and name the path of
+// each fault.
 func TestFaultyRoutesAreNamed(t *testing.T) {
 	c := qt.New(t)
-	good := config.Route{Name: "r", Host: "h.example", PathPrefix: "/a/", Profile: "read", Shares: to("s")}
-	for place, spoil := range map[string]func(*config.Route){
+	good := config.Route{Name: "r", Host: "h.example", PathPrefix: "/a/", Profile: "read", Shares: singleShare("s")}
+	for path, breakRoute := range map[string]func(*config.Route){
 		"routes[1].name":       func(r *config.Route) { r.Name = "" },
 		"routes[1].host":       func(r *config.Route) { r.Host = "H:80" },
 		"routes[1].pathPrefix": func(r *config.Route) { r.PathPrefix = "/b" },
@@ -77,15 +77,15 @@
 	} {
 		bad := good
 		bad.PathPrefix = "/b/"
-		spoil(&bad)
+		breakRoute(&bad)
 		var refused *config.ValidationError
-		c.Assert(config.Validate(routedSet(good, bad)), qt.ErrorAs, &refused, qt.Commentf("%s", place))
-		c.Check(refused.Problems[0].Path, qt.Equals, place)
+		c.Assert(config.Validate(routedSet(good, bad)), qt.ErrorAs, &refused, qt.Commentf("%s", path))
+		c.Check(refused.Problems[0].Path, qt.Equals, path)
 	}
 }
 
-// Routes travel between nodes and through files as part of the set. One that is
-// lost or changed on the way would be another configuration of the same version.
+// Routes are sent between nodes and written to files as part of the Set. A route
+// lost or changed on the way would give one version two different contents.
 func TestRoutesSurviveFilesAndPeers(t *testing.T) {
 	c := qt.New(t)
 	set := routedSet(config.Route{Name: "r", Host: "h.example", PathPrefix: "/a/", Profile: "read", Shares: []config.Share{{Service: "s", Weight: 90}, {Service: "t", Weight: 10}}})
@@ -99,17 +99,17 @@
 	parsed, err := config.Parse(text, config.YAML)
 	c.Assert(err, qt.IsNil)
 	c.Check(config.Diff(set, parsed), qt.HasLen, 0)
-	changed := routedSet(config.Route{Name: "r", Host: "h.example", PathPrefix: "/a/", Profile: "read", Shares: to("t")})
+	changed := routedSet(config.Route{Name: "r", Host: "h.example", PathPrefix: "/a/", Profile: "read", Shares: singleShare("t")})
 	c.Check(config.FormatDiff(config.Diff(set, changed)), qt.Contains, "~ routes[h.example/a/].shares: s:90,t:10 -> t:1")
 }
 
-// Operators look for the routes whose requests nobody serves.
+// Operators need to find the routes whose requests no service receives.
 func TestUnservedRoutesAreNamed(t *testing.T) {
 	c := qt.New(t)
 	route := func(name string, shares ...config.Share) config.Route {
 		return config.Route{Name: name, Host: "h.example", PathPrefix: "/" + name + "/", Profile: "read", Shares: shares}
 	}
-	compiled, err := config.Compile(routedSet(route("a", to("s")...), route("b"), route("c", config.Share{Service: "s"})))
+	compiled, err := config.Compile(routedSet(route("a", singleShare("s")...), route("b"), route("c", config.Share{Service: "s"})))
 	c.Assert(err, qt.IsNil)
 	count, first := compiled.Unserved()
 	c.Check(count, qt.Equals, 2)
