--- a/node/bootstrap.go
+++ b/node/bootstrap.go
@@ -14,16 +14,18 @@
 	"pollengauge.dev/observe"
 )
 
-// bootstrapKind is the kind of the few objects that name nodes to join.
+// bootstrapKind is the kind of the platform objects that name nodes to join. There are at
+// most maxBootstraps of them. bootstrapTime bounds the platform calls that read them, or
+// the configuration, at the start of a node.
 const (
 	bootstrapKind = "pollengauge-bootstrap"
 	maxBootstraps = 8
 	bootstrapTime = 3 * time.Second
 )
 
-// seeds returns gossip addresses to join: the settings' peers and, if it
-// answers, the platform's few bootstrap objects. The platform being down is no
-// failure as long as one peer is known.
+// seeds returns gossip addresses to join: the peers in the settings and, if the
+// platform responds, the addresses in its bootstrap objects. An unavailable platform is
+// no error as long as the settings name a peer.
 func (n *Node) seeds(ctx context.Context) ([]string, error) {
 	addrs := slices.Clone(n.settings.Peers)
 	if n.store == nil {
@@ -58,8 +60,8 @@
 	return addrs, nil
 }
 
-// isAddress tells whether an object names a place to join. Another writer may
-// have left anything there.
+// isAddress reports whether the value of a bootstrap object is an address to join.
+// Another program may have stored any other value there.
 func isAddress(value string) bool {
 	host, port, err := net.SplitHostPort(value)
 	if err != nil || !call.ValidToken(host, maxHostLength) || strings.ContainsAny(host, `"{}[],/`) {
@@ -69,12 +71,12 @@
 	return err == nil
 }
 
-// maxHostLength is the longest name of a host (RFC 1035), in bytes.
+// maxHostLength is the maximum length of a host name (RFC 1035), in bytes.
 const maxHostLength = 253
 
-// offerBootstrap puts this node's address among the bootstrap objects: into a
-// free place, or over one whose node is known to be gone. Which node holds a
-// place is of no importance, so a lost race is left lost.
+// offerBootstrap stores this node's address in a bootstrap object: in a free place, or
+// in a place whose node is known to be gone. It does not matter which node has a place,
+// so a write that loses a race is not repeated.
 func (n *Node) offerBootstrap(ctx context.Context, found []objects.Object) {
 	own := n.gossipAddr()
 	taken := make(map[string]objects.Object, len(found))
@@ -91,8 +93,8 @@
 			_, _ = n.store.Create(ctx, bootstrapKind, name, []byte(own))
 			return
 		}
-		// A place that holds no address is free: eight of them would keep two nodes
-		// that start from ever finding each other.
+		// A place without a valid address is free. Otherwise eight such objects would
+		// prevent two starting nodes from ever finding each other.
 		free := !isAddress(string(o.Value))
 		if free || (!n.gossipAddrAlive(string(o.Value)) && n.gossip.Stats().Alive > 1) {
 			o.Value = []byte(own)
--- a/node/bootstrap_test.go
+++ b/node/bootstrap_test.go
@@ -8,10 +8,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Another writer has left objects of the kind by which nodes find each other, and
-// none holds an address. Two nodes start that know of no peer. Taken for the
-// places of members that may live, the objects kept both from leaving their own
-// address, and each stayed alone for good.
+// Another program has stored objects of the kind by which nodes find each other, and
+// none of them holds an address. Two nodes start without a known peer. When these
+// objects counted as the places of members that may be alive, neither node stored its
+// own address, and both stayed alone for good.
 func TestForeignEntriesKeepNobodyAlone(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		foreign := []string{`{"address":7}`, "", "null", "[1,2]", "10.0.0.1", "a:b:c", "host:port", "\xff\x00:1"}
--- a/node/changes.go
+++ b/node/changes.go
@@ -8,7 +8,7 @@
 	"pollengauge.dev/observe"
 )
 
-// memberChanges reports what changed in the membership since it last looked.
+// memberChanges logs what has changed in the membership since the previous look.
 type memberChanges struct {
 	log  *observe.Logger
 	self string
@@ -18,7 +18,8 @@
 	zones  map[string]zoneSeen
 }
 
-// zoneSeen counts the living members of one availability zone.
+// zoneSeen is the last known state of one availability zone. alive counts its living
+// members. cut is set while the zone appears to be separated by a network partition.
 type zoneSeen struct {
 	alive int
 	cut   bool
@@ -33,7 +34,7 @@
 	}
 }
 
-// look compares the members with those of the last look.
+// look compares the members with those of the previous look and logs the differences.
 func (c *memberChanges) look(gossip *membership.Gossip) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,8 +92,8 @@
 	}
 }
 
-// cutZone is the number of members from which the loss of all of them at once
-// reads as a cut of their availability zone, not as so many failures.
+// cutZone is the minimum number of members whose simultaneous loss, if the zone has no
+// others, is reported as a network partition and not as separate failures.
 const cutZone = 2
 
 func (c *memberChanges) compareZones(alive map[string]int) {
@@ -111,8 +112,8 @@
 	}
 }
 
-// levelChanges reports when admission levels and limits move. It belongs to
-// the maintenance goroutine.
+// levelChanges holds the last logged state of admission levels, limits, brownouts,
+// targets and gossip counters. Only the maintenance goroutine uses it.
 type levelChanges struct {
 	raised    bool
 	below     map[string]bool
@@ -125,8 +126,9 @@
 	behind    behindSeen
 }
 
-// brownoutSeen is how many stored answers a profile had given, and for how
-// many looks it has given none.
+// brownoutSeen is the last known brownout state of a profile: how many stored answers
+// it has returned, for how many looks in a row it has returned none, and whether a
+// brownout is on.
 type brownoutSeen struct {
 	count int64
 	quiet int
@@ -141,7 +143,7 @@
 	}
 }
 
-// reportChanges logs what moved since the last look.
+// reportChanges logs what has changed since the previous look.
 func (n *Node) reportChanges() {
 	n.reportLevel()
 	n.reportLimit()
@@ -166,7 +168,7 @@
 	n.log.Emit(observe.AdmissionNormal)
 }
 
-// limitStep is the factor by which the limit must have moved to be logged.
+// limitStep is the factor by which the limit must have changed to be logged.
 const limitStep = 2
 
 func (n *Node) reportLimit() {
@@ -181,7 +183,7 @@
 	}
 }
 
-// quietLooks is how many looks without a stored answer end a brownout.
+// quietLooks is how many looks in a row without a stored answer end a brownout.
 const quietLooks = 5
 
 func (n *Node) reportProfiles() {
@@ -254,7 +256,8 @@
 	n.changes.refused = stats.Refused
 }
 
-// countAttempt counts what one attempt was given and brought back.
+// countAttempt counts an attempt, the credit that was lent to it and the credit that it
+// returned.
 func (n *Node) countAttempt(profile string, lent int, a *answer) {
 	p := n.metrics.Profile(profile)
 	p.Outbound.Inc(1)
--- a/node/claims.go
+++ b/node/claims.go
@@ -13,10 +13,10 @@
 	"pollengauge.dev/observe"
 )
 
-// claimKind is the kind of the platform's objects that hold claims.
+// claimKind is the kind of the platform objects that hold claims.
 const claimKind = "pollengauge-claim"
 
-// claimStore keeps claims on keys in the platform's object API.
+// claimStore stores claims on keys in the platform's object API.
 type claimStore struct {
 	store   objects.Store
 	service string
@@ -24,7 +24,7 @@
 	counts  observe.Counters
 }
 
-// claimRecord is a claim as it is stored.
+// claimRecord is the JSON form of a claim in the platform.
 type claimRecord struct {
 	Service     string        `json:"service"`
 	Home        string        `json:"home"`
@@ -86,8 +86,9 @@
 	return c, nil
 }
 
-// versionOf names one version of an object. The revision is part of it: an
-// object that was deleted and made again starts anew with its own versions.
+// versionOf returns an identifier of one version of an object. It includes the
+// revision, because an object that is deleted and created again restarts its version
+// numbers.
 func versionOf(o objects.Object) atmostonce.Version {
 	return atmostonce.Version(strconv.FormatUint(o.Version, 10) + "@" + strconv.FormatUint(o.Revision, 10))
 }
@@ -122,11 +123,13 @@
 	return versionOf(o), nil
 }
 
-// maxBudgetWait is how long a claim waits for this node's call budget.
+// maxBudgetWait is how long the creation of a claim waits for this node's budget of
+// platform calls.
 const maxBudgetWait = 500 * time.Millisecond
 
-// create waits for the call budget, if that is soon: a caller that brings a
-// key would rather wait a moment than be refused.
+// create waits for the budget of platform calls if that is available within
+// maxBudgetWait: a short wait is better for a caller that brings its own key than a
+// refusal.
 func (s *claimStore) create(ctx context.Context, name string, value []byte) (objects.Object, error) {
 	giveUp := time.Now().Add(maxBudgetWait)
 	for {
@@ -137,9 +140,10 @@
 	}
 }
 
-// awaitBudget reports whether a call to the platform that ended with err was over
-// this node's budget and may be made again, which it waits for. It does not wait
-// where that takes longer than left.
+// awaitBudget reports whether a platform call that failed with err may be made again.
+// That is the case if err says that the call exceeded this node's budget; awaitBudget
+// then waits until the budget allows the call. If that would take longer than left, it
+// returns false without waiting.
 func awaitBudget(ctx context.Context, err error, left time.Duration) bool {
 	var overBudget *objects.RateError
 	if !errors.As(err, &overBudget) || overBudget.RetryAfter > left {
@@ -209,7 +213,7 @@
 	return claims, nil
 }
 
-// conditionalError maps the failure of a write that names a version.
+// conditionalError converts the error of a write that depends on an object's version.
 func (s *claimStore) conditionalError(name string, err error) error {
 	var conflict *objects.ConflictError
 	var absent *objects.NotFoundError
--- a/node/claims_test.go
+++ b/node/claims_test.go
@@ -12,10 +12,10 @@
 	"pollengauge.dev/objects"
 )
 
-// A caller brings a key just when this node has used up its calls to the
-// platform. Refused at once it would come back, and the call be made twice as
-// often; kept for longer than it has, it would get no answer at all. A claim
-// waits for the budget where that is soon, and for nothing else.
+// A caller brings a key when this node has used up its budget of platform calls. If the
+// claim were refused at once, the caller would retry and double the calls; if it waited
+// longer than the caller's remaining time, the caller would get no answer at all. A
+// claim must wait for the budget if that is available soon, and for no other error.
 func TestClaimWaitsForTheBudgetWhereThatIsSoon(t *testing.T) {
 	const left = 500 * time.Millisecond
 	ended, end := context.WithCancel(context.Background())
--- a/node/fates.go
+++ b/node/fates.go
@@ -12,24 +12,25 @@
 	"pollengauge.dev/observe"
 )
 
-// FatesRequest asks for the fates of keys that this node is home of, and for
-// those that it saw end unknown while their home is gone.
+// FatesRequest requests the fates of the keys that this node owns, and of the calls
+// that this node saw end with an unknown outcome and whose key's owner is gone.
 type FatesRequest struct {
 	Filters []atmostonce.Filter
-	// Request, if given, is the only request to list.
+	// Request, if not empty, restricts the list to this request.
 	Request string
-	// Claims, if not nil, asks for open claims of lost homes instead, those
-	// whose names begin with these hexadecimal digits.
+	// Claims, if not nil, requests the open claims of lost owners instead. Only claims
+	// whose names begin with these hexadecimal digits are listed.
 	Claims *string
 }
 
-// FatesResponse lists them, those that have stood longest first.
+// FatesResponse lists the requested fates. Those that one filter selects are sorted,
+// the longest-standing first.
 type FatesResponse struct {
 	Fates []FateView `json:"fates"`
 }
 
-// FateView is one key's fate as an operator sees it. The key is redacted:
-// whoever knows it whole can fetch the stored answer.
+// FateView is the fate of one key as shown to an operator. The key is redacted, because
+// anyone who knows the complete key can fetch the stored answer.
 type FateView struct {
 	Key     string    `json:"key"`
 	State   string    `json:"state"`
@@ -73,12 +74,13 @@
 	}
 }
 
-// longRunning is the age from which a dispatched key needs an operator's eye.
+// longRunning is the age from which a dispatched key that has not ended needs an
+// operator's attention.
 const longRunning = time.Minute
 
-// decodeFates takes "request=ID" for one request's keys, "all=1" for all,
-// "claims=DIGITS" for claims in the platform, and otherwise chooses what needs
-// attention.
+// decodeFates reads the query: "request=ID" selects the keys of one request, "all=1"
+// all keys, "claims=DIGITS" claims in the platform. Without any of these it selects the
+// keys that need attention.
 func decodeFates(_ context.Context, r *http.Request) (any, error) {
 	query := r.URL.Query()
 	switch {
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -10,23 +10,24 @@
 	"pollengauge.dev/observe"
 )
 
-// fleetSizeName is the object beside those that name nodes to join, which has the size
-// of the fleet.
+// fleetSizeName is the name of the object that stores the size of the fleet. It has the
+// same kind as the objects that name nodes to join.
 //
-// The failure: a cut divides the fleet, and all nodes of a side are restarted in it. They
-// have seen nobody else, take their side for the whole fleet, and lend the whole limit of
-// each customer, as the other side does.
+// Without it, customers can exceed their limits when a network partition divides the
+// fleet and all nodes of one side are restarted during it. Those nodes have seen no
+// other members and consider their side to be the complete fleet. They lease the
+// complete limit of each customer, and so does the other side.
 const fleetSizeName = "fleet-size"
 
 const (
-	// fleetSizeEvery is how often the size is compared with what is stored, and
-	// fleetSizeCalls bounds the calls of one comparison.
+	// fleetSizeEvery is the time between two comparisons of the size with the stored
+	// one. fleetSizeCalls bounds the platform calls of one comparison.
 	fleetSizeEvery = 10 * time.Second
 	fleetSizeCalls = time.Second
 	maxFleetSize   = 1 << 20
 )
 
-// heardFleetSize takes in the size that is stored.
+// heardFleetSize reads the stored size of the fleet.
 func (n *Node) heardFleetSize(o objects.Object) {
 	size, err := strconv.Atoi(string(o.Value))
 	if err != nil || size < 1 || size > maxFleetSize {
@@ -39,8 +40,8 @@
 	n.quotas.fleet.Heard(size, n.now())
 }
 
-// keepFleetSize stores the size of the fleet where it has changed. The first member does
-// it; two that both take themselves for the first store the same.
+// keepFleetSize stores the size of the fleet if it has changed. Only the first member
+// does so. If two members both consider themselves the first, they store the same size.
 func (n *Node) keepFleetSize(ctx context.Context) {
 	q := n.quotas
 	q.mu.Lock()
@@ -76,7 +77,7 @@
 	return err
 }
 
-// firstOfFleet tells whether this node comes first in the order of all members.
+// firstOfFleet reports whether this node is the first member in the order of watchRank.
 func (n *Node) firstOfFleet() bool {
 	own := watchRank(n.id)
 	for _, m := range n.gossip.Members() {
--- a/node/fuzz_test.go
+++ b/node/fuzz_test.go
@@ -18,10 +18,10 @@
 const peerContext = "Pollengauge-Request: r1\r\nPollengauge-Profile: default\r\nPollengauge-Level: 128\r\n" +
 	"Pollengauge-Timeout-Ms: 1000\r\nPollengauge-Credit: 1\r\nPollengauge-Depth: 1\r\n"
 
-// FuzzInbound sends arbitrary bytes to the edge or the peer listener of a node
-// with an upstream. Whatever they are, nothing panics; each request is answered
-// with an outcome, or the connection closed, in bounded time; no slot stays
-// taken; and on the peer listener nothing runs without a whole context.
+// FuzzInbound sends arbitrary bytes to the edge or the peer listener of a node with an
+// upstream. Nothing may panic, each request must get an answer with an outcome or its
+// connection be closed in bounded time, and no slot may stay occupied. On the peer
+// listener no request may run without a complete call context.
 func FuzzInbound(f *testing.F) {
 	f.Add(false, "GET /x HTTP/1.1\r\nHost: x\r\n\r\n")
 	f.Add(false, "POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabcGET /y HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -34,11 +34,11 @@
 	f.Add(true, "CONNECT /.pollengauge/handover HTTP/1.0\r\n\r\n\x10\xff\x81")
 	f.Fuzz(func(t *testing.T, peer bool, text string) {
 		inFleet(t, func(f *fleet) {
-			told := &events{}
-			var served atomic.Int64 // requests on one connection may run side by side
+			emitted := &events{}
+			var served atomic.Int64 // requests on one connection may run concurrently
 			n := f.add("front", "portal", 4, func(http.ResponseWriter, *http.Request, func(string, string, string) (*http.Response, error)) {
 				served.Add(1)
-			}, logged(f.c, told), func(s *Settings) { s.GossipInterval = time.Minute })
+			}, logged(f.c, emitted), func(s *Settings) { s.GossipInterval = time.Minute })
 			listener := EdgeListener
 			if peer {
 				listener = PeerListener
@@ -49,10 +49,10 @@
 			f.c.Assert(conn.SetReadDeadline(time.Now().Add(10*time.Minute)), qt.IsNil)
 			received, err := io.ReadAll(conn)
 			f.c.Check(err == nil || !strings.Contains(err.Error(), "timeout"), qt.IsTrue, qt.Commentf("still open: %v", err))
-			// The connection may be closed a moment before its handler returns.
+			// The connection may be closed shortly before its handler returns.
 			synctest.Wait()
 			checkAnswers(f.c, string(received))
-			f.c.Check(told.has("panic-recovered") || strings.Contains(told.text.String(), "panic"), qt.IsFalse)
+			f.c.Check(emitted.has("panic-recovered") || strings.Contains(emitted.text.String(), "panic"), qt.IsFalse)
 			f.c.Check(n.gate.InFlight(), qt.Equals, 0)
 			f.c.Check(n.active.Load(), qt.Equals, int64(0))
 			if peer {
@@ -63,8 +63,9 @@
 	})
 }
 
-// checkAnswers reads every answer. One without outcome must be of net/http,
-// which closes after it, or of the key's minting.
+// checkAnswers reads every answer. An answer without an outcome must come from
+// net/http, which closes the connection after it, or be a response of the endpoint that
+// mints keys.
 func checkAnswers(c *qt.C, received string) {
 	if strings.HasPrefix(received, "HTTP/1.0 200 Connected to Go RPC") {
 		return
@@ -84,8 +85,7 @@
 	}
 }
 
-// wholeContexts counts the requests of text with a whole context for the
-// service.
+// wholeContexts counts the requests in text that have a complete call context.
 func wholeContexts(text string) (count int) {
 	reader := bufio.NewReader(strings.NewReader(text))
 	for {
--- a/node/handover.go
+++ b/node/handover.go
@@ -14,7 +14,7 @@
 // handoverPause is the time between two attempts of a hand-over.
 const handoverPause = 100 * time.Millisecond
 
-// handOver gives this node's keys to another member of the service.
+// handOver transfers this node's keys to another member of the service.
 func (n *Node) handOver(ctx context.Context) {
 	n.keys.Freeze()
 	if err := n.keys.WaitIdle(ctx); err != nil {
@@ -32,10 +32,10 @@
 	}
 }
 
-// handOverTo gives the keys to one member and reports whether the hand-over has
-// ended: the member has them, or the time is over. While the answer to a commit
-// is lost only the same successor may be asked again: a second one could become
-// a second home of the same keys.
+// handOverTo transfers the keys to one member and reports whether the hand-over has
+// ended: either the member has the keys, or the time for it is over. If the response to
+// a commit is lost, the hand-over is only repeated to the same successor. A second
+// successor could become a second owner of the same keys.
 func (n *Node) handOverTo(ctx context.Context, to routing.Target) (ended bool) {
 	n.log.Emit(observe.HandoverBegun, observe.Str("to", to.ID), observe.Int("keys", n.keys.Len()))
 	for {
@@ -55,17 +55,19 @@
 	}
 }
 
-// noSuccessor reports keys that are lost because no other member is there. An
-// empty table is no loss that could be seen from here, but is handed over where
-// it can be: keys that were minted and not yet presented are not in it, and
-// without a home their callers would be told unknown.
+// noSuccessor logs that keys are lost because the service has no other member. It logs
+// nothing for an empty table, because no loss is visible from here. An empty table is
+// still handed over where another member exists: keys that were minted and not yet
+// presented are not in the table, and without an owner their callers would get the
+// outcome unknown.
 func (n *Node) noSuccessor() {
 	if n.keys.Len() > 0 {
 		n.log.Emit(observe.HandoverFailed, observe.Str("cause", "no other member of the service"))
 	}
 }
 
-// handoverAmbiguous tells whether the keys may already be at the successor.
+// handoverAmbiguous reports whether the successor may already have the keys, and logs
+// it if so.
 func (n *Node) handoverAmbiguous(err error) bool {
 	var failed *atmostonce.HandOverError
 	if !errors.As(err, &failed) || !failed.Ambiguous {
@@ -75,10 +77,10 @@
 	return true
 }
 
-// cancelHandover takes new keys again after a cancelled drain.
+// cancelHandover makes the key table accept new keys again after a cancelled drain.
 func (n *Node) cancelHandover() { n.keyError(n.keys.Thaw()) }
 
-// otherMember returns another member of this service that does not drain.
+// otherMember returns another member of this service that is not draining.
 func (n *Node) otherMember() (routing.Target, bool) {
 	picked, err := n.router.Place(routing.Call{Service: n.settings.Service, Exclude: []string{n.id}, Steady: true}, n.random(), n.now())
 	if err != nil {
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -13,7 +13,7 @@
 	"pollengauge.dev/objects"
 )
 
-// slowReads is a platform whose answers to reads of claims take their time.
+// slowReads is a platform that delays its responses to reads of claims.
 type slowReads struct {
 	objects.Store
 	delay atomic.Int64
@@ -27,11 +27,11 @@
 	return o, err
 }
 
-// A caller files under its own key at node a, has no answer yet, and files at
-// node b as well. While b waits for the platform, which is slow, to tell whose
-// key it is, a drains and hands the finished filing over to b. The platform
-// then names a home that b has become. The caller must get the one filing's
-// answer; with the fate dropped on arrival b filed a second time.
+// A caller files at node a with its own key and then files at node b as well. While b
+// waits for the slow platform to report the owner of the key, a drains and hands the
+// finished filing over to b. The platform then names an owner whose keys b has taken
+// over. The caller must get the answer of the single filing. When b dropped the
+// inherited fate on arrival, it filed a second time.
 func TestHandOverDuringAnInquiryFilesOnce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		store := &slowReads{Store: f.store}
@@ -55,7 +55,7 @@
 	})
 }
 
-// lateCommit is a successor whose commit is under way for a while.
+// lateCommit is a successor that receives the commit with a delay.
 type lateCommit struct{ *successor }
 
 func (s *lateCommit) Commit(ctx context.Context, request atmostonce.CommitRequest) error {
@@ -63,10 +63,10 @@
 	return s.successor.Commit(ctx, request)
 }
 
-// A node has sent its commit, which is still on its way, and passes a call on
-// to its successor. The successor doesn't know yet that it is the home and
-// passes the call back, and so on until the bound on such hops is reached. The
-// key's fate is not lost with that: the call must wait for the commit.
+// A node has sent its commit, which is still on its way, and forwards a call to its
+// successor. The successor does not know yet that it is the owner and forwards the call
+// back, and so on until the limit on such hops is reached, and the fate of the key is
+// reported as lost. The call must wait for the commit instead.
 func TestCallOvertakesTheCommit(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(filingProfiles)
@@ -86,7 +86,7 @@
 			f.c.Check(got.outcome, qt.Equals, "complete", qt.Commentf(got.reason))
 			f.c.Check(got.body, qt.Equals, "answer to op")
 		}
-		f.c.Check(time.Since(began) < homeWait, qt.IsTrue, qt.Commentf("run once the commit was there"))
+		f.c.Check(time.Since(began) < homeWait, qt.IsTrue, qt.Commentf("the calls must run as soon as the commit has arrived"))
 		f.c.Check(<-handed, qt.IsNil)
 		f.c.Check(f.runs.of("filing", "op"), qt.Equals, 1)
 	})
--- a/node/handoverserver.go
+++ b/node/handoverserver.go
@@ -15,15 +15,15 @@
 	"pollengauge.dev/observe"
 )
 
-// handoverPath is where a peer listener takes a hand-over of keys, as net/rpc
-// over an HTTP connection.
+// handoverPath is the path on which a peer listener accepts a hand-over of keys, as
+// net/rpc over an HTTP connection.
 const handoverPath = "/.pollengauge/handover"
 
-// handoverService is the name under which net/rpc finds handoverServer.
+// handoverService is the name under which handoverServer is registered with net/rpc.
 const handoverService = "HandOver"
 
-// HandoverReply brings a successor's refusal back as it is; net/rpc would make
-// a string of an error.
+// HandoverReply carries a successor's refusal as a typed error. net/rpc would reduce a
+// returned error to its text.
 type HandoverReply struct{ Refused *atmostonce.InheritError }
 
 func (r *HandoverReply) of(err error) error {
@@ -36,10 +36,10 @@
 	return err
 }
 
-// handoverServer takes the keys of a draining node over.
+// handoverServer receives the keys of a draining node.
 type handoverServer struct{ node *Node }
 
-// Stage is called by net/rpc.
+// Stage is called by net/rpc. It stores one chunk of the keys until the commit.
 func (s *handoverServer) Stage(chunk atmostonce.Chunk, reply *HandoverReply) error {
 	if err := s.node.knownMember(chunk.From); err != nil {
 		return err
@@ -47,8 +47,8 @@
 	return reply.of(s.node.keys.Stage(context.Background(), chunk))
 }
 
-// Commit is called by net/rpc. Once it succeeds this node tells the members
-// that it is the home of the inherited keys.
+// Commit is called by net/rpc. Once it succeeds, this node announces to the members
+// that it owns the inherited keys.
 func (s *handoverServer) Commit(request atmostonce.CommitRequest, reply *HandoverReply) error {
 	err := s.node.keys.Commit(context.Background(), request)
 	if err == nil {
@@ -63,7 +63,7 @@
 	return reply.of(s.node.keys.Abort(context.Background(), request))
 }
 
-// newHandoverServer returns the handler behind handoverPath.
+// newHandoverServer returns the RPC server behind handoverPath.
 func newHandoverServer(n *Node) (*rpc.Server, error) {
 	server := rpc.NewServer()
 	if err := server.RegisterName(handoverService, &handoverServer{node: n}); err != nil {
@@ -73,17 +73,16 @@
 }
 
 const (
-	// handoverConn bounds one connection of a hand-over. It carries one call,
-	// which the sender gives handoverStep.
+	// handoverConn bounds the lifetime of one hand-over connection. The connection
+	// carries one call, for which the sender allows handoverStep.
 	handoverConn = 2 * handoverStep
-	// maxHandoverBytes is room for one chunk with one answer of the greatest
-	// size.
+	// maxHandoverBytes is enough for one chunk with one answer of the largest size.
 	maxHandoverBytes = 8 << 20
 )
 
-// serveHandover switches a connection to net/rpc, within bounds. net/rpc has
-// none of its own: a stranger could hold the connection for ever, or make the
-// decoder collect a gigabyte by one length prefix.
+// serveHandover switches a connection to net/rpc and bounds its lifetime and size.
+// net/rpc has no such bounds: an unknown client could hold the connection forever, or
+// make the decoder allocate a gigabyte with a single length prefix.
 func (n *Node) serveHandover(w http.ResponseWriter, r *http.Request) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -100,7 +99,7 @@
 	n.handover.ServeConn(&boundedConn{Conn: conn, left: maxHandoverBytes})
 }
 
-// boundedConn ends after so many bytes read.
+// boundedConn is a connection from which at most left bytes can be read.
 type boundedConn struct {
 	net.Conn
 	left int
@@ -116,13 +115,13 @@
 	return count, err
 }
 
-// knownMember refuses keys from a node that this one has not heard of as a
-// member of its service.
+// knownMember rejects keys from a sender that is no known member of this node's
+// service.
 //
-// The failure: anything that reaches the peer port hands over forged fates,
-// and callers get forged answers. Where TLS is off this only stops what has
-// not joined the gossip; a new member not heard of yet is asked to try again
-// by the refusal.
+// Without this check, any client that reaches the peer port could hand over forged
+// fates, and callers would get forged answers. Without TLS the check only stops clients
+// that have not joined the gossip. A new member that is not known here yet can retry
+// after the refusal.
 func (n *Node) knownMember(from atmostonce.Incarnation) error {
 	member, _, ok := n.gossip.Lookup(string(from))
 	if ok && member.Service == n.settings.Service && string(from) != n.id {
@@ -133,7 +132,8 @@
 	return err
 }
 
-// tellInherited spreads which incarnations' keys this node runs.
+// tellInherited announces to the members which incarnations' keys this node has
+// inherited.
 func (n *Node) tellInherited() {
 	var inherits []string
 	for _, home := range n.keys.Homes() {
--- a/node/ids_test.go
+++ b/node/ids_test.go
@@ -10,14 +10,15 @@
 	"pollengauge.dev/call"
 )
 
-// A call far down the graph has the id of each request above it in its own. Its
-// node and the next refused it, and all requests above failed. It has to run
-// under its own id, and be found by it; what is kept of it is short.
+// The request id of a call deep in the call graph contains the ids of all requests
+// upstream of it. Nodes used to refuse such long ids, and all requests upstream failed.
+// The call must run under its own id and must be found by it; records only store its
+// short form.
 func TestCallsFarDownTheGraphAreServed(t *testing.T) {
 	inFleet(t, func(f *fleet) {
-		told := &events{}
-		front := f.addRouted("front", "front", 10, echo, logged(f.c, told))
-		desk := f.addRouted("desk", "desk", 10, echo, logged(f.c, told))
+		emitted := &events{}
+		front := f.addRouted("front", "front", 10, echo, logged(f.c, emitted))
+		desk := f.addRouted("desk", "desk", 10, echo, logged(f.c, emitted))
 		f.settle()
 		id := strings.Repeat("r", call.MaxIDLength-call.MaxDepth*17) + strings.Repeat("/0123456789abcdef", call.MaxDepth)
 		f.c.Assert(id, qt.HasLen, call.MaxIDLength)
@@ -33,6 +34,6 @@
 				f.c.Check(len(hop.RequestID) <= call.KeptIDLength, qt.IsTrue)
 			}
 		}
-		f.c.Check(strings.Contains(told.text.String(), id[:call.KeptIDLength+1]), qt.IsFalse)
+		f.c.Check(strings.Contains(emitted.text.String(), id[:call.KeptIDLength+1]), qt.IsFalse)
 	})
 }
--- a/node/keyed.go
+++ b/node/keyed.go
@@ -15,8 +15,8 @@
 	"pollengauge.dev/observe"
 )
 
-// runKeyed runs a call that must not run twice. A call that came without a
-// key gets one, which the answer names.
+// runKeyed runs a call under its idempotency key, so that it runs at most once. A call
+// without a key gets a new one. The answer names the key in a header.
 func (n *Node) runKeyed(ctx context.Context, req *request) *answer {
 	if req.key == "" {
 		req.key = n.mint()
@@ -30,9 +30,10 @@
 	return a
 }
 
-// begin presents the key. Waiting for another presentation is bounded by the
-// deadline; while the table is on its way to a successor a new key waits for
-// that too, rather than being refused.
+// begin presents the key to the key table. It waits for a concurrent presentation of
+// the same key until the deadline at most. While the table is handed over to a
+// successor, a new key waits for the end of the hand-over, for homeWait at most,
+// instead of being refused at once.
 func (n *Node) begin(ctx context.Context, req *request) (atmostonce.Verdict, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.deadline)
 	defer cancel()
@@ -76,8 +77,8 @@
 	return p
 }
 
-// fingerprint tells one request from another under the same key. Without it
-// two callers who bring the same key would get each other's answers.
+// fingerprint distinguishes requests that carry the same key. Without it, two callers
+// that use the same key would get each other's answers.
 func fingerprint(req *request) uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{req.method, req.url.RequestURI(), identityOf(req)} {
@@ -88,9 +89,9 @@
 	return max(digest.Sum64(), 1)
 }
 
-// identityOf names the caller for the fingerprint. Credentials may be renewed
-// between two presentations of a key, so a profile whose callers have a stable
-// name in a header of their own should say which.
+// identityOf returns the caller's identity for the fingerprint. A caller may renew its
+// credentials between two presentations of a key. A profile whose callers send a stable
+// name in a header of their own should therefore set CallerHeader to that header.
 func identityOf(req *request) string {
 	if name := req.profile.CallerHeader; name != "" {
 		return req.header.Get(name)
@@ -113,9 +114,11 @@
 // maxAnswerStatus is the highest status code that net/http writes.
 const maxAnswerStatus = 999
 
-// replay gives the stored answer of a key that ran before. It may have come
-// from another node or the platform: what can't be written as an answer is not
-// held, and nothing of it may decide how the connection is framed.
+// replay returns the stored answer of a key that has already run. The answer may come
+// from another node or from the platform, so it isn't trusted: a status code that
+// net/http can't write is reported as an answer that is not held, and hop-by-hop
+// headers and a wrong Content-Length are removed, so that the stored answer can't
+// decide how the connection is framed.
 func (n *Node) replay(stored atmostonce.Answer) *answer {
 	if stored.Status < http.StatusOK || stored.Status > maxAnswerStatus {
 		return n.refuse(call.Unknown, call.ReasonAnswerNotHeld, 0)
@@ -138,11 +141,12 @@
 	return a
 }
 
-// runAsHome runs a key whose home this node is.
+// runAsHome runs a call whose key this node owns.
 //
-// The run is cut loose from its caller once it may have been dispatched: a
-// caller that gives up and asks again must find the answer, not a half-done
-// filing. Before that, a caller that has gone costs nothing and is dropped.
+// Once the call may have been dispatched, the run is detached from its caller: a caller
+// that gives up and retries must find the answer of the first run, not a filing that
+// was stopped halfway. Before that point nothing has been done for the call, and it is
+// dropped if its caller has gone.
 func (n *Node) runAsHome(ctx context.Context, req *request, run *atmostonce.Run) *answer {
 	defer run.Close()
 	if ctx.Err() != nil {
@@ -172,18 +176,19 @@
 		cancel()
 		return a
 	}
-	// An answer too large to keep is still being streamed.
+	// The answer is too large to store and is still being streamed.
 	a.body = &cancelBody{readCloser: a.body, cancel: cancel}
 	return a
 }
 
-// settle records how a run ended, before its caller is told.
+// settle records the outcome of a run in the key table before the caller learns of it.
 func (n *Node) settle(run *atmostonce.Run, a *answer) *answer {
 	switch a.report.Outcome {
 	case call.NotRun:
 		if err := run.NotRun(); err != nil {
-			// The table can't take the key back, so a later presentation may
-			// be told anything but not-run.
+			// The table can't release the key, for example because a hand-over has
+			// taken the claim back. Another presentation may run the key, so the caller
+			// must not be told not-run.
 			n.keyError(err)
 			return n.refuse(call.Unknown, a.report.Reason, 0)
 		}
@@ -195,7 +200,7 @@
 	return n.keep(run, a)
 }
 
-// keep reads the whole answer, as far as its bound, and stores it.
+// keep reads the answer, up to MaxAnswerBytes, and stores it in the key table.
 func (n *Node) keep(run *atmostonce.Run, a *answer) *answer {
 	held, err := readBody(a.body, -1, n.settings.MaxAnswerBytes)
 	if err != nil {
@@ -204,8 +209,8 @@
 		return n.refuse(call.Unknown, call.ReasonTruncated, 0)
 	}
 	if !held.whole() {
-		// Too large to keep: the table remembers that it is done, and a later
-		// presenter is told that the answer is not held.
+		// The answer is too large to store. The table records only that the call has
+		// completed; a later presentation is told that the answer is not held.
 		n.keyError(run.DoneUnheld())
 		body, _ := held.open()
 		a.body = &joinedBody{Reader: body, source: a.body}
@@ -220,14 +225,15 @@
 	return a
 }
 
-// keyError logs a run that moved in a way its state does not allow.
+// keyError logs the error of a state change that the run's or the table's state does
+// not allow.
 func (n *Node) keyError(err error) {
 	if err != nil {
 		n.log.Emit(observe.KeyState, observe.Err(err))
 	}
 }
 
-// runChildKeyed runs a keyed call below a visit at most once.
+// runChildKeyed runs a keyed call that the upstream makes during a visit, at most once.
 func (n *Node) runChildKeyed(ctx context.Context, req *request, v *visit, childKey string) *answer {
 	p := n.presentation(req)
 	p.Key = childKey
--- a/node/keyed_test.go
+++ b/node/keyed_test.go
@@ -42,8 +42,9 @@
 	return f.ask(n, http.MethodPost, "/file", "X-Operation", "op", "Idempotency-Key", key)
 }
 
-// A caller presents its key at three nodes at once, and again later: all get
-// the one run's whole answer, two by waiting for it and one from the record.
+// A caller presents its key at three nodes at once, and again later. All get the
+// complete answer of the single run: two wait for it, and the later one gets the stored
+// answer.
 func TestRetriesAtOtherNodesGetTheFirstAnswer(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, c := f.threeFilers(fileSlowly)
@@ -62,9 +63,9 @@
 	})
 }
 
-// The home of a key is lost while its filing runs, and the caller asks
-// another node. That node can't know whether the filing ran: the caller is
-// told unknown, and the filing is not run again, then or later.
+// The owner of a key is lost while its filing runs, and the caller retries at another
+// node. That node can't know whether the filing ran. The caller must get the outcome
+// unknown, and the filing must not run again, neither then nor later.
 func TestLostHomeLeavesTheFateUnknown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, c := f.threeFilers(fileSlowly)
@@ -86,8 +87,8 @@
 	})
 }
 
-// A caller brings its own key and presents it at two nodes while the
-// platform is up: one object in the platform decides who may run it.
+// A caller presents its own key at several nodes while the platform is available. A
+// single object in the platform must decide which node may run it.
 func TestBroughtKeyRunsOnce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, c := f.threeFilers(fileSlowly)
@@ -104,8 +105,8 @@
 	})
 }
 
-// The same key comes with another request. Its caller must not get the answer
-// to the first one; it is refused.
+// A key is presented with a different request than before. Its caller must not get the
+// answer to the first request; the call must be refused.
 func TestKeyOfAnotherRequestIsRefused(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, _, _ := f.threeFilers(fileSlowly)
@@ -117,9 +118,9 @@
 	})
 }
 
-// A node drains and exits while a filing runs on it and another caller's key
-// is known to it. The filing ends in full, no caller is cut off, and the keys
-// answer from the successor once the node is gone.
+// A node drains and exits while a filing runs on it and its table stores the answer to
+// another key. The filing must complete, no caller may lose its connection, and the
+// successor must answer for the keys once the node is gone.
 func TestDrainCutsOffNothingAndHandsKeysOver(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, c := f.threeFilers(fileSlowly)
@@ -144,8 +145,8 @@
 	})
 }
 
-// A node begins to drain. Within 2 s no other node sends it new work, and its
-// own edge still serves callers, through the others.
+// A node begins to drain. Within 2 s the other nodes must stop sending it new work,
+// while its own edge still serves callers through the other nodes.
 func TestDrainingNodeGetsNoNewWork(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, c := f.threeFilers(answerOK)
@@ -168,9 +169,9 @@
 	})
 }
 
-// The platform is down from before the nodes start. They serve all the same,
-// minted keys work, and only a key that the caller brought is refused, since
-// nothing could keep two nodes from running it.
+// The platform is unavailable before the nodes start. They must serve calls all the
+// same, and minted keys must work. Only a key that the caller brought is refused,
+// because nothing could prevent two nodes from running it.
 func TestServesWithThePlatformDown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		down := standin.NewMemory()
@@ -187,9 +188,9 @@
 	})
 }
 
-// A key is claimed at a node, and before its call is refused the table is
-// sealed for a hand-over and the claim taken back. Another presentation may
-// run the key at the successor, so this caller may not be told not-run.
+// A key is claimed at a node. Before its call is refused, the table is sealed for a
+// hand-over, which takes the claim back. Another presentation may run the key at the
+// successor, so this caller must not be told not-run.
 func TestRefusalAfterTheClaimWasTakenBack(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, _, _ := f.threeFilers(answerOK)
@@ -205,11 +206,11 @@
 	})
 }
 
-// A VM is lost with a filing in flight; its upstream's run was on another
-// node. The caller never asks again. A second caller had its filing run on the
-// lost VM itself, asks again at a third node and is told unknown. The lost key
-// table held both; an operator must still find both on the nodes that remain,
-// once each however often a caller asks, and not those that ended well.
+// A VM is lost with filings in flight. Some of them ran at the upstreams of other
+// nodes, and their callers have not retried. The others ran on the lost VM itself;
+// their callers retry at a third node and get the outcome unknown. The lost key table
+// contained all of them. An operator must still find all of them on the remaining
+// nodes, each once however often a caller retries, and none that completed.
 func TestFilingsOfALostHomeStayListed(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, c := f.threeFilers(fileSlowly)
--- a/node/keyhome.go
+++ b/node/keyhome.go
@@ -13,27 +13,27 @@
 	"pollengauge.dev/observe"
 )
 
-// maxHomeHops bounds how often a call is passed on in search of its key's
-// home: from the node that got it to the home, and along successors that took
-// the home's keys over.
+// maxHomeHops bounds how often a call is forwarded in search of its key's owner: from
+// the node that received it to the owner, and on to successors that have taken over the
+// owner's keys.
 const maxHomeHops = 4
 
 const (
-	// homeWait bounds how long a call waits to learn who has the keys of a node
-	// that has left or only just started, and homePause is the time between two
-	// looks. The news takes a few rounds of gossip.
+	// homeWait bounds how long a call waits to learn which member owns the keys of a
+	// node that has left or has only just started. homePause is the time between two
+	// checks. The membership update takes a few rounds of gossip.
 	homeWait  = 2 * time.Second
 	homePause = 50 * time.Millisecond
 )
 
-// forwardHome passes the call on to the home of its key. Whatever happens on
-// the way, the answer is never not-run unless the home says so: an earlier
-// presentation may have run the key there.
+// forwardHome forwards the call to the owner of its key. Whatever fails on the way, the
+// answer is never not-run unless the owner reports it: an earlier presentation may have
+// run the key there.
 //
-// The failure: a node drains, hands its keys over and closes. Until the news
-// of its successor has spread, others would still pass calls on to it or take
-// its keys for lost, and callers would be left without a fate by a graceful
-// exit. A call that provably never left this node is therefore passed on again.
+// A node that drains hands its keys over and exits. Until gossip has spread its
+// successor, other nodes would still forward calls to it or consider its keys lost, and
+// a graceful exit would leave callers with an unknown outcome. A call that provably
+// never left this node is therefore forwarded again.
 func (n *Node) forwardHome(ctx context.Context, req *request, home string) *answer {
 	until := n.now().Add(homeWait)
 	if req.deadline.Before(until) {
@@ -41,7 +41,7 @@
 	}
 	for {
 		if slices.Contains(n.keys.Homes(), atmostonce.Incarnation(home)) {
-			// This node has taken the keys over since the table was asked.
+			// This node has taken over the keys since the key table was asked.
 			return n.runKeyed(ctx, req)
 		}
 		last := n.now().After(until)
@@ -55,8 +55,9 @@
 	}
 }
 
-// tryHome passes the call on once. It returns nil if no member is known to
-// have the home's keys yet, unless this is the last try.
+// tryHome forwards the call once. Unless this is the last try, it returns nil while no
+// known member owns the keys of home yet, or while this node is likely to take them
+// over.
 func (n *Node) tryHome(ctx context.Context, req *request, home string, last bool) *answer {
 	member, ok := n.findHome(home)
 	switch {
@@ -73,7 +74,8 @@
 	return a
 }
 
-// homeUnreached answers for a home that could not be asked in time.
+// homeUnreached answers for an owner that could not be reached in time. a is the answer
+// of the last try, nil if there is none.
 func (n *Node) homeUnreached(ctx context.Context, req *request, home string, a *answer) *answer {
 	if a == nil {
 		a = n.recall(ctx, req, home)
@@ -85,26 +87,26 @@
 	return a
 }
 
-// maySoonBeKnown reports whether news of a home may still be on its way: it
-// went gracefully, so that another member has its keys, or it has started just
-// now and has not been heard of.
+// maySoonBeKnown reports whether a membership update about home may still be on its
+// way: either home left gracefully and another member has its keys, or it has only just
+// started and is not known here yet.
 func (n *Node) maySoonBeKnown(home string) bool {
 	_, state, ok := n.gossip.Lookup(home)
 	return !ok || state == membership.Left
 }
 
-// mayInherit reports whether this node is likely to become the home of the
-// call's key at any moment: the call was passed on to it, and it isn't the home.
+// mayInherit reports whether this node may become the owner of the call's key at any
+// moment: another node forwarded the call here, and this node does not own the key.
 //
-// The failure: a node that hands its keys over passes calls on to its
-// successor from before the commit is sent. One that overtook the commit was
-// passed back, and forth, until its hops were used up, and its caller was told
-// that the key's home is gone. Waiting at the successor is enough: whoever
-// passes a call on to a node takes it for the home or is making it one.
+// A node that hands its keys over forwards calls to its successor even before the
+// commit is sent. A call that overtook the commit used to be forwarded back and forth
+// until its hops were used up, and its caller was told that the key's home is gone. It
+// is enough to wait at the successor: a node only forwards a call to the member that it
+// considers the owner or that it is making the owner.
 func (n *Node) mayInherit(req *request) bool { return req.homeHops > 0 && n.keys.Active() }
 
-// findHome returns the living member that is home for an incarnation: itself,
-// or whoever took its keys over.
+// findHome returns the living member that owns the keys of an incarnation: that
+// incarnation itself, or the member that took over its keys.
 func (n *Node) findHome(id string) (membership.Member, bool) {
 	member, state, ok := n.gossip.Lookup(id)
 	if ok && (state == membership.Alive || state == membership.Suspect) {
@@ -118,7 +120,7 @@
 	return membership.Member{}, false
 }
 
-// recall asks the platform's record for the fate of a key whose home is gone.
+// recall reads the fate of a key whose owner is gone from the platform's claim store.
 func (n *Node) recall(ctx context.Context, req *request, home string) *answer {
 	verdict, err := n.keys.Recall(ctx, req.key)
 	if err == nil {
--- a/node/lives_fuzz_test.go
+++ b/node/lives_fuzz_test.go
@@ -7,17 +7,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// wordsOfLives is what was heard of the upstreams under one name, as the reference
-// for announcedInstances: lives are numbered in the order of their starts.
+// wordsOfLives is the reference for announcedInstances: the state that follows from the
+// announcements and farewells received for one upstream name. Incarnations are numbered
+// in the order of their starts.
 type wordsOfLives struct {
-	// newest is the latest life that was heard, 0 for none.
+	// newest is the latest incarnation of which a message was received, 0 for none.
 	newest   int
 	sequence uint64
 	left     bool
 	heard    time.Time
 }
 
-// announced tells whether an announcement has to be taken, and notes it.
+// announced reports whether an announcement has to be accepted, and records it if so.
 func (w *wordsOfLives) announced(life int, sequence uint64, now time.Time) bool {
 	silent := now.Sub(w.heard) >= lifeSilence
 	switch {
@@ -30,7 +31,7 @@
 	return true
 }
 
-// farewell tells whether a farewell has to be taken, and notes it.
+// farewell reports whether a farewell has to be accepted, and records it if so.
 func (w *wordsOfLives) farewell(life int, now time.Time) bool {
 	if life < w.newest {
 		return false
@@ -39,8 +40,8 @@
 	return true
 }
 
-// The steps of a drawn script, each of two bytes: what happens, and which life,
-// sequence or wait.
+// The kinds of steps in a random script. Each step has two bytes: the kind and the name,
+// and then the incarnation and the sequence number, or the duration of a wait.
 const (
 	wordAnnounced = iota
 	wordFarewell
@@ -62,33 +63,35 @@
 		switch kind {
 		case wordAnnounced:
 			taken := real.fresh(Announcement{Instance: name, Born: born, Sequence: sequence}, now)
-			c.Assert(taken, qt.Equals, want[name].announced(life, sequence, now), qt.Commentf("step %d: life %d, sequence %d", step, life, sequence))
+			c.Assert(taken, qt.Equals, want[name].announced(life, sequence, now), qt.Commentf("step %d: incarnation %d, sequence %d", step, life, sequence))
 		case wordFarewell:
 			taken := real.left(name, born, now)
-			c.Assert(taken, qt.Equals, want[name].farewell(life, now), qt.Commentf("step %d: farewell of life %d", step, life))
+			c.Assert(taken, qt.Equals, want[name].farewell(life, now), qt.Commentf("step %d: farewell of incarnation %d", step, life))
 		case wordWait:
 			now = now.Add(time.Duration(script[step+1]) * lifeSilence / 8)
 		}
 	}
 }
 
-// livesScripts announce two lives in order and late, with farewells and waits.
+// livesScripts announce incarnations in order and late, with farewells and waits in
+// between.
 var livesScripts = [][]byte{
 	{wordAnnounced, 0, wordAnnounced, 4, wordAnnounced, 0, wordAnnounced, 1, wordFarewell, 0, wordAnnounced, 4, wordFarewell, 1, wordAnnounced, 9},
 	{wordAnnounced, 1, wordWait, 7, wordAnnounced, 0, wordWait, 1, wordAnnounced, 0, wordAnnounced, 4},
 	{wordAnnounced + wordCount, 2, wordAnnounced, 0, wordFarewell + wordCount, 2, wordFarewell, 2, wordAnnounced, 1, wordAnnounced + wordCount, 3},
 }
 
-// Upstreams start again under the name that they had, and words of their earlier
-// lives arrive late, repeatedly or after a silence. A life that left, or that a later
-// one has followed, must not come back, and a later one must be taken at once.
+// Upstreams restart under the same name, and messages of earlier incarnations arrive
+// late, repeatedly or after a silence. An incarnation that has left, or that a later
+// one has replaced, must not come back, and a later incarnation must be accepted at
+// once.
 func TestLivesAgreeWithAReference(t *testing.T) {
 	for _, script := range livesScripts {
 		playLives(t, script)
 	}
 }
 
-// FuzzLives is the same for drawn scripts.
+// FuzzLives makes the same comparison for random scripts.
 func FuzzLives(f *testing.F) {
 	for _, script := range livesScripts {
 		f.Add(script)
--- a/node/members.go
+++ b/node/members.go
@@ -14,7 +14,7 @@
 	"pollengauge.dev/routing"
 )
 
-// startMembership joins the gossip. The configuration travels with it.
+// startMembership joins the gossip, which also distributes the configuration.
 func (n *Node) startMembership(ctx context.Context) error {
 	cfg := membership.Config{
 		Self: membership.Member{
@@ -30,7 +30,8 @@
 		Dial:     func(ctx context.Context, addr string) (net.Conn, error) { return n.between.Dial(ctx, addr) },
 		Seeds:    n.seeds,
 		Delegate: &gossipDelegate{node: n},
-		// What one node has in force, the others must be able to fetch.
+		// Other nodes must be able to fetch any configuration that one node has in
+		// force.
 		MaxPayloadBytes: config.MaxHeld,
 	}
 	if n.spoken() {
@@ -52,11 +53,12 @@
 	return gossip.Start(ctx)
 }
 
-// slowStartInDialect is how long a node that has come takes to get its full
-// share. Upstreams there are slow for three seconds after their start, and one
-// whose node alone was restarted is not slow at all. The routing's default of
-// 10 s sends most of a zone's calls to other zones after each restart: while the
-// nodes of a service restart in turn, the rest had to carry more than they can.
+// slowStartInDialect is how long a new node takes to get its full share of calls when a
+// dialect is used. Upstreams there are slow for three seconds after their start, and an
+// upstream whose node alone was restarted is not slow at all. With the routing's
+// default of 10 s, most of a zone's calls go to other zones after each restart: while
+// the nodes of a service restarted in turn, the remaining ones got more calls than they
+// can handle.
 const slowStartInDialect = 3 * time.Second
 
 func (n *Node) slowStart() time.Duration {
@@ -66,40 +68,43 @@
 	return routing.DefaultSlowStart
 }
 
-// gossipAddr is where other nodes reach this node's membership.
+// gossipAddr returns the address at which other nodes reach this node's gossip
+// listener.
 func (n *Node) gossipAddr() string {
 	return cmp.Or(n.settings.AdvertiseGossip, n.Addr(GossipListener))
 }
 
-// healInDialect is how often each node tries a member that is gone. Where nodes
-// are restarted at their addresses while the platform's store is away, only the
-// others can bring them back, and each second without them counts.
+// healInDialect is the time between two attempts to reach a member that is gone when a
+// dialect is used. If nodes restart at their addresses while the platform's store is
+// unavailable, only the other members can bring them back, and every second without
+// them matters.
 const healInDialect = time.Second
 
-// refreshPause bounds how often the targets are refreshed.
+// refreshPause is the minimum time between two refreshes of the targets.
 //
-// The failure: many members come and go at once, each change costs work that
-// grows with all members, and it was done before a peer got its answer. With
-// some hundred members the answers came after the peers' timeouts, who took
-// this node for dead, which made more changes. One change alone is still taken
-// in at once; in a storm the work is bounded, and a target that has gone is
-// tried for so much longer at most.
+// The cost of a refresh grows with the number of members, and the refresh used to run
+// for each change, before the peer got its response. When many of some hundred members
+// came and went at once, the responses arrived after the peers' timeouts. The peers
+// then considered this node dead, which caused more changes. A single change is still
+// applied at once. In a burst of changes the work is bounded, and a target that has
+// gone is tried for at most this much longer.
 const refreshPause = 100 * time.Millisecond
 
-// reportPause bounds how often the log is told of members: what comes and
-// goes in between is left out.
+// reportPause is the minimum time between two reports of membership changes in the log.
+// A member that comes and goes between two reports is not logged.
 const reportPause = time.Second
 
-// joinTime is how long a node that has just started takes calls from outside
-// only. The others learn of its upstream, and send it calls, once it has had
-// the time to learn of them.
+// joinTime is how long a node that has just started only takes calls from outside. It
+// announces its upstream to the other nodes, which then send it calls, after it has had
+// this time to learn of them.
 //
-// The failure: a node that had no targets yet was sent a call whose upstream
-// called out, and the call ended with no-target: each start of a node cost the
-// callers of other nodes some requests.
+// A node that had no targets yet used to receive calls whose upstream made calls
+// itself. Those ended with no-target, so each start of a node failed some requests of
+// callers at other nodes.
 const joinTime = time.Second
 
-// announceSelf tells the members that this node has an upstream.
+// announceSelf announces to the members that this node has an upstream with this many
+// slots.
 func (n *Node) announceSelf(slots int) {
 	n.ownSlots.Store(int64(slots))
 	n.refreshTargets()
@@ -108,7 +113,8 @@
 	}
 }
 
-// tellSlotsOnceJoined lets the others send calls to this node.
+// tellSlotsOnceJoined waits until this node has joined and then announces its slots, so
+// that other nodes send it calls.
 func (n *Node) tellSlotsOnceJoined(ctx context.Context) {
 	if n.awaitJoined(ctx) {
 		n.joined.Store(true)
@@ -118,12 +124,13 @@
 	}
 }
 
-// joinPoll is how often a node looks whether it has joined.
+// joinPoll is the time between two checks whether this node has joined.
 const joinPoll = 50 * time.Millisecond
 
-// awaitJoined waits until this node may be sent calls: for joinTime, or, where a
-// dialect is spoken, until it knows a configuration and other members, and has
-// not learnt of more since the last look.
+// awaitJoined waits until other nodes may send calls to this node, and returns false if
+// ctx ends first. It waits for joinTime. With a dialect it returns earlier, as soon as
+// this node has a configuration and knows other members, and the number of members has
+// not changed since the last check.
 func (n *Node) awaitJoined(ctx context.Context) bool {
 	known := 0
 	for until := n.now().Add(joinTime); n.now().Before(until); {
@@ -146,7 +153,8 @@
 	}
 }
 
-// tellWorkTimes lets the members know how quick the upstream here is.
+// tellWorkTimes announces to the members how fast the local upstream is, if that has
+// changed.
 func (n *Node) tellWorkTimes() {
 	times, news := n.work.News(n.now())
 	if !news {
@@ -164,7 +172,7 @@
 	}
 }
 
-// workTimesOf translates what a member told.
+// workTimesOf converts the work times that a member announced.
 func workTimesOf(m *membership.Member) (times routing.WorkTimes) {
 	for i, one := range m.WorkTimes[:min(len(m.WorkTimes), len(times))] {
 		times[i] = routing.WorkTime(one)
@@ -172,11 +180,11 @@
 	return times
 }
 
-// refreshTargets gives routing the members that have an upstream. It runs on
-// every change of the membership, and changes come from several goroutines:
-// without the lock one that read the members earlier could set its targets
-// later, and routing would keep a member that has gone, or miss one that has
-// come, until the next change.
+// refreshTargets passes the members that have an upstream to the router. It runs on
+// every membership change, and changes come from several goroutines. Without the lock,
+// a goroutine that read the members earlier could set its targets later. The router
+// would then keep a member that has gone, or miss one that has come, until the next
+// change.
 func (n *Node) refreshTargets() {
 	n.mergeHeld(n.gossip.Members())
 	n.targetsMu.Lock()
@@ -204,8 +212,8 @@
 			Local:     m.ID == n.id,
 		})
 	}
-	// A suspicion and its refutation change no target, and are the most of
-	// what comes in a storm.
+	// A suspicion and its refutation don't change any target. In a burst of changes
+	// they are the majority.
 	if slices.Equal(targets, n.targets) {
 		return
 	}
--- a/node/mint.go
+++ b/node/mint.go
@@ -9,8 +9,8 @@
 	"pollengauge.dev/call"
 )
 
-// serveMint gives a caller a key to send its request under. The key names
-// this node as its home.
+// serveMint returns a new key to a caller, which then sends its request with it. The
+// key names this node as its owner.
 func (n *Node) serveMint(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		w.Header().Set("Allow", http.MethodPost)
@@ -22,8 +22,8 @@
 	_ = json.NewEncoder(w).Encode(KeyResponse{Key: n.mint()})
 }
 
-// mint makes a key. A draining node mints for another member, because its own
-// table is about to move.
+// mint returns a new key. A draining node mints keys that another member owns, because
+// its own table is about to be handed over.
 func (n *Node) mint() string {
 	if n.draining.Load() {
 		if peer, ok := n.otherMember(); ok {
@@ -33,9 +33,9 @@
 	return n.keys.Mint().String()
 }
 
-// childKey names a call that the upstream makes under a key of its own. It is
-// bound to this node's incarnation, so that an upstream which repeats the
-// call, or a repeated parent, can't run it twice.
+// childKey returns the key of a call that the upstream makes with a key of its own. The
+// returned key is bound to this node's incarnation, so that the call can't run twice if
+// the upstream repeats it or the parent call is repeated.
 func (n *Node) childKey(v *visit, service, own string) string {
 	if own == "" || !call.ValidToken(own, call.MaxKeyLength) {
 		return ""
--- a/node/openclaims.go
+++ b/node/openclaims.go
@@ -11,33 +11,35 @@
 )
 
 const (
-	// maxClaimPart bounds the digits by which a list of claims is divided, and
-	// claimDigits are what they can be.
+	// maxClaimPart bounds the number of digits in a part, the prefix of claim names by
+	// which a listing is divided. claimDigits are the digits that a part may contain.
 	maxClaimPart = 4
 	claimDigits  = "0123456789abcdef"
-	// claimsWait bounds how long a list waits for this node's call budget.
+	// claimsWait bounds how long a listing waits for this node's budget of platform
+	// calls.
 	claimsWait = 4 * time.Second
 )
 
-// NoPlatformError tells that a node has no platform to read from.
+// NoPlatformError reports that the node is not connected to a platform that it could
+// read claims from.
 type NoPlatformError struct{}
 
 // Error implements error.
 func (*NoPlatformError) Error() string { return "this node has no platform: start it with --platform" }
 
-// ClaimParts returns the parts by which all claims of a service are listed. A
-// key's claim is named by a hash, so the parts are about equal.
+// ClaimParts returns parts that together cover all claims of a service. A claim's name
+// is a hash of its key, so the parts are of about equal size.
 func ClaimParts() []string { return strings.Split(claimDigits, "") }
 
 func validClaimPart(part string) bool {
 	return len(part) <= maxClaimPart && strings.Trim(part, claimDigits) == ""
 }
 
-// openClaims lists the claims of one part whose fate is open and whose home no
-// member has: those of a lost VM. Their keys run nowhere any more.
+// openClaims lists the claims of one part whose fate is open and whose owner is not
+// among the members: the claims of a lost VM. No node runs their keys any more.
 //
-// A claim that says claimed may have ended all the same: how a call ended is
-// written only for profiles that ask for it.
+// A claim in the state "claimed" may still have completed, because the outcome is only
+// written for profiles that request it.
 func (n *Node) openClaims(ctx context.Context, part string) ([]FateView, error) {
 	if n.store == nil {
 		return nil, &NoPlatformError{}
@@ -65,8 +67,8 @@
 	return fates, nil
 }
 
-// listClaims waits for the call budget, if that is soon: an operator rather
-// waits than is refused.
+// listClaims waits for the budget of platform calls if that is available within
+// claimsWait: an operator prefers a short wait to a refusal.
 func (n *Node) listClaims(ctx context.Context, prefix string) ([]objects.Object, error) {
 	giveUp := n.now().Add(claimsWait)
 	for {
--- a/node/openclaims_test.go
+++ b/node/openclaims_test.go
@@ -12,7 +12,7 @@
 	"pollengauge.dev/standin"
 )
 
-// claimsAt lists the open claims that a node reads, in all parts.
+// claimsAt lists the open claims that a node reads from the platform, in all parts.
 func (f *fleet) claimsAt(n *Node) []FateView {
 	var all []FateView
 	for _, part := range ClaimParts() {
@@ -25,10 +25,9 @@
 	return all
 }
 
-// A VM is lost with filings in flight whose callers brought their keys. The
-// claims are still in the platform, and an operator must find those of the lost
-// VM there: not those of nodes that live, not one whose end was recorded, and
-// none that has expired.
+// A VM is lost with filings in flight whose callers brought their keys. An operator
+// must find the lost VM's claims, which are still in the platform, but no claims of
+// living nodes, no claim whose outcome was recorded and no expired claim.
 func TestOpenClaimsOfALostHomeAreListed(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(strings.Replace(filingProfiles, "unrepeatable: true, key: optional, record: none", "unrepeatable: true, key: optional, record: claim", 1))
@@ -56,9 +55,9 @@
 	})
 }
 
-// The list is asked for with nonsense, of a node without a platform, or while
-// the platform is down. Each is told apart by its error, and none looks like an
-// empty list.
+// The list of claims is requested with invalid parts, from a node without a platform,
+// or while the platform is unavailable. Each case must return an error of its own type,
+// and none may look like an empty list.
 func TestOpenClaimsThatCannotBeRead(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		for _, part := range []string{"x", "A", "00000", "1."} {
--- a/node/peer.go
+++ b/node/peer.go
@@ -11,8 +11,9 @@
 	"pollengauge.dev/observe"
 )
 
-// servePeer takes calls from other nodes: those for the local upstream, and
-// those forwarded to this node as the home of their key.
+// servePeer handles requests of other nodes: calls for the local upstream, calls
+// forwarded to this node as the owner of their key, and messages between nodes
+// (hand-over, witness notes, quarantine and quota).
 func (n *Node) servePeer(w http.ResponseWriter, r *http.Request) {
 	n.active.Add(1)
 	defer n.active.Add(-1)
@@ -48,7 +49,7 @@
 	}
 	service := r.Host
 	if service != n.settings.Service && n.spoken() {
-		// The address now belongs to another VM than the sender takes it for.
+		// The address now belongs to another VM than the sender assumes.
 		n.writePeerRefusal(w, c, n.refuse(call.NotRun, call.ReasonOtherInstance, 0))
 		return
 	}
@@ -72,7 +73,7 @@
 	n.answerPeer(w, r, req)
 }
 
-// answerPeer runs another node's call and writes its answer.
+// answerPeer runs another node's call and writes the answer.
 func (n *Node) answerPeer(w http.ResponseWriter, r *http.Request, req *request) {
 	start := n.now()
 	a := n.runPeer(r.Context(), req)
@@ -94,8 +95,9 @@
 	}
 }
 
-// extract reads the context of a call. Only in a dialect do ids grow with the depth
-// of a call; elsewhere an id is one that a root gave, and its records are kept.
+// extract reads the call context from the headers. Only with a dialect do request ids
+// grow with the depth of a call. Without a dialect a request id is the one that a root
+// assigned, and an id that is longer than records store it is rejected.
 func (n *Node) extract(h http.Header) (call.Context, error) {
 	c, err := call.Extract(h)
 	if err == nil && !n.spoken() && len(c.RequestID) > call.KeptIDLength {
@@ -105,15 +107,16 @@
 	return c, err
 }
 
-// writePeerRefusal tells another node of a refusal that needs no decision.
+// writePeerRefusal refuses another node's call before its request is read.
 func (n *Node) writePeerRefusal(w http.ResponseWriter, c call.Context, a *answer) {
 	if err := writeAnswer(w, a); err != nil {
 		n.noteAbort(&request{call: c}, err)
 	}
 }
 
-// profileOf finds the root's profile. One that this node's configuration does
-// not have (the sender's is newer) is replaced by the match here.
+// profileOf returns the profile that the root chose. If this node's configuration does
+// not have it, because the sender's is newer, it returns the profile that matches the
+// request here.
 func (n *Node) profileOf(name string, r *http.Request) *config.Profile {
 	current := n.config.Current()
 	if profile := current.Profile(name); profile != nil {
@@ -132,8 +135,8 @@
 	return n.runLocal(ctx, req)
 }
 
-// homeHopsOf reads how often a call was passed on in search of its key's home,
-// 0 without the header. Anything unreadable is refused: taken for a number it
+// homeHopsOf returns how often a call was forwarded in search of its key's owner, 0 if
+// the header is missing. An invalid value is rejected: if it were read as a number, it
 // would let a call for another service through.
 func homeHopsOf(h http.Header) (int, error) {
 	value := h.Get(call.HeaderHome)
--- a/node/peerroom.go
+++ b/node/peerroom.go
@@ -2,18 +2,19 @@
 
 import "sync"
 
-// peerRoom bounds the calls that this node has at other nodes, each of which
-// takes a connection.
+// peerRoom bounds the concurrent calls from this node to other nodes, each of which
+// needs a connection.
 //
-// Load pattern: a service answers slowly, or one of its nodes does, and the
-// calls to it pile up. Left to the transport, a call beyond its bound waits for
-// a connection, where no gate counts it, no deadline of the queue holds and no
-// other target is tried: with a bound of 48, lookups that ran for 0.35 s took
-// 2.2 s (median, over 8 s of a surge), and their requests came too late. Without
-// a bound the calls at one slow node take all descriptors. So a call that finds
-// no room is given back at once, proved not run, and goes elsewhere.
+// When a service or one of its nodes responds slowly, the calls to it pile up. If the
+// transport bounded them, a call beyond the bound would wait for a connection, where no
+// gate counts it, no queue deadline applies and no other target is tried: with a bound
+// of 48, lookups that ran for 0.35 s took 2.2 s (median, over 8 s of a surge), and
+// their requests were answered too late. Without any bound, the calls to one slow node
+// use up all file descriptors. A call that exceeds the bound is therefore returned at
+// once as provably not run, and can go to another target.
 type peerRoom struct {
-	// each and total are the most calls at one node and at all.
+	// each is the maximum of concurrent calls to one node, total the maximum to all
+	// nodes.
 	each, total int
 
 	mu     sync.Mutex
@@ -25,7 +26,8 @@
 	return &peerRoom{each: each, total: total, byAddr: make(map[string]int)}
 }
 
-// enter takes room for a call to a node, or reports that there is none.
+// enter reserves capacity for a call to the node at addr. It returns false if there is
+// none.
 func (p *peerRoom) enter(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +39,7 @@
 	return true
 }
 
-// leave gives the room back.
+// leave releases the capacity of a call to the node at addr.
 func (p *peerRoom) leave(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/peerroom_test.go
+++ b/node/peerroom_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Room is bounded by node and in all, and given back.
+// Capacity is bounded per node and in total, and is available again after its release.
 func TestPeerRoomIsBounded(t *testing.T) {
 	c := qt.New(t)
 	room := newPeerRoom(2, 3)
@@ -28,10 +28,10 @@
 	c.Check(room.byAddr, qt.HasLen, 0)
 }
 
-// An upstream is slow, and more requests come for it than this node may have at
-// its VM. Those beyond must go to another upstream at once, or be refused as
-// not run: held back for a connection they would be answered too late, and
-// nobody would know why.
+// An upstream is slow, and it gets more requests than this node may have in flight to
+// its VM. The excess requests must go to another upstream at once or be refused as not
+// run. If they waited for a connection, they would be answered too late, and nothing
+// would show the cause.
 func TestCallsDoNotWaitForAConnection(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		const work = time.Second
--- a/node/platformview.go
+++ b/node/platformview.go
@@ -10,12 +10,12 @@
 	"pollengauge.dev/observe"
 )
 
-// slowPlatform is the time from which a call to the platform counts as slow.
-// A waiting watch is meant to be slow and never counts.
+// slowPlatform is the duration from which a platform call counts as slow. A watch waits
+// on purpose and never counts as slow.
 const slowPlatform = time.Second
 
-// observedStore passes calls to the platform on, counts them and reports when
-// the platform goes down, comes back or becomes slow.
+// observedStore passes calls through to the platform, counts them and logs when the
+// platform becomes unavailable, available or slow.
 type observedStore struct {
 	objects.Store
 	metrics *observe.Metrics
@@ -23,7 +23,7 @@
 	down    atomic.Bool
 }
 
-// note counts one call and reports changes of the platform's health.
+// note counts one call and logs changes of the platform's health.
 func (s *observedStore) note(op objects.Op, start time.Time, err error) {
 	took := time.Since(start)
 	s.metrics.PlatformCalls.With(string(op), platformResult(err)).Inc(1)
@@ -56,7 +56,7 @@
 	}
 }
 
-// platformResult is the metric label of a call's end.
+// platformResult returns the metric label for the result of a platform call.
 func platformResult(err error) string {
 	var (
 		conflict    *objects.ConflictError
--- a/node/stale_news_test.go
+++ b/node/stale_news_test.go
@@ -11,10 +11,10 @@
 	"pollengauge.dev/objects"
 )
 
-// A node can't read the stored configuration, and has that very version from a peer
-// of another build. Its watch lists the object again. If that counted as a later
-// version, the number would go round, and each node would tell callers without a
-// route to come back, until operators happen to store a higher one.
+// A node can't read the stored configuration, but has the same version from a peer that
+// runs another build. Its watch then lists the object again. If that counted as a later
+// version, the nodes would keep passing the version number on to each other, and each
+// would tell callers without a route to retry, until operators store a higher version.
 func TestUnreadableObjectOfAVersionInForceIsNoNews(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.storeUnreadable() // version 2
@@ -33,10 +33,10 @@
 	})
 }
 
-// The platform held a configuration without a version that can be read, and a node
-// that watched it then leaves that to others. The operators' next version comes
-// through a peer. From then on a route that isn't there must not be said to be on its
-// way for good.
+// The platform stored a configuration whose version can't be read. A node that saw it
+// then stops watching, and gets the operators' next version from a peer. From then on
+// it must report a missing route as missing, not as a configuration that is still on
+// its way.
 func TestNextVersionEndsAnUnreadableOne(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("vm", "desk", 10, echo)
@@ -50,9 +50,9 @@
 	})
 }
 
-// One node hears of a version that nobody wrote. Told from node to node for ever, it
-// would outlive that node, and callers without a route would be told to come back by
-// every node, also those that start later.
+// One node learns of a configuration version that was never written. If nodes reported
+// it to each other forever, the version would outlive that node, and every node,
+// including those that start later, would tell callers without a route to retry.
 func TestAVersionThatNeverComesIsForgotten(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		odd := f.addRouted("odd", "desk", 10, echo, withoutPlatform)
--- a/node/successor.go
+++ b/node/successor.go
@@ -11,7 +11,7 @@
 	"pollengauge.dev/atmostonce"
 )
 
-// handoverStep bounds one message of a hand-over with its answer.
+// handoverStep bounds one message of a hand-over, including its response.
 const handoverStep = 5 * time.Second
 
 // successor sends the messages of a hand-over to one node.
@@ -35,8 +35,8 @@
 	return s.call(ctx, "Abort", request)
 }
 
-// call makes one call on a connection of its own. net/rpc knows no deadline;
-// the connection's ends the call instead.
+// call makes one RPC on a connection of its own. net/rpc has no deadlines, so the
+// connection's deadline ends the call instead.
 func (s *successor) call(ctx context.Context, method string, request any) error {
 	ctx, cancel := context.WithTimeout(ctx, handoverStep)
 	defer cancel()
@@ -67,7 +67,7 @@
 	return rpc.NewClient(conn), nil
 }
 
-// openRPC asks the peer listener to switch the connection to net/rpc.
+// openRPC requests the peer listener to switch the connection to net/rpc.
 func openRPC(ctx context.Context, conn net.Conn) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := conn.SetDeadline(deadline); err != nil {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// HandoverRefusedError tells that a peer did not open a hand-over.
+// HandoverRefusedError reports that a peer did not accept a hand-over connection.
 type HandoverRefusedError struct{ Status int }
 
 // Error implements error.
--- a/node/sync.go
+++ b/node/sync.go
@@ -12,10 +12,11 @@
 	"pollengauge.dev/observe"
 )
 
-// configKind is the kind of the platform's objects that hold configuration.
+// configKind is the kind of the platform objects that hold configurations.
 const configKind = config.ObjectKind
 
-// gossipDelegate lets configuration travel between nodes.
+// gossipDelegate connects the gossip to this node's configuration and to its count of
+// the fleet's places.
 type gossipDelegate struct{ node *Node }
 
 // LocalVersion implements membership.Delegate.
@@ -56,23 +57,24 @@
 	q.fleet.Heard(count, d.node.now())
 }
 
-// offerConfig takes a configuration that is valid and higher, and passes the
-// news on.
+// offerConfig accepts a configuration that is valid and has a higher version than the
+// one in force, and announces it to the members.
 func (n *Node) offerConfig(data []byte, source config.Source) {
 	accepted, err := n.config.Offer(data, source)
 	n.noteOffer(accepted, err)
 }
 
-// OfferConfig gives this node a configuration directly, for embedding without
-// a platform. It is in force if it is valid and its version is higher.
+// OfferConfig passes a configuration to this node directly, for embedding without a
+// platform. The configuration comes into force if it is valid and its version is
+// higher.
 func (n *Node) OfferConfig(set config.Set) error {
 	accepted, err := n.config.OfferSet(set, config.SourcePeer)
 	n.noteOffer(accepted, err)
 	return err
 }
 
-// noteOffer logs what became of an offered configuration and passes the news
-// of a new one on.
+// noteOffer logs the result of an offered configuration and announces an accepted one
+// to the members.
 func (n *Node) noteOffer(accepted bool, err error) {
 	var fork *config.ForkError
 	switch {
@@ -81,8 +83,8 @@
 	case err != nil:
 		n.log.Emit(observe.ConfigRefused, observe.Err(err))
 	case accepted:
-		// It came after the one without a version, which nothing else would tell a
-		// node that no longer watches the platform.
+		// The accepted version replaces the stored one whose version was unreadable. A
+		// node that no longer watches the platform would not learn that otherwise.
 		n.unreadable.Store(false)
 		n.configSince.Store(n.now().UnixNano())
 		status := n.config.Status()
@@ -95,23 +97,25 @@
 }
 
 const (
-	// watchersPerZone is how many nodes of an availability zone hold a watch
-	// on the platform; the others hear through gossip. The platform counts
-	// a waiting watch as a call, and its rates grow more slowly than the fleet.
+	// watchersPerZone is how many nodes of an availability zone watch the platform; the
+	// others learn of changes through gossip. The platform counts a waiting watch as a
+	// call, and its rate limits grow more slowly than the fleet.
 	watchersPerZone = 2
-	// watchersInDialect is more: where the platform may turn single VMs away,
-	// hold its answers back or cut watches, half of a zone can be without news.
+	// watchersInDialect is higher: with a dialect the platform may reject single VMs,
+	// delay its responses or interrupt watches, so that half of a zone may get no
+	// updates.
 	watchersInDialect = 4
 	electInterval     = 5 * time.Second
-	// firstElection is after the node has joined. One that has just started
-	// knows nobody and would elect itself: when all nodes of a fleet start,
-	// each would list and watch for a moment, which is more reads than the
-	// platform takes. The configuration is read at the start in any case.
+	// firstElection is the time of the first election, after the node has joined. A
+	// node that has just started knows no other members and would elect itself. When
+	// all nodes of a fleet start, each would list and watch for a moment, which is more
+	// reads than the platform allows. The configuration is read at the start in any
+	// case.
 	firstElection = time.Second
 )
 
-// startConfig keeps the configuration current: this node watches the platform
-// while it is among the first of its zone, and listens to peers always.
+// startConfig keeps the configuration up to date: this node watches the platform while
+// it is among the first nodes of its zone, and always receives updates from peers.
 func (n *Node) startConfig(ctx context.Context) {
 	if n.store == nil {
 		return
@@ -119,9 +123,9 @@
 	n.done.Go(func() { n.electLoop(ctx) })
 }
 
-// electLoop starts and stops the watch as the membership changes. Views of the
-// membership may differ between nodes; a few watchers too many or too few for
-// a while cost calls or a second of delay, never safety.
+// electLoop starts and stops the watch as the membership changes. Nodes may have
+// different views of the membership. A few watchers too many or too few for a while
+// cost platform calls or a second of delay, but never safety.
 func (n *Node) electLoop(ctx context.Context) {
 	var stopWatch context.CancelFunc
 	defer func() {
@@ -149,7 +153,7 @@
 	}
 }
 
-// fetchConfig reads the configuration once at the start.
+// fetchConfig reads the configuration once, at the start.
 func (n *Node) fetchConfig(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, bootstrapTime)
 	defer cancel()
@@ -157,7 +161,7 @@
 	o, err := n.store.Get(ctx, kind, name)
 	var empty *objects.NotFoundError
 	if errors.As(err, &empty) {
-		return // nothing stored: the default is what operators chose
+		return // No configuration is stored, so operators have chosen the default.
 	}
 	if err != nil {
 		n.log.Emit(observe.ConfigDefault, observe.Err(err))
@@ -179,7 +183,8 @@
 	return cancel
 }
 
-// takeConfig takes the configuration's object, and no other of its kind.
+// takeConfig applies the object that holds the configuration and ignores all other
+// objects of its kind.
 func (n *Node) takeConfig(o objects.Object) {
 	if _, name := n.configObject(); o.Name != name || len(o.Value) == 0 {
 		return
@@ -192,7 +197,7 @@
 	n.noteOffer(n.config.OfferObject(o))
 }
 
-// configObject names the object that holds the configuration.
+// configObject returns the kind and name of the object that holds the configuration.
 func (n *Node) configObject() (kind, name string) {
 	if n.settings.ConfigKind == "" {
 		return configKind, config.ObjectName
@@ -200,7 +205,7 @@
 	return n.settings.ConfigKind, n.settings.ConfigName
 }
 
-// takeSpokenConfig takes a configuration in the form of the dialect.
+// takeSpokenConfig applies a configuration in the format of the dialect.
 func (n *Node) takeSpokenConfig(o objects.Object) {
 	set, err := n.settings.Dialect.DecodeConfig(o.Value)
 	n.noteStored(set.Version, err == nil || set.Version > 0)
@@ -211,8 +216,8 @@
 	n.noteOffer(n.config.OfferSet(set, config.SourcePlatform))
 }
 
-// watchesPlatform tells whether this node is among the first of its zone, in
-// an order that does not change as members come and go.
+// watchesPlatform reports whether this node is among the first nodes of its zone. The
+// order of two nodes does not change as members come and go.
 func (n *Node) watchesPlatform() bool {
 	ahead := 0
 	own := watchRank(n.id)
@@ -227,7 +232,7 @@
 	return ahead < n.watchers()
 }
 
-// watchers is how many nodes of a zone watch.
+// watchers returns how many nodes of a zone watch the platform.
 func (n *Node) watchers() int {
 	if n.spoken() {
 		return watchersInDialect
--- a/node/witness.go
+++ b/node/witness.go
@@ -18,26 +18,27 @@
 )
 
 const (
-	// witnessWait bounds how long a call waits for its witness before it is
-	// dispatched without one.
+	// witnessWait bounds how long a call waits for its witness to confirm the note.
+	// After that the call is dispatched without a witness.
 	witnessWait = 100 * time.Millisecond
-	// witnessPause is the time between two rounds of messages about notes that
-	// are settled or have no witness, and witnessRound bounds one message.
+	// witnessPause is the time between two rounds of updates about notes that are
+	// settled or have no witness. witnessRound bounds one message of such a round.
 	witnessPause = time.Second
 	witnessRound = time.Second
-	// witnessShunned is how long a member that did not answer is passed over.
+	// witnessShunned is how long a member that did not confirm a message is not chosen
+	// as a witness.
 	witnessShunned = 10 * time.Second
-	// witnessConns bounds the connections to one witness. They are not those of
-	// calls, which in an overload are all taken.
+	// witnessConns bounds the connections to one witness. They are separate from the
+	// connections for calls, all of which are in use during an overload.
 	witnessConns = 16
-	// maxNoted bounds the open notes of this home, maxWitnessed those kept here
-	// for others, and maxNotesSent those in one message.
+	// maxNoted bounds the open notes about this node's own calls, maxWitnessed the
+	// notes stored here for other nodes, and maxNotesSent the notes in one message.
 	maxNoted     = 4096
 	maxWitnessed = 4096
 	maxNotesSent = 100
 )
 
-// Values of the label result of the metric of notes.
+// Values of the label "result" of the metric that counts witness notes.
 const (
 	noteTold     = "told"
 	noteFailed   = "failed"
@@ -46,8 +47,9 @@
 	noteNoTime   = "no-time"
 )
 
-// witnesses is what this node needs to tell others of its calls, and to keep
-// what others tell.
+// witnesses holds the notes of both roles of a node: noted are those about its own
+// calls that other members witness, kept are those that it witnesses for other members.
+// shun holds the members that are not chosen as a witness for now.
 type witnesses struct {
 	noted     *atmostonce.Noted
 	kept      *atmostonce.Witnessed
@@ -64,14 +66,14 @@
 	}
 }
 
-// tellWitness tells another member of a call that is about to be dispatched,
-// and returns the note's number, 0 without a note.
+// tellWitness sends a note about a call that is about to be dispatched to another
+// member, the witness. It returns the note's number, or 0 if there is no note.
 //
-// The failure: a VM is lost with filings in flight and its key table with it.
-// The callers never ask again, no other node had a part in the calls, and the
-// filings die quietly: nobody knows that there is something to look up. A
-// member that was told before the dispatch lists them. It can't run them, and
-// nothing asks it whether a key may run; without its answer the call goes on.
+// Without a witness, a lost VM takes its key table with it while filings are in flight.
+// If their callers never retry, and no other node took part in the calls, nobody knows
+// that there is something to look up. A witness that learned of a call before the
+// dispatch lists it for operators. The witness can't run the call, no node asks it
+// whether a key may run, and the call goes on if the witness does not respond.
 func (n *Node) tellWitness(ctx context.Context, req *request) uint64 {
 	if req.profile.Record != config.RecordPeer || n.settings.Ablate.NoWitness {
 		return 0
@@ -93,16 +95,18 @@
 		n.unwitnessed(cause, nil)
 		return note.Number
 	}
-	// A caller that goes away must not make its witness look lost.
+	// The caller's cancellation must not count as a failure of the witness.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), witnessWait)
 	defer cancel()
-	// The next round tells another member what this one has not taken.
+	// If this member does not confirm the note, the next round of updates sends it to
+	// another one.
 	_ = n.sendNotes(ctx, member, witnessMessage{Notes: []atmostonce.Note{note}})
 	return note.Number
 }
 
-// witnessFor returns the member to tell of a call before its dispatch, or why
-// there is none. The next round tells one afterwards.
+// witnessFor returns the member that receives the note of a call before its dispatch.
+// If there is none it returns the cause; the next round of updates then sends the note
+// after the dispatch.
 func (n *Node) witnessFor(req *request, now time.Time) (to membership.Member, cause string) {
 	if req.deadline.Sub(now) < witnessWait {
 		return membership.Member{}, noteNoTime
@@ -114,15 +118,16 @@
 	return member, ""
 }
 
-// settleNote ends the note of a call whose fate the caller is told. A call that
-// ended unknown keeps it: the fate must outlive this home.
+// settleNote closes the note of a call whose caller learns the outcome. The note of a
+// call with an unknown outcome stays open, because its fate must remain known if this
+// node is lost.
 func (n *Node) settleNote(number uint64) {
 	if number != 0 {
 		n.witnesses.noted.Settle(number)
 	}
 }
 
-// unwitnessed reports calls without a witness.
+// unwitnessed logs and counts a call or a message without a witness.
 func (n *Node) unwitnessed(cause string, err error) {
 	n.metrics.WitnessNotes.With(cause).Inc(1)
 	fields := []observe.Field{observe.Str("cause", cause)}
@@ -132,7 +137,7 @@
 	n.log.Emit(observe.KeyUnwitnessed, fields...)
 }
 
-// sendNotes sends notes and keeps what came of it.
+// sendNotes sends notes and records whether the member confirmed them.
 func (n *Node) sendNotes(ctx context.Context, to membership.Member, m witnessMessage) error {
 	err := n.sendWitness(ctx, to, m)
 	n.witnesses.noted.Sent(m.Notes, to.ID, err == nil)
@@ -144,9 +149,9 @@
 	return nil
 }
 
-// sendWitness sends one message and waits for the member's word. A member that
-// fails is passed over for a while, so that one that is lost, or whose build
-// does not know of notes, costs few calls the wait.
+// sendWitness sends one message and waits until the member confirms it. A member that
+// fails is not chosen as a witness for witnessShunned. Otherwise each call would wait
+// in vain for a member that is lost or runs a build without notes.
 func (n *Node) sendWitness(ctx context.Context, to membership.Member, m witnessMessage) error {
 	m.Home = n.id
 	err := n.postWitness(ctx, to.Addr, m)
@@ -182,9 +187,9 @@
 	return nil
 }
 
-// pickWitness chooses the member to tell: of the same region, in another zone
-// if there is one. Each home keeps to one member as long as that answers, and
-// homes spread over the members.
+// pickWitness chooses the witness: a member of the same region, preferably in another
+// zone. Each node stays with one member as long as that member responds, and different
+// nodes choose different members.
 func (n *Node) pickWitness(now time.Time) (membership.Member, bool) {
 	var candidates []membership.Member
 	for _, m := range n.gossip.Members() {
@@ -204,22 +209,23 @@
 	}), true
 }
 
-// pairRank orders the members differently for each home.
+// pairRank returns a rank of member that depends on home, so that each node orders the
+// members differently.
 func pairRank(home, member string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(home + member))
 	return hash.Sum64()
 }
 
-// runWitness keeps the witnesses up to date until ctx ends.
+// runWitness updates the witnesses at regular intervals until ctx ends.
 func (n *Node) runWitness(ctx context.Context) {
 	for objects.Pause(ctx, witnessPause) {
 		n.updateWitnesses(ctx)
 	}
 }
 
-// updateWitnesses tells members which of their notes are settled, and another
-// member of those whose witness is missing.
+// updateWitnesses reports settled notes to the members that have them, and sends notes
+// whose witness is gone to another member.
 func (n *Node) updateWitnesses(ctx context.Context) {
 	for _, id := range n.witnesses.noted.Stale() {
 		n.updateWitness(ctx, id)
@@ -232,8 +238,8 @@
 	}
 }
 
-// tellMissing tells a member of notes that no other has, and reports whether it
-// has taken them.
+// tellMissing sends notes without a living witness to a member and reports whether the
+// member confirmed them.
 func (n *Node) tellMissing(ctx context.Context, notes []atmostonce.Note) bool {
 	member, ok := n.pickWitness(n.now())
 	if !ok {
@@ -245,8 +251,9 @@
 	return n.sendNotes(ctx, member, witnessMessage{Open: &word, Notes: notes}) == nil
 }
 
-// updateWitness tells one member which of its notes are open. One that is dead
-// to this node may only be out of reach, and is told when it is back.
+// updateWitness sends one member the list of its notes that are still open. A member
+// that this node considers dead may only be unreachable; it gets the list when it is
+// back.
 func (n *Node) updateWitness(ctx context.Context, id string) {
 	member, state, ok := n.gossip.Lookup(id)
 	switch {
@@ -264,13 +271,13 @@
 	}
 }
 
-// mayWitness reports whether a member that has a note is still there.
+// mayWitness reports whether a member is alive or only suspected.
 func (n *Node) mayWitness(id string) bool {
 	_, state, ok := n.gossip.Lookup(id)
 	return ok && (state == membership.Alive || state == membership.Suspect)
 }
 
-// WitnessRefusedError tells that a member did not take a note.
+// WitnessRefusedError reports that a member did not accept a message with notes.
 type WitnessRefusedError struct{ Status int }
 
 // Error implements error.
--- a/node/witness_test.go
+++ b/node/witness_test.go
@@ -21,8 +21,8 @@
 
 func withoutWitness(s *Settings) { s.Ablate.NoWitness = true }
 
-// zonedFilers starts a in one zone, and b and c in another, the upstream with
-// a's calls on a alone: b and c have none, so that only a note can tell them.
+// zonedFilers starts a, b and c in three zones. Only a has an upstream for the filing
+// service, so b and c take no part in its calls and only know of them through notes.
 func (f *fleet) zonedFilers(h handler, adjust ...func(*Settings)) (a, b, c *Node) {
 	f.apply(witnessedProfiles)
 	a = f.add("a", "filing", 50, h, append(adjust, inZone("zone-a"))...)
@@ -44,7 +44,7 @@
 	return fates
 }
 
-// fileAt has count callers file at a node, which then end or wait.
+// fileAt starts count filings at a node and gives them 100 ms to be dispatched.
 func (f *fleet) fileAt(n *Node, count int) {
 	for i := range count {
 		go f.ask(n, http.MethodPost, "/file", "X-Operation", "op"+strconv.Itoa(i))
@@ -52,7 +52,8 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-// kill ends a node without a word, and lose waits until the others know.
+// kill stops a node without a drain. lose also waits until the other nodes consider it
+// dead.
 func (f *fleet) kill(name string) {
 	f.net.Kill(name)
 	f.nodes[name].Close()
@@ -64,9 +65,9 @@
 	time.Sleep(20 * time.Second)
 }
 
-// A VM is lost with filings in flight that ran on it alone, and whose callers
-// never ask again. Its key table went with it, and no other node had a part in
-// them. Each must be listed where an operator looks, and no filing that ended.
+// A VM is lost with filings in flight that ran on it alone and whose callers never
+// retry. Its key table is lost with it, and no other node took part in the calls. Each
+// of these filings must be listed for operators, and no filing that completed.
 func TestFilingsThatOnlyTheLostHomeKnewAreListed(t *testing.T) {
 	for _, adjust := range []func(*Settings){func(*Settings) {}, withoutWitness} {
 		inFleet(t, func(f *fleet) {
@@ -91,10 +92,10 @@
 	}
 }
 
-// Filings are in flight when the witness is lost, paused or cut off, and more
-// come right then. One may wait for the witness, once, and must complete.
-// Another member is told of all that a lost witness had, and when the home goes
-// as well, all are listed.
+// The witness is killed, paused or separated by a network partition while filings are
+// in flight, and more filings arrive right then. One filing may wait for the witness,
+// once, and must complete. Another member must get all notes that the lost witness had:
+// when their owner is lost as well, all filings must be listed.
 func TestAnotherMemberIsToldWhenTheWitnessFails(t *testing.T) {
 	faults := map[string]func(f *fleet, name string){
 		"killed":      (*fleet).kill,
@@ -129,7 +130,7 @@
 	}
 }
 
-// witnessOf returns the name of a node's witness, and the other nodes.
+// witnessOf returns the name of a node's witness, and the remaining nodes.
 func (f *fleet) witnessOf(n *Node) (witness string, others []*Node) {
 	member, ok := n.pickWitness(n.now())
 	f.c.Assert(ok, qt.IsTrue)
@@ -145,10 +146,10 @@
 	return witness, others
 }
 
-// A node drains with filings in flight and a fate that is unknown. The filings
-// end; the successor has the unknown fate and lists it, once. The witness, which
-// had notes of all, lists nothing. Only when the successor is lost too does the
-// witness list the unknown fate: it is in no table any more.
+// A node drains with filings in flight and one key whose fate is unknown. The filings
+// complete, and the successor takes over the unknown fate and lists it once. The
+// witness, which had notes of all, must list nothing. When the successor is lost too,
+// the unknown fate is in no table any more, and the witness must list it.
 func TestHomeThatLeavesIsNotLost(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(witnessedProfiles)
@@ -156,7 +157,7 @@
 			if r.Header.Get("X-Operation") == "breaks" {
 				panic(http.ErrAbortHandler)
 			}
-			// Ends between two rounds of messages to the witness.
+			// The filing ends between two rounds of updates to the witness.
 			time.Sleep(1300 * time.Millisecond)
 		}
 		a := f.add("a", "filing", 50, file, inZone("zone-a"))
@@ -176,9 +177,9 @@
 	})
 }
 
-// A home and its witness are lost at once: nobody is left who knew, and the
-// filings are not listed. The operators' page says so. This test is to fail if
-// that ever gets better.
+// A node and its witness are lost at the same time. No member knows of the filings any
+// more, and they are not listed. The operators' page documents this limit; this test
+// should fail if it is ever lifted.
 func TestHomeAndWitnessLostTogether(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, _, _ := f.zonedFilers(fileSlowly)
@@ -190,8 +191,8 @@
 	})
 }
 
-// The other member runs an older build, to which a message with notes must not
-// look like a call. Filings go on, after one refusal without any wait.
+// The other member runs an older build, which must not take a message with notes for a
+// call. Filings must go on after one refusal, without waiting.
 func TestOlderMemberIsNoWitness(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(witnessedProfiles)
@@ -210,8 +211,8 @@
 	})
 }
 
-// What reaches the peer port need not come from a home: a stranger, a message
-// with too much in it, or garbage must leave no note and get a refusal.
+// Requests on the peer port may not come from a member. An unknown member, a message
+// that exceeds the limits and invalid JSON must be refused and must leave no note.
 func TestNotesOfStrangersAreRefused(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, _ := f.zonedFilers(answerOK)
@@ -232,8 +233,8 @@
 	})
 }
 
-// FuzzWitnessMessage posts arbitrary bodies as messages with notes. None panics,
-// and none leaves more than the bounds allow, for a home or for a witness.
+// FuzzWitnessMessage posts arbitrary bodies as messages with notes. None may panic, and
+// none may leave more notes, longer notes or later expiry times than the limits allow.
 func FuzzWitnessMessage(f *testing.F) {
 	f.Add(`{"home":"H","notes":[{"number":1,"key":"k","since":"2000-01-01T00:00:00Z","expires":"2300-01-01T00:00:00Z"}]}`)
 	f.Add(`{"home":"H","open":{"seq":18446744073709551615,"through":18446744073709551615,"numbers":[1,1,2]}}`)
--- a/node/witnesscost_test.go
+++ b/node/witnesscost_test.go
@@ -17,8 +17,8 @@
 	"pollengauge.dev/standin"
 )
 
-// What a note costs a call: one round trip to the member that is told, in
-// virtual time with the delays of a network, so that the figure is exact.
+// Measures that a note costs a call exactly one round trip to the witness. Time is
+// virtual and includes network delays, so the figure is exact.
 func TestWitnessCostsOneRoundTrip(t *testing.T) {
 	for _, oneWay := range []time.Duration{500 * time.Microsecond, time.Millisecond} {
 		took := make(map[string]time.Duration)
@@ -80,8 +80,8 @@
 	return count, err
 }
 
-// BenchmarkWitness is one filing over loopback, one after another, without and
-// with a witness, and what travels between home and witness for it.
+// BenchmarkWitness measures sequential filings over loopback, without and with a
+// witness, and the bytes that the node and its witness exchange per filing.
 func BenchmarkWitness(b *testing.B) {
 	for _, record := range []string{"none", "peer"} {
 		b.Run(record, func(b *testing.B) {
--- a/node/witnessserver.go
+++ b/node/witnessserver.go
@@ -12,29 +12,29 @@
 	"pollengauge.dev/call"
 )
 
-// witnessPath is where a peer listener takes notes, as JSON.
+// witnessPath is the path on which a peer listener receives notes, as JSON.
 const witnessPath = "/.pollengauge/witness"
 
-// witnessHost is the Host of a message with notes. It can't be a service, and
-// the message has no context headers, so that a member whose build does not
-// know witnessPath refuses the message and can't take it for a call.
+// witnessHost is the Host header of a message with notes. No service can have this
+// name, and the message has no context headers. A member whose build does not know
+// witnessPath therefore refuses the message and can't mistake it for a call.
 const witnessHost = "witness.pollengauge"
 
 const (
-	// maxNoteText bounds each text in a note, and maxWitnessBytes a message: a
-	// hundred notes, and the numbers of as many as a home may have open.
+	// maxNoteText bounds each text in a note, in bytes. maxWitnessBytes bounds a message:
+	// a hundred notes and the numbers of all notes that a node may have open.
 	maxNoteText     = 160
 	maxWitnessBytes = 256 << 10
 )
 
-// witnessMessage is what a home tells its witness.
+// witnessMessage is a message from the owner of keys to its witness.
 type witnessMessage struct {
 	Home  string                `json:"home"`
 	Notes []atmostonce.Note     `json:"notes,omitempty"`
 	Open  *atmostonce.OpenNotes `json:"open,omitempty"`
 }
 
-// check refuses what no home sends.
+// check rejects messages that no node sends.
 func (m *witnessMessage) check() error {
 	if len(m.Notes) > maxNotesSent {
 		return &WitnessMessageError{Field: "notes"}
@@ -50,12 +50,13 @@
 	return nil
 }
 
-// takesNotes tells messages with notes from calls.
+// takesNotes reports whether a request on the peer listener is a message with notes and
+// not a call.
 func (n *Node) takesNotes(r *http.Request) bool {
 	return r.Method == http.MethodPost && r.URL.Path == witnessPath && r.Host == witnessHost && !n.settings.Ablate.NoWitness
 }
 
-// serveWitness takes notes from the home of their keys.
+// serveWitness receives notes from the owner of their keys.
 func (n *Node) serveWitness(w http.ResponseWriter, r *http.Request) {
 	var m witnessMessage
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxWitnessBytes)).Decode(&m)
@@ -69,8 +70,9 @@
 	w.WriteHeader(n.takeNotes(m))
 }
 
-// takeNotes keeps a message's notes and returns the answer's status. Notes of a
-// home that this node has not heard of are refused: it would look lost.
+// takeNotes stores the notes of a message and returns the status of the response. It
+// refuses the notes of an owner that is no known member here: such an owner would look
+// lost.
 func (n *Node) takeNotes(m witnessMessage) int {
 	if !n.mayWitness(m.Home) || m.Home == n.id {
 		return http.StatusForbidden
@@ -92,7 +94,7 @@
 	return http.StatusNoContent
 }
 
-// lostFates returns the calls of lost homes that this node is witness of.
+// lostFates returns the calls of lost owners that this node witnessed.
 func (n *Node) lostFates() []FateView {
 	var fates []FateView
 	for _, note := range n.witnesses.kept.Lost(n.now(), n.homeKept) {
@@ -110,12 +112,13 @@
 	return fates
 }
 
-// homeKept reports whether a member, this one included, has the keys of a home.
+// homeKept reports whether a member, this node included, owns the keys of the
+// incarnation home.
 func (n *Node) homeKept(home atmostonce.Incarnation) bool {
 	return n.homeLives(string(home)) || slices.Contains(n.keys.Homes(), home)
 }
 
-// shunList is members that are passed over for a time.
+// shunList is the set of members that are not chosen as a witness until a given time.
 type shunList struct {
 	mu    sync.Mutex
 	until map[string]time.Time
@@ -137,8 +140,9 @@
 	return ok && now.Before(until)
 }
 
-// WitnessMessageError tells that a message with notes is none that a home sends.
+// WitnessMessageError reports that a message with notes breaks a limit or an order that
+// every sender observes.
 type WitnessMessageError struct{ Field string }
 
 // Error implements error.
-func (e *WitnessMessageError) Error() string { return "message with notes: " + e.Field }
+func (e *WitnessMessageError) Error() string { return "message with notes: invalid field " + e.Field }
--- a/node/zones_test.go
+++ b/node/zones_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// twoZones starts filers a and b in one zone and c in another.
+// twoZones starts nodes a and b of the filing service in one zone and c in another.
 func (f *fleet) twoZones() (a, b, c *Node) {
 	f.apply(filingProfiles)
 	zone := func(name string) func(*Settings) { return func(s *Settings) { s.Zone = name } }
@@ -18,7 +18,7 @@
 	return a, b, c
 }
 
-// cutZones cuts or heals every link between the two zones.
+// cutZones separates the two zones by a network partition, or heals it.
 func (f *fleet) cutZones(cut bool) {
 	for _, host := range []string{"a", "b"} {
 		if cut {
@@ -32,8 +32,8 @@
 }
 
 // A caller files, its session moves to another zone while the filing runs, and it
-// presses again there with its key. The link between the zones takes 150 ms each way.
-// It must get the answer of the one filing, at both nodes.
+// retries there with the same key. The link between the zones takes 150 ms each way.
+// The caller must get the answer of the single filing at both nodes.
 func TestCallerThatMovesOverASlowLinkFilesOnce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, _, c := f.twoZones()
@@ -56,9 +56,10 @@
 	})
 }
 
-// The same with the link cut while the filing runs. The node in the other zone can't
-// know what became of it: it must neither run it nor say that it did not run. Once
-// the link is back the caller gets the answer that there is, so nothing is lost.
+// A caller moves to another zone as above, and a network partition separates the zones
+// while the filing runs. The node in the other zone can't know the outcome: it must
+// neither run the filing nor report that it did not run. Once the link is back, the
+// caller must get the answer of the filing.
 func TestCallerThatMovesOverACutFilesOnce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, c := f.twoZones()
@@ -84,9 +85,9 @@
 	})
 }
 
-// The first node is killed after the filing has run and before its answer came. The
-// caller presses again in the other zone, at once and for minutes: the filing must
-// not run there, and the caller must never be told that it did not run.
+// The first node is killed while the filing runs and before its answer has arrived. The
+// caller retries in the other zone, at once and for two minutes. The filing must not
+// run there, and the caller must never be told that it did not run.
 func TestCallerThatMovesFromALostNodeIsToldTheTruth(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, _, c := f.twoZones()
@@ -106,9 +107,10 @@
 	})
 }
 
-// The caller has no answer for its reminder since the link to its first node is cut
-// before the reminder got there. In the other zone it presses again with a key of its
-// own; once it is told complete, one reminder has gone out, not none and not two.
+// The link to a caller's first node is cut before its request for a reminder arrives,
+// so the caller gets no answer. It retries in the other zone with the same key, which
+// is its own. Once it is told that the call is complete, exactly one reminder must have
+// been sent.
 func TestReminderOfACallerThatMovesIsNotLost(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, _, c := f.twoZones()
