--- a/node/bootstrap.go
+++ b/node/bootstrap.go
@@ -14,13 +14,13 @@
 	"pollengauge.dev/observe"
 )
 
-// bootstrapKind is the kind of the platform objects that name nodes to join. There are at
-// most maxBootstraps of them. bootstrapTime bounds the platform calls that read them, or
-// the configuration, at the start of a node.
+// bootstrapKind is the kind of the platform objects that name nodes to join. There are
+// at most maxBootstraps of them. bootstrapTimeout bounds the platform calls that read
+// them, or the configuration, at the start of a node.
 const (
-	bootstrapKind = "pollengauge-bootstrap"
-	maxBootstraps = 8
-	bootstrapTime = 3 * time.Second
+	bootstrapKind    = "pollengauge-bootstrap"
+	maxBootstraps    = 8
+	bootstrapTimeout = 3 * time.Second
 )
 
 // seeds returns gossip addresses to join: the peers in the settings and, if the
@@ -31,7 +31,7 @@
 	if n.store == nil {
 		return addrs, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, bootstrapTime)
+	ctx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
 	defer cancel()
 	found, _, err := n.store.List(ctx, bootstrapKind, "")
 	if err != nil {
@@ -44,7 +44,7 @@
 	var unreadable int
 	for _, o := range found {
 		if o.Name == fleetSizeName {
-			n.heardFleetSize(o)
+			n.readStoredFleetSize(o)
 			continue
 		}
 		if !isAddress(string(o.Value)) {
--- a/node/bootstrap_test.go
+++ b/node/bootstrap_test.go
@@ -12,7 +12,7 @@
 // none of them holds an address. Two nodes start without a known peer. When these
 // objects counted as the places of members that may be alive, neither node stored its
 // own address, and both stayed alone for good.
-func TestForeignEntriesKeepNobodyAlone(t *testing.T) {
+func TestForeignBootstrapObjectsDoNotIsolateNodes(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		foreign := []string{`{"address":7}`, "", "null", "[1,2]", "10.0.0.1", "a:b:c", "host:port", "\xff\x00:1"}
 		for place, value := range foreign {
--- a/node/changes.go
+++ b/node/changes.go
@@ -15,14 +15,15 @@
 
 	mu     sync.Mutex
 	states map[string]membership.State
-	zones  map[string]zoneSeen
+	zones  map[string]zoneState
 }
 
-// zoneSeen is the last known state of one availability zone. alive counts its living
-// members. cut is set while the zone appears to be separated by a network partition.
-type zoneSeen struct {
-	alive int
-	cut   bool
+// zoneState is the last known state of one availability zone. alive counts its living
+// members. partitioned is set while the zone appears to be separated by a network
+// partition.
+type zoneState struct {
+	alive       int
+	partitioned bool
 }
 
 func newMemberChanges(log *observe.Logger, self string) *memberChanges {
@@ -30,7 +31,7 @@
 		log:    log,
 		self:   self,
 		states: make(map[string]membership.State),
-		zones:  make(map[string]zoneSeen),
+		zones:  make(map[string]zoneState),
 	}
 }
 
@@ -48,7 +49,7 @@
 		if m.State == membership.Alive {
 			alive[m.Zone]++
 		}
-		c.change(m, m.State)
+		c.reportMember(m, m.State)
 	}
 	for id, before := range c.states {
 		if present[id] {
@@ -60,13 +61,13 @@
 			continue
 		}
 		if state != before {
-			c.change(m, state)
+			c.reportMember(m, state)
 		}
 	}
 	c.compareZones(alive)
 }
 
-func (c *memberChanges) change(m membership.Member, state membership.State) {
+func (c *memberChanges) reportMember(m membership.Member, state membership.State) {
 	before, known := c.states[m.ID]
 	if known && before == state {
 		return
@@ -92,23 +93,23 @@
 	}
 }
 
-// cutZone is the minimum number of members whose simultaneous loss, if the zone has no
-// others, is reported as a network partition and not as separate failures.
-const cutZone = 2
+// partitionMinMembers is the minimum number of members whose simultaneous loss, if the
+// zone has no others, is reported as a network partition and not as separate failures.
+const partitionMinMembers = 2
 
 func (c *memberChanges) compareZones(alive map[string]int) {
 	for zone, seen := range c.zones {
-		if alive[zone] == 0 && seen.alive >= cutZone {
+		if alive[zone] == 0 && seen.alive >= partitionMinMembers {
 			c.log.Emit(observe.RegionCut, observe.Str("zone", zone), observe.Int("members", seen.alive))
-			c.zones[zone] = zoneSeen{cut: true}
+			c.zones[zone] = zoneState{partitioned: true}
 		}
 	}
 	for zone, count := range alive {
 		seen := c.zones[zone]
-		if seen.cut {
+		if seen.partitioned {
 			c.log.Emit(observe.RegionHealed, observe.Str("zone", zone), observe.Int("members", count))
 		}
-		c.zones[zone] = zoneSeen{alive: max(count, min(seen.alive, cutZone))}
+		c.zones[zone] = zoneState{alive: max(count, min(seen.alive, partitionMinMembers))}
 	}
 }
 
@@ -118,7 +119,7 @@
 	raised    bool
 	below     map[string]bool
 	limit     int
-	brownouts map[string]brownoutSeen
+	brownouts map[string]brownoutState
 	ejected   map[string]bool
 	refuted   uint64
 	refused   uint64
@@ -126,10 +127,10 @@
 	behind    behindSeen
 }
 
-// brownoutSeen is the last known brownout state of a profile: how many stored answers
+// brownoutState is the last known brownout state of a profile: how many stored answers
 // it has returned, for how many looks in a row it has returned none, and whether a
 // brownout is on.
-type brownoutSeen struct {
+type brownoutState struct {
 	count int64
 	quiet int
 	on    bool
@@ -138,7 +139,7 @@
 func newLevelChanges() *levelChanges {
 	return &levelChanges{
 		below:     make(map[string]bool),
-		brownouts: make(map[string]brownoutSeen),
+		brownouts: make(map[string]brownoutState),
 		ejected:   make(map[string]bool),
 	}
 }
--- a/node/fates.go
+++ b/node/fates.go
@@ -45,18 +45,18 @@
 func (n *Node) fatesEndpoint() endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		response := FatesResponse{Fates: []FateView{}}
-		asked := request.(FatesRequest)
-		if asked.Claims != nil {
-			claims, err := n.openClaims(ctx, *asked.Claims)
+		query := request.(FatesRequest)
+		if query.Claims != nil {
+			claims, err := n.openClaims(ctx, *query.Claims)
 			response.Fates = append(response.Fates, claims...)
 			return response, err
 		}
-		for _, filter := range asked.Filters {
+		for _, filter := range query.Filters {
 			for _, fate := range n.keys.List(filter) {
 				response.Fates = append(response.Fates, fateView(fate))
 			}
 		}
-		response.Fates = append(response.Fates, n.unsettledFates(asked.Request, response.Fates)...)
+		response.Fates = append(response.Fates, n.unsettledFates(query.Request, response.Fates)...)
 		return response, nil
 	}
 }
--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -21,14 +21,14 @@
 
 const (
 	// fleetSizeEvery is the time between two comparisons of the size with the stored
-	// one. fleetSizeCalls bounds the platform calls of one comparison.
-	fleetSizeEvery = 10 * time.Second
-	fleetSizeCalls = time.Second
-	maxFleetSize   = 1 << 20
+	// one. fleetSizeTimeout bounds the platform calls of one comparison.
+	fleetSizeEvery   = 10 * time.Second
+	fleetSizeTimeout = time.Second
+	maxFleetSize     = 1 << 20
 )
 
-// heardFleetSize reads the stored size of the fleet.
-func (n *Node) heardFleetSize(o objects.Object) {
+// readStoredFleetSize reads the stored size of the fleet.
+func (n *Node) readStoredFleetSize(o objects.Object) {
 	size, err := strconv.Atoi(string(o.Value))
 	if err != nil || size < 1 || size > maxFleetSize {
 		n.log.Emit(observe.BootstrapForeign, observe.Int("objects", 1))
@@ -49,10 +49,10 @@
 	q.lastSize = size
 	same := size == q.storedSize
 	q.mu.Unlock()
-	if n.store == nil || !steady || !whole || same || n.config.Current().Customers().Empty() || !n.firstOfFleet() {
+	if n.store == nil || !steady || !whole || same || n.config.Current().Customers().Empty() || !n.isFirstMember() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, fleetSizeCalls)
+	ctx, cancel := context.WithTimeout(ctx, fleetSizeTimeout)
 	defer cancel()
 	if err := n.storeFleetSize(ctx, size); err != nil {
 		n.log.Emit(observe.FleetSizeUnkept, observe.Err(err))
@@ -77,8 +77,9 @@
 	return err
 }
 
-// firstOfFleet reports whether this node is the first member in the order of watchRank.
-func (n *Node) firstOfFleet() bool {
+// isFirstMember reports whether this node is the first member in the order of
+// watchRank.
+func (n *Node) isFirstMember() bool {
 	own := watchRank(n.id)
 	for _, m := range n.gossip.Members() {
 		if watchRank(m.ID) < own {
--- a/node/fuzz_test.go
+++ b/node/fuzz_test.go
@@ -56,7 +56,7 @@
 			f.c.Check(n.gate.InFlight(), qt.Equals, 0)
 			f.c.Check(n.active.Load(), qt.Equals, int64(0))
 			if peer {
-				f.c.Check(served.Load() <= int64(wholeContexts(text)), qt.IsTrue, qt.Commentf("%d runs", served.Load()))
+				f.c.Check(served.Load() <= int64(countCompleteContexts(text)), qt.IsTrue, qt.Commentf("%d runs", served.Load()))
 			}
 			time.Sleep(time.Second)
 		})
@@ -85,8 +85,8 @@
 	}
 }
 
-// wholeContexts counts the requests in text that have a complete call context.
-func wholeContexts(text string) (count int) {
+// countCompleteContexts counts the requests in text that have a complete call context.
+func countCompleteContexts(text string) (count int) {
 	reader := bufio.NewReader(strings.NewReader(text))
 	for {
 		r, err := http.ReadRequest(reader)
--- a/node/handover.go
+++ b/node/handover.go
@@ -11,8 +11,8 @@
 	"pollengauge.dev/routing"
 )
 
-// handoverPause is the time between two attempts of a hand-over.
-const handoverPause = 100 * time.Millisecond
+// handoverRetryInterval is the time between two attempts of a hand-over.
+const handoverRetryInterval = 100 * time.Millisecond
 
 // handOver transfers this node's keys to another member of the service.
 func (n *Node) handOver(ctx context.Context) {
@@ -23,7 +23,7 @@
 	for {
 		to, ok := n.otherMember()
 		if !ok {
-			n.noSuccessor()
+			n.logNoSuccessor()
 			return
 		}
 		if ended := n.handOverTo(ctx, to); ended {
@@ -45,7 +45,7 @@
 			return true
 		}
 		ambiguous := n.handoverAmbiguous(err)
-		if !objects.Pause(ctx, handoverPause) {
+		if !objects.Pause(ctx, handoverRetryInterval) {
 			n.log.Emit(observe.HandoverFailed, observe.Err(err))
 			return true
 		}
@@ -55,12 +55,12 @@
 	}
 }
 
-// noSuccessor logs that keys are lost because the service has no other member. It logs
-// nothing for an empty table, because no loss is visible from here. An empty table is
-// still handed over where another member exists: keys that were minted and not yet
+// logNoSuccessor logs that keys are lost because the service has no other member. It
+// logs nothing for an empty table, because no loss is visible from here. An empty table
+// is still handed over where another member exists: keys that were minted and not yet
 // presented are not in the table, and without an owner their callers would get the
 // outcome unknown.
-func (n *Node) noSuccessor() {
+func (n *Node) logNoSuccessor() {
 	if n.keys.Len() > 0 {
 		n.log.Emit(observe.HandoverFailed, observe.Str("cause", "no other member of the service"))
 	}
@@ -78,7 +78,7 @@
 }
 
 // cancelHandover makes the key table accept new keys again after a cancelled drain.
-func (n *Node) cancelHandover() { n.keyError(n.keys.Thaw()) }
+func (n *Node) cancelHandover() { n.logKeyError(n.keys.Thaw()) }
 
 // otherMember returns another member of this service that is not draining.
 func (n *Node) otherMember() (routing.Target, bool) {
--- a/node/handover_test.go
+++ b/node/handover_test.go
@@ -86,7 +86,7 @@
 			f.c.Check(got.outcome, qt.Equals, "complete", qt.Commentf(got.reason))
 			f.c.Check(got.body, qt.Equals, "answer to op")
 		}
-		f.c.Check(time.Since(began) < homeWait, qt.IsTrue, qt.Commentf("the calls must run as soon as the commit has arrived"))
+		f.c.Check(time.Since(began) < ownerWait, qt.IsTrue, qt.Commentf("the calls must run as soon as the commit has arrived"))
 		f.c.Check(<-handed, qt.IsNil)
 		f.c.Check(f.runs.of("filing", "op"), qt.Equals, 1)
 	})
--- a/node/handoverserver.go
+++ b/node/handoverserver.go
@@ -26,7 +26,7 @@
 // returned error to its text.
 type HandoverReply struct{ Refused *atmostonce.InheritError }
 
-func (r *HandoverReply) of(err error) error {
+func (r *HandoverReply) setError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -44,7 +44,7 @@
 	if err := s.node.knownMember(chunk.From); err != nil {
 		return err
 	}
-	return reply.of(s.node.keys.Stage(context.Background(), chunk))
+	return reply.setError(s.node.keys.Stage(context.Background(), chunk))
 }
 
 // Commit is called by net/rpc. Once it succeeds, this node announces to the members
@@ -53,14 +53,14 @@
 	err := s.node.keys.Commit(context.Background(), request)
 	if err == nil {
 		s.node.log.Emit(observe.KeysInherited, observe.Str("from", string(request.From)))
-		s.node.tellInherited()
+		s.node.announceInherited()
 	}
-	return reply.of(err)
+	return reply.setError(err)
 }
 
 // Abort is called by net/rpc.
 func (s *handoverServer) Abort(request atmostonce.AbortRequest, reply *HandoverReply) error {
-	return reply.of(s.node.keys.Abort(context.Background(), request))
+	return reply.setError(s.node.keys.Abort(context.Background(), request))
 }
 
 // newHandoverServer returns the RPC server behind handoverPath.
@@ -132,9 +132,9 @@
 	return err
 }
 
-// tellInherited announces to the members which incarnations' keys this node has
+// announceInherited announces to the members which incarnations' keys this node has
 // inherited.
-func (n *Node) tellInherited() {
+func (n *Node) announceInherited() {
 	var inherits []string
 	for _, home := range n.keys.Homes() {
 		if string(home) != n.id {
--- a/node/ids_test.go
+++ b/node/ids_test.go
@@ -14,7 +14,7 @@
 // upstream of it. Nodes used to refuse such long ids, and all requests upstream failed.
 // The call must run under its own id and must be found by it; records only store its
 // short form.
-func TestCallsFarDownTheGraphAreServed(t *testing.T) {
+func TestDeepCallsWithLongIDsAreServed(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		emitted := &events{}
 		front := f.addRouted("front", "front", 10, echo, logged(f.c, emitted))
--- a/node/keyed.go
+++ b/node/keyed.go
@@ -25,30 +25,30 @@
 	if err != nil {
 		return n.keyRefusal(req, err)
 	}
-	a := n.byVerdict(ctx, req, verdict)
+	a := n.followVerdict(ctx, req, verdict)
 	a.header.Set(call.HeaderIdempotencyKey, req.key)
 	return a
 }
 
 // begin presents the key to the key table. It waits for a concurrent presentation of
 // the same key until the deadline at most. While the table is handed over to a
-// successor, a new key waits for the end of the hand-over, for homeWait at most,
+// successor, a new key waits for the end of the hand-over, for ownerWait at most,
 // instead of being refused at once.
 func (n *Node) begin(ctx context.Context, req *request) (atmostonce.Verdict, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.deadline)
 	defer cancel()
-	until := n.now().Add(homeWait)
+	until := n.now().Add(ownerWait)
 	for {
 		verdict, err := n.keys.Begin(ctx, n.presentation(req))
 		var refused *atmostonce.RefusedError
 		moving := errors.As(err, &refused) && refused.Reason == call.ReasonDraining
-		if !moving || n.now().After(until) || !objects.Pause(ctx, homePause) {
+		if !moving || n.now().After(until) || !objects.Pause(ctx, ownerPollInterval) {
 			return verdict, err
 		}
 	}
 }
 
-func (n *Node) byVerdict(ctx context.Context, req *request, verdict atmostonce.Verdict) *answer {
+func (n *Node) followVerdict(ctx context.Context, req *request, verdict atmostonce.Verdict) *answer {
 	switch verdict.Kind {
 	case atmostonce.Replay:
 		n.log.Emit(observe.KeyReplayed, observe.Str("key", observe.RedactKey(req.key)))
@@ -57,9 +57,9 @@
 		if n.settings.Ablate.NoKeyHome {
 			return n.admitAndDispatch(ctx, req)
 		}
-		return n.forwardHome(ctx, req, string(verdict.Home))
+		return n.forwardToOwner(ctx, req, string(verdict.Home))
 	default:
-		return n.runAsHome(ctx, req, verdict.Run)
+		return n.runAsOwner(ctx, req, verdict.Run)
 	}
 }
 
@@ -141,13 +141,13 @@
 	return a
 }
 
-// runAsHome runs a call whose key this node owns.
+// runAsOwner runs a call whose key this node owns.
 //
 // Once the call may have been dispatched, the run is detached from its caller: a caller
 // that gives up and retries must find the answer of the first run, not a filing that
 // was stopped halfway. Before that point nothing has been done for the call, and it is
 // dropped if its caller has gone.
-func (n *Node) runAsHome(ctx context.Context, req *request, run *atmostonce.Run) *answer {
+func (n *Node) runAsOwner(ctx context.Context, req *request, run *atmostonce.Run) *answer {
 	defer run.Close()
 	if ctx.Err() != nil {
 		return n.settle(run, n.refuse(call.NotRun, call.ReasonCancelled, 0))
@@ -155,7 +155,7 @@
 	if refused := n.refuseBelow(req); refused != nil {
 		return n.settle(run, refused)
 	}
-	note := n.tellWitness(ctx, req)
+	note := n.notifyWitness(ctx, req)
 	if ctx.Err() != nil {
 		n.settleNote(note)
 		return n.settle(run, n.refuse(call.NotRun, call.ReasonCancelled, 0))
@@ -189,35 +189,35 @@
 			// The table can't release the key, for example because a hand-over has
 			// taken the claim back. Another presentation may run the key, so the caller
 			// must not be told not-run.
-			n.keyError(err)
+			n.logKeyError(err)
 			return n.refuse(call.Unknown, a.report.Reason, 0)
 		}
 		return a
 	case call.Unknown:
-		n.keyError(run.Unknown(a.report.Reason))
+		n.logKeyError(run.Unknown(a.report.Reason))
 		return a
 	}
-	return n.keep(run, a)
+	return n.storeAnswer(run, a)
 }
 
-// keep reads the answer, up to MaxAnswerBytes, and stores it in the key table.
-func (n *Node) keep(run *atmostonce.Run, a *answer) *answer {
+// storeAnswer reads the answer, up to MaxAnswerBytes, and stores it in the key table.
+func (n *Node) storeAnswer(run *atmostonce.Run, a *answer) *answer {
 	held, err := readBody(a.body, -1, n.settings.MaxAnswerBytes)
 	if err != nil {
-		n.keyError(run.Unknown(call.ReasonTruncated))
+		n.logKeyError(run.Unknown(call.ReasonTruncated))
 		a.close()
 		return n.refuse(call.Unknown, call.ReasonTruncated, 0)
 	}
 	if !held.whole() {
 		// The answer is too large to store. The table records only that the call has
 		// completed; a later presentation is told that the answer is not held.
-		n.keyError(run.DoneUnheld())
+		n.logKeyError(run.DoneUnheld())
 		body, _ := held.open()
 		a.body = &joinedBody{Reader: body, source: a.body}
 		return a
 	}
 	stored := atmostonce.Answer{Status: a.status, Header: a.header.Clone(), Body: held.head, Trailer: a.trailers().Clone(), At: n.now()}
-	n.keyError(run.Done(stored))
+	n.logKeyError(run.Done(stored))
 	a.close()
 	a.trailer = a.trailers()
 	a.resp = nil
@@ -225,9 +225,9 @@
 	return a
 }
 
-// keyError logs the error of a state change that the run's or the table's state does
+// logKeyError logs the error of a state change that the run's or the table's state does
 // not allow.
-func (n *Node) keyError(err error) {
+func (n *Node) logKeyError(err error) {
 	if err != nil {
 		n.log.Emit(observe.KeyState, observe.Err(err))
 	}
--- a/node/keyed_test.go
+++ b/node/keyed_test.go
@@ -66,7 +66,7 @@
 // The owner of a key is lost while its filing runs, and the caller retries at another
 // node. That node can't know whether the filing ran. The caller must get the outcome
 // unknown, and the filing must not run again, neither then nor later.
-func TestLostHomeLeavesTheFateUnknown(t *testing.T) {
+func TestLostOwnerLeavesTheFateUnknown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, c := f.threeFilers(fileSlowly)
 		key := f.mintAt(a)
@@ -201,7 +201,7 @@
 		f.c.Assert(a.keys.HandOver(f.t.Context(), atmostonce.Incarnation(f.nodes["b"].ID()), lost), qt.IsNotNil)
 		gone, cancel := context.WithCancel(f.t.Context())
 		cancel()
-		got := a.runAsHome(gone, &request{}, verdict.Run)
+		got := a.runAsOwner(gone, &request{}, verdict.Run)
 		f.c.Check(got.report.Outcome, qt.Equals, call.Unknown)
 	})
 }
@@ -211,7 +211,7 @@
 // their callers retry at a third node and get the outcome unknown. The lost key table
 // contained all of them. An operator must still find all of them on the remaining
 // nodes, each once however often a caller retries, and none that completed.
-func TestFilingsOfALostHomeStayListed(t *testing.T) {
+func TestFilingsOfALostOwnerStayListed(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, c := f.threeFilers(fileSlowly)
 		listed := func(n *Node) []FateView {
--- a/node/keyhome.go
+++ b/node/keyhome.go
@@ -19,54 +19,54 @@
 const maxHomeHops = 4
 
 const (
-	// homeWait bounds how long a call waits to learn which member owns the keys of a
-	// node that has left or has only just started. homePause is the time between two
-	// checks. The membership update takes a few rounds of gossip.
-	homeWait  = 2 * time.Second
-	homePause = 50 * time.Millisecond
+	// ownerWait bounds how long a call waits to learn which member owns the keys of a
+	// node that has left or has only just started. ownerPollInterval is the time
+	// between two checks. The membership update takes a few rounds of gossip.
+	ownerWait         = 2 * time.Second
+	ownerPollInterval = 50 * time.Millisecond
 )
 
-// forwardHome forwards the call to the owner of its key. Whatever fails on the way, the
-// answer is never not-run unless the owner reports it: an earlier presentation may have
-// run the key there.
+// forwardToOwner forwards the call to the owner of its key. Whatever fails on the way,
+// the answer is never not-run unless the owner reports it: an earlier presentation may
+// have run the key there.
 //
 // A node that drains hands its keys over and exits. Until gossip has spread its
 // successor, other nodes would still forward calls to it or consider its keys lost, and
 // a graceful exit would leave callers with an unknown outcome. A call that provably
 // never left this node is therefore forwarded again.
-func (n *Node) forwardHome(ctx context.Context, req *request, home string) *answer {
-	until := n.now().Add(homeWait)
+func (n *Node) forwardToOwner(ctx context.Context, req *request, owner string) *answer {
+	until := n.now().Add(ownerWait)
 	if req.deadline.Before(until) {
 		until = req.deadline
 	}
 	for {
-		if slices.Contains(n.keys.Homes(), atmostonce.Incarnation(home)) {
+		if slices.Contains(n.keys.Homes(), atmostonce.Incarnation(owner)) {
 			// This node has taken over the keys since the key table was asked.
 			return n.runKeyed(ctx, req)
 		}
 		last := n.now().After(until)
-		a := n.tryHome(ctx, req, home, last)
+		a := n.tryOwner(ctx, req, owner, last)
 		if a != nil && (a.reported || a.report.Outcome != call.NotRun) {
 			return a
 		}
-		if last || !req.body.rewind() || !objects.Pause(ctx, homePause) {
-			return n.homeUnreached(ctx, req, home, a)
+		if last || !req.body.rewind() || !objects.Pause(ctx, ownerPollInterval) {
+			return n.answerUnreached(ctx, req, owner, a)
 		}
 	}
 }
 
-// tryHome forwards the call once. Unless this is the last try, it returns nil while no
-// known member owns the keys of home yet, or while this node is likely to take them
+// tryOwner forwards the call once. Unless this is the last try, it returns nil while no
+// known member has the owner's keys yet, or while this node is likely to take them
 // over.
-func (n *Node) tryHome(ctx context.Context, req *request, home string, last bool) *answer {
-	member, ok := n.findHome(home)
+func (n *Node) tryOwner(ctx context.Context, req *request, owner string, last bool) *answer {
+	member, ok := n.findHome(owner)
 	switch {
-	case !ok && n.maySoonBeKnown(home):
+	case !ok && n.ownerMayAppear(owner):
 		return nil
-	case !last && n.mayInherit(req):
+	case !last && n.mayBecomeOwner(req):
 		return nil
 	case !ok, req.homeHops >= maxHomeHops:
-		return n.recall(ctx, req, home)
+		return n.recallFate(ctx, req, owner)
 	}
 	a := n.attemptPeer(ctx, member.Addr, req, req.call.Credit, strconv.Itoa(req.homeHops+1))
 	a.decision = observe.Forwarded
@@ -74,12 +74,12 @@
 	return a
 }
 
-// homeUnreached answers for an owner that could not be reached in time. a is the answer
-// of the last try, nil if there is none.
-func (n *Node) homeUnreached(ctx context.Context, req *request, home string, a *answer) *answer {
+// answerUnreached answers for an owner that could not be reached in time. a is the
+// answer of the last try, nil if there is none.
+func (n *Node) answerUnreached(ctx context.Context, req *request, owner string, a *answer) *answer {
 	if a == nil {
-		a = n.recall(ctx, req, home)
-		a.home = home
+		a = n.recallFate(ctx, req, owner)
+		a.home = owner
 		return a
 	}
 	a.report.Outcome = call.Unknown
@@ -87,23 +87,23 @@
 	return a
 }
 
-// maySoonBeKnown reports whether a membership update about home may still be on its
-// way: either home left gracefully and another member has its keys, or it has only just
-// started and is not known here yet.
-func (n *Node) maySoonBeKnown(home string) bool {
-	_, state, ok := n.gossip.Lookup(home)
+// ownerMayAppear reports whether a membership update about owner may still be on its
+// way: either owner left gracefully and another member has its keys, or it has only
+// just started and is not known here yet.
+func (n *Node) ownerMayAppear(owner string) bool {
+	_, state, ok := n.gossip.Lookup(owner)
 	return !ok || state == membership.Left
 }
 
-// mayInherit reports whether this node may become the owner of the call's key at any
-// moment: another node forwarded the call here, and this node does not own the key.
+// mayBecomeOwner reports whether this node may become the owner of the call's key at
+// any moment: another node forwarded the call here, and this node does not own the key.
 //
 // A node that hands its keys over forwards calls to its successor even before the
 // commit is sent. A call that overtook the commit used to be forwarded back and forth
 // until its hops were used up, and its caller was told that the key's home is gone. It
 // is enough to wait at the successor: a node only forwards a call to the member that it
 // considers the owner or that it is making the owner.
-func (n *Node) mayInherit(req *request) bool { return req.homeHops > 0 && n.keys.Active() }
+func (n *Node) mayBecomeOwner(req *request) bool { return req.homeHops > 0 && n.keys.Active() }
 
 // findHome returns the living member that owns the keys of an incarnation: that
 // incarnation itself, or the member that took over its keys.
@@ -120,12 +120,13 @@
 	return membership.Member{}, false
 }
 
-// recall reads the fate of a key whose owner is gone from the platform's claim store.
-func (n *Node) recall(ctx context.Context, req *request, home string) *answer {
+// recallFate looks up the fate of a key whose owner is gone in the platform's claim
+// store.
+func (n *Node) recallFate(ctx context.Context, req *request, owner string) *answer {
 	verdict, err := n.keys.Recall(ctx, req.key)
 	if err == nil {
 		return n.replay(verdict.Answer)
 	}
-	n.log.Emit(observe.KeyHomeGone, observe.Str("key", observe.RedactKey(req.key)), observe.Str("home", home))
+	n.log.Emit(observe.KeyHomeGone, observe.Str("key", observe.RedactKey(req.key)), observe.Str("home", owner))
 	return n.keyRefusal(req, err)
 }
--- a/node/members.go
+++ b/node/members.go
@@ -36,7 +36,7 @@
 	}
 	if n.spoken() {
 		cfg.TryLeft = true
-		cfg.HealInterval = healInDialect
+		cfg.HealInterval = dialectHealInterval
 	}
 	gossip, err := membership.New(cfg)
 	if err != nil {
@@ -44,8 +44,8 @@
 	}
 	n.gossip = gossip
 	n.memberChanges = newMemberChanges(n.log, n.id)
-	refresh := newCoalescer(refreshPause, n.refreshTargets)
-	report := newCoalescer(reportPause, func() { n.memberChanges.look(gossip) })
+	refresh := newCoalescer(minRefreshInterval, n.refreshTargets)
+	report := newCoalescer(minReportInterval, func() { n.memberChanges.look(gossip) })
 	gossip.Subscribe(refresh.ask)
 	gossip.Subscribe(report.ask)
 	n.done.Go(func() { refresh.run(ctx) })
@@ -53,17 +53,17 @@
 	return gossip.Start(ctx)
 }
 
-// slowStartInDialect is how long a new node takes to get its full share of calls when a
+// dialectSlowStart is how long a new node takes to get its full share of calls when a
 // dialect is used. Upstreams there are slow for three seconds after their start, and an
 // upstream whose node alone was restarted is not slow at all. With the routing's
 // default of 10 s, most of a zone's calls go to other zones after each restart: while
 // the nodes of a service restarted in turn, the remaining ones got more calls than they
 // can handle.
-const slowStartInDialect = 3 * time.Second
+const dialectSlowStart = 3 * time.Second
 
 func (n *Node) slowStart() time.Duration {
 	if n.spoken() {
-		return slowStartInDialect
+		return dialectSlowStart
 	}
 	return routing.DefaultSlowStart
 }
@@ -74,13 +74,13 @@
 	return cmp.Or(n.settings.AdvertiseGossip, n.Addr(GossipListener))
 }
 
-// healInDialect is the time between two attempts to reach a member that is gone when a
-// dialect is used. If nodes restart at their addresses while the platform's store is
-// unavailable, only the other members can bring them back, and every second without
-// them matters.
-const healInDialect = time.Second
+// dialectHealInterval is the time between two attempts to reach a member that is gone
+// when a dialect is used. If nodes restart at their addresses while the platform's
+// store is unavailable, only the other members can bring them back, and every second
+// without them matters.
+const dialectHealInterval = time.Second
 
-// refreshPause is the minimum time between two refreshes of the targets.
+// minRefreshInterval is the minimum time between two refreshes of the targets.
 //
 // The cost of a refresh grows with the number of members, and the refresh used to run
 // for each change, before the peer got its response. When many of some hundred members
@@ -88,11 +88,11 @@
 // then considered this node dead, which caused more changes. A single change is still
 // applied at once. In a burst of changes the work is bounded, and a target that has
 // gone is tried for at most this much longer.
-const refreshPause = 100 * time.Millisecond
+const minRefreshInterval = 100 * time.Millisecond
 
-// reportPause is the minimum time between two reports of membership changes in the log.
-// A member that comes and goes between two reports is not logged.
-const reportPause = time.Second
+// minReportInterval is the minimum time between two reports of membership changes in
+// the log. A member that comes and goes between two reports is not logged.
+const minReportInterval = time.Second
 
 // joinTime is how long a node that has just started only takes calls from outside. It
 // announces its upstream to the other nodes, which then send it calls, after it has had
@@ -109,7 +109,7 @@
 	n.ownSlots.Store(int64(slots))
 	n.refreshTargets()
 	if n.joined.Load() {
-		n.tellSlots()
+		n.announceSlots()
 	}
 }
 
@@ -119,13 +119,13 @@
 	if n.awaitJoined(ctx) {
 		n.joined.Store(true)
 		if n.ownSlots.Load() > 0 {
-			n.tellSlots()
+			n.announceSlots()
 		}
 	}
 }
 
-// joinPoll is the time between two checks whether this node has joined.
-const joinPoll = 50 * time.Millisecond
+// joinPollInterval is the time between two checks whether this node has joined.
+const joinPollInterval = 50 * time.Millisecond
 
 // awaitJoined waits until other nodes may send calls to this node, and returns false if
 // ctx ends first. It waits for joinTime. With a dialect it returns earlier, as soon as
@@ -139,14 +139,14 @@
 		if n.spoken() && n.config.Status().Heard && known > 1 && known == before {
 			return true
 		}
-		if !objects.Pause(ctx, joinPoll) {
+		if !objects.Pause(ctx, joinPollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-func (n *Node) tellSlots() {
+func (n *Node) announceSlots() {
 	err := n.gossip.Update(func(m *membership.Member) { m.Slots = int(n.ownSlots.Load()) })
 	if err != nil {
 		n.log.Emit(observe.NodeFailed, observe.Err(err))
@@ -160,13 +160,13 @@
 	if !news {
 		return
 	}
-	told := make([]membership.WorkTime, 0, len(times))
+	announced := make([]membership.WorkTime, 0, len(times))
 	for _, one := range times {
 		if one.Profile != 0 {
-			told = append(told, membership.WorkTime(one))
+			announced = append(announced, membership.WorkTime(one))
 		}
 	}
-	err := n.gossip.Update(func(m *membership.Member) { m.WorkTimes = told })
+	err := n.gossip.Update(func(m *membership.Member) { m.WorkTimes = announced })
 	if err != nil {
 		n.log.Emit(observe.NodeFailed, observe.Err(err))
 	}
--- a/node/openclaims.go
+++ b/node/openclaims.go
@@ -53,7 +53,7 @@
 	for _, o := range found {
 		claim, err := decodeClaim(o.Value)
 		expires := time.Unix(claim.ExpiresUnix, 0)
-		if err != nil || claim.State == atmostonce.StateDone || !now.Before(expires) || n.homeKept(claim.Home) {
+		if err != nil || claim.State == atmostonce.StateDone || !now.Before(expires) || n.hasOwner(claim.Home) {
 			continue
 		}
 		fates = append(fates, FateView{
--- a/node/openclaims_test.go
+++ b/node/openclaims_test.go
@@ -16,9 +16,9 @@
 func (f *fleet) claimsAt(n *Node) []FateView {
 	var all []FateView
 	for _, part := range ClaimParts() {
-		asked, err := decodeFates(f.t.Context(), httptest.NewRequest("GET", PathFates+"?claims="+part, nil))
+		query, err := decodeFates(f.t.Context(), httptest.NewRequest("GET", PathFates+"?claims="+part, nil))
 		f.c.Assert(err, qt.IsNil)
-		response, err := n.fatesEndpoint()(f.t.Context(), asked)
+		response, err := n.fatesEndpoint()(f.t.Context(), query)
 		f.c.Assert(err, qt.IsNil)
 		all = append(all, response.(FatesResponse).Fates...)
 	}
@@ -28,7 +28,7 @@
 // A VM is lost with filings in flight whose callers brought their keys. An operator
 // must find the lost VM's claims, which are still in the platform, but no claims of
 // living nodes, no claim whose outcome was recorded and no expired claim.
-func TestOpenClaimsOfALostHomeAreListed(t *testing.T) {
+func TestOpenClaimsOfALostOwnerAreListed(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(strings.Replace(filingProfiles, "unrepeatable: true, key: optional, record: none", "unrepeatable: true, key: optional, record: claim", 1))
 		shortly := func(s *Settings) { s.KeyWindow = time.Minute }
--- a/node/peer.go
+++ b/node/peer.go
@@ -21,7 +21,7 @@
 		n.serveHandover(w, r)
 		return
 	}
-	if n.takesNotes(r) {
+	if n.isNotesRequest(r) {
 		n.serveWitness(w, r)
 		return
 	}
--- a/node/peerroom_test.go
+++ b/node/peerroom_test.go
@@ -11,7 +11,7 @@
 )
 
 // Capacity is bounded per node and in total, and is available again after its release.
-func TestPeerRoomIsBounded(t *testing.T) {
+func TestPeerCapacityIsBounded(t *testing.T) {
 	c := qt.New(t)
 	room := newPeerRoom(2, 3)
 	c.Check(room.enter("a"), qt.IsTrue)
@@ -44,9 +44,9 @@
 		f.settle()
 		ask := func(n int) (served, refused int) {
 			var mu sync.Mutex
-			var asked sync.WaitGroup
+			var pending sync.WaitGroup
 			for i := range n {
-				asked.Go(func() {
+				pending.Go(func() {
 					start := time.Now()
 					got := f.askRouted(front, "/browse/x", strconv.Itoa(i))
 					took := time.Since(start)
@@ -62,7 +62,7 @@
 					f.c.Check(took < work/10, qt.IsTrue, qt.Commentf("refused after %s", took))
 				})
 			}
-			asked.Wait()
+			pending.Wait()
 			return served, refused
 		}
 		served, refused := ask(6)
--- a/node/stale_news_test.go
+++ b/node/stale_news_test.go
@@ -15,7 +15,7 @@
 // runs another build. Its watch then lists the object again. If that counted as a later
 // version, the nodes would keep passing the version number on to each other, and each
 // would tell callers without a route to retry, until operators store a higher version.
-func TestUnreadableObjectOfAVersionInForceIsNoNews(t *testing.T) {
+func TestUnreadableObjectOfAVersionInForceIsNoLaterVersion(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.storeUnreadable() // version 2
 		watching := f.addRouted("watching", "desk", 10, echo)
@@ -41,7 +41,7 @@
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("vm", "desk", 10, echo)
 		f.settle()
-		n.takeConfig(objects.Object{Kind: config.ObjectKind, Name: config.ObjectName, Value: []byte("{")})
+		n.applyConfigObject(objects.Object{Kind: config.ObjectKind, Name: config.ObjectName, Value: []byte("{")})
 		f.c.Check(f.askRouted(n, "/nowhere/x", "a").reason, qt.Equals, "config-behind")
 		next, err := config.Parse([]byte(strings.Replace(routedSet, "version: 1", "version: 2", 1)), config.YAML)
 		f.c.Assert(err, qt.IsNil)
--- a/node/sync.go
+++ b/node/sync.go
@@ -61,7 +61,7 @@
 // one in force, and announces it to the members.
 func (n *Node) offerConfig(data []byte, source config.Source) {
 	accepted, err := n.config.Offer(data, source)
-	n.noteOffer(accepted, err)
+	n.reportOffer(accepted, err)
 }
 
 // OfferConfig passes a configuration to this node directly, for embedding without a
@@ -69,13 +69,13 @@
 // higher.
 func (n *Node) OfferConfig(set config.Set) error {
 	accepted, err := n.config.OfferSet(set, config.SourcePeer)
-	n.noteOffer(accepted, err)
+	n.reportOffer(accepted, err)
 	return err
 }
 
-// noteOffer logs the result of an offered configuration and announces an accepted one
+// reportOffer logs the result of an offered configuration and announces an accepted one
 // to the members.
-func (n *Node) noteOffer(accepted bool, err error) {
+func (n *Node) reportOffer(accepted bool, err error) {
 	var fork *config.ForkError
 	switch {
 	case errors.As(err, &fork):
@@ -101,17 +101,17 @@
 	// others learn of changes through gossip. The platform counts a waiting watch as a
 	// call, and its rate limits grow more slowly than the fleet.
 	watchersPerZone = 2
-	// watchersInDialect is higher: with a dialect the platform may reject single VMs,
-	// delay its responses or interrupt watches, so that half of a zone may get no
+	// dialectWatchersPerZone is higher: with a dialect the platform may reject single
+	// VMs, delay its responses or interrupt watches, so that half of a zone may get no
 	// updates.
-	watchersInDialect = 4
-	electInterval     = 5 * time.Second
-	// firstElection is the time of the first election, after the node has joined. A
-	// node that has just started knows no other members and would elect itself. When
+	dialectWatchersPerZone = 4
+	electInterval          = 5 * time.Second
+	// firstElectionDelay is the time of the first election, after the node has joined.
+	// A node that has just started knows no other members and would elect itself. When
 	// all nodes of a fleet start, each would list and watch for a moment, which is more
 	// reads than the platform allows. The configuration is read at the start in any
 	// case.
-	firstElection = time.Second
+	firstElectionDelay = time.Second
 )
 
 // startConfig keeps the configuration up to date: this node watches the platform while
@@ -133,7 +133,7 @@
 			stopWatch()
 		}
 	}()
-	wait := firstElection
+	wait := firstElectionDelay
 	n.fetchConfig(ctx)
 	for {
 		select {
@@ -155,7 +155,7 @@
 
 // fetchConfig reads the configuration once, at the start.
 func (n *Node) fetchConfig(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, bootstrapTime)
+	ctx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
 	defer cancel()
 	kind, name := n.configObject()
 	o, err := n.store.Get(ctx, kind, name)
@@ -167,7 +167,7 @@
 		n.log.Emit(observe.ConfigDefault, observe.Err(err))
 		return
 	}
-	n.takeConfig(o)
+	n.applyConfigObject(o)
 }
 
 func (n *Node) startWatch(ctx context.Context) context.CancelFunc {
@@ -176,25 +176,25 @@
 	watcher := &objects.Watcher{
 		Store:   n.store,
 		Kind:    kind,
-		Handle:  func(e objects.Event) { n.takeConfig(e.Object) },
+		Handle:  func(e objects.Event) { n.applyConfigObject(e.Object) },
 		Backoff: objects.Backoff{Max: config.DefaultFollowBackoff},
 	}
 	n.done.Go(func() { watcher.Run(ctx) })
 	return cancel
 }
 
-// takeConfig applies the object that holds the configuration and ignores all other
-// objects of its kind.
-func (n *Node) takeConfig(o objects.Object) {
+// applyConfigObject applies the object that holds the configuration and ignores all
+// other objects of its kind.
+func (n *Node) applyConfigObject(o objects.Object) {
 	if _, name := n.configObject(); o.Name != name || len(o.Value) == 0 {
 		return
 	}
 	if n.spoken() {
-		n.takeSpokenConfig(o)
+		n.applyDialectConfig(o)
 		return
 	}
 	n.noteStored(config.StoredVersion(o.Value))
-	n.noteOffer(n.config.OfferObject(o))
+	n.reportOffer(n.config.OfferObject(o))
 }
 
 // configObject returns the kind and name of the object that holds the configuration.
@@ -205,37 +205,37 @@
 	return n.settings.ConfigKind, n.settings.ConfigName
 }
 
-// takeSpokenConfig applies a configuration in the format of the dialect.
-func (n *Node) takeSpokenConfig(o objects.Object) {
+// applyDialectConfig applies a configuration in the format of the dialect.
+func (n *Node) applyDialectConfig(o objects.Object) {
 	set, err := n.settings.Dialect.DecodeConfig(o.Value)
 	n.noteStored(set.Version, err == nil || set.Version > 0)
 	if err != nil {
-		n.noteOffer(false, err)
+		n.reportOffer(false, err)
 		return
 	}
-	n.noteOffer(n.config.OfferSet(set, config.SourcePlatform))
+	n.reportOffer(n.config.OfferSet(set, config.SourcePlatform))
 }
 
 // watchesPlatform reports whether this node is among the first nodes of its zone. The
 // order of two nodes does not change as members come and go.
 func (n *Node) watchesPlatform() bool {
-	ahead := 0
+	earlier := 0
 	own := watchRank(n.id)
 	for _, m := range n.gossip.Members() {
 		if m.Zone != n.settings.Zone || m.ID == n.id {
 			continue
 		}
 		if cmp.Compare(watchRank(m.ID), own) < 0 {
-			ahead++
+			earlier++
 		}
 	}
-	return ahead < n.watchers()
+	return earlier < n.watchers()
 }
 
 // watchers returns how many nodes of a zone watch the platform.
 func (n *Node) watchers() int {
 	if n.spoken() {
-		return watchersInDialect
+		return dialectWatchersPerZone
 	}
 	return watchersPerZone
 }
--- a/node/witness.go
+++ b/node/witness.go
@@ -21,52 +21,52 @@
 	// witnessWait bounds how long a call waits for its witness to confirm the note.
 	// After that the call is dispatched without a witness.
 	witnessWait = 100 * time.Millisecond
-	// witnessPause is the time between two rounds of updates about notes that are
-	// settled or have no witness. witnessRound bounds one message of such a round.
-	witnessPause = time.Second
-	witnessRound = time.Second
-	// witnessShunned is how long a member that did not confirm a message is not chosen
-	// as a witness.
-	witnessShunned = 10 * time.Second
+	// witnessInterval is the time between two rounds of updates about notes that are
+	// settled or have no witness. witnessTimeout bounds one message of such a round.
+	witnessInterval = time.Second
+	witnessTimeout  = time.Second
+	// witnessAvoidTime is how long a member that did not confirm a message is not
+	// chosen as a witness.
+	witnessAvoidTime = 10 * time.Second
 	// witnessConns bounds the connections to one witness. They are separate from the
 	// connections for calls, all of which are in use during an overload.
 	witnessConns = 16
-	// maxNoted bounds the open notes about this node's own calls, maxWitnessed the
+	// maxOwnNotes bounds the open notes about this node's own calls, maxHeldNotes the
 	// notes stored here for other nodes, and maxNotesSent the notes in one message.
-	maxNoted     = 4096
-	maxWitnessed = 4096
+	maxOwnNotes  = 4096
+	maxHeldNotes = 4096
 	maxNotesSent = 100
 )
 
 // Values of the label "result" of the metric that counts witness notes.
 const (
-	noteTold     = "told"
-	noteFailed   = "failed"
-	noteNoMember = "no-member"
-	noteTooMany  = "too-many"
-	noteNoTime   = "no-time"
+	noteConfirmed = "told"
+	noteFailed    = "failed"
+	noteNoMember  = "no-member"
+	noteTooMany   = "too-many"
+	noteNoTime    = "no-time"
 )
 
-// witnesses holds the notes of both roles of a node: noted are those about its own
-// calls that other members witness, kept are those that it witnesses for other members.
-// shun holds the members that are not chosen as a witness for now.
+// witnesses holds the notes of both roles of a node: ownNotes are those about its own
+// calls that other members witness, heldNotes are those that it witnesses for other
+// members. avoided holds the members that are not chosen as a witness for now.
 type witnesses struct {
-	noted     *atmostonce.Noted
-	kept      *atmostonce.Witnessed
-	shun      *shunList
+	ownNotes  *atmostonce.Noted
+	heldNotes *atmostonce.Witnessed
+	avoided   *avoidList
 	transport *http.Transport
 }
 
 func newWitnesses(network Network) *witnesses {
 	return &witnesses{
-		noted:     atmostonce.NewNoted(maxNoted),
-		kept:      atmostonce.NewWitnessed(maxWitnessed),
-		shun:      newShunList(),
+		ownNotes:  atmostonce.NewNoted(maxOwnNotes),
+		heldNotes: atmostonce.NewWitnessed(maxHeldNotes),
+		avoided:   newAvoidList(),
 		transport: newTransport(network, witnessConns),
 	}
 }
 
-// tellWitness sends a note about a call that is about to be dispatched to another
+// notifyWitness sends a note about a call that is about to be dispatched to another
 // member, the witness. It returns the note's number, or 0 if there is no note.
 //
 // Without a witness, a lost VM takes its key table with it while filings are in flight.
@@ -74,13 +74,13 @@
 // that there is something to look up. A witness that learned of a call before the
 // dispatch lists it for operators. The witness can't run the call, no node asks it
 // whether a key may run, and the call goes on if the witness does not respond.
-func (n *Node) tellWitness(ctx context.Context, req *request) uint64 {
+func (n *Node) notifyWitness(ctx context.Context, req *request) uint64 {
 	if req.profile.Record != config.RecordPeer || n.settings.Ablate.NoWitness {
 		return 0
 	}
 	now := n.now()
 	member, cause := n.witnessFor(req, now)
-	note, ok := n.witnesses.noted.Add(atmostonce.Note{
+	note, ok := n.witnesses.ownNotes.Add(atmostonce.Note{
 		Key:     observe.RedactKey(req.key),
 		Request: req.call.RequestID,
 		Profile: req.call.Profile,
@@ -89,10 +89,10 @@
 	}, member.ID)
 	switch {
 	case !ok:
-		n.unwitnessed(noteTooMany, nil)
+		n.reportUnwitnessed(noteTooMany, nil)
 		return 0
 	case cause != "":
-		n.unwitnessed(cause, nil)
+		n.reportUnwitnessed(cause, nil)
 		return note.Number
 	}
 	// The caller's cancellation must not count as a failure of the witness.
@@ -123,12 +123,12 @@
 // node is lost.
 func (n *Node) settleNote(number uint64) {
 	if number != 0 {
-		n.witnesses.noted.Settle(number)
+		n.witnesses.ownNotes.Settle(number)
 	}
 }
 
-// unwitnessed logs and counts a call or a message without a witness.
-func (n *Node) unwitnessed(cause string, err error) {
+// reportUnwitnessed logs and counts a call or a message without a witness.
+func (n *Node) reportUnwitnessed(cause string, err error) {
 	n.metrics.WitnessNotes.With(cause).Inc(1)
 	fields := []observe.Field{observe.Str("cause", cause)}
 	if err != nil {
@@ -140,23 +140,23 @@
 // sendNotes sends notes and records whether the member confirmed them.
 func (n *Node) sendNotes(ctx context.Context, to membership.Member, m witnessMessage) error {
 	err := n.sendWitness(ctx, to, m)
-	n.witnesses.noted.Sent(m.Notes, to.ID, err == nil)
+	n.witnesses.ownNotes.Sent(m.Notes, to.ID, err == nil)
 	if err != nil {
-		n.unwitnessed(noteFailed, err)
+		n.reportUnwitnessed(noteFailed, err)
 		return err
 	}
-	n.metrics.WitnessNotes.With(noteTold).Inc(int64(len(m.Notes)))
+	n.metrics.WitnessNotes.With(noteConfirmed).Inc(int64(len(m.Notes)))
 	return nil
 }
 
 // sendWitness sends one message and waits until the member confirms it. A member that
-// fails is not chosen as a witness for witnessShunned. Otherwise each call would wait
+// fails is not chosen as a witness for witnessAvoidTime. Otherwise each call would wait
 // in vain for a member that is lost or runs a build without notes.
 func (n *Node) sendWitness(ctx context.Context, to membership.Member, m witnessMessage) error {
 	m.Home = n.id
 	err := n.postWitness(ctx, to.Addr, m)
 	if err != nil {
-		n.witnesses.shun.add(to.ID, n.now().Add(witnessShunned))
+		n.witnesses.avoided.add(to.ID, n.now().Add(witnessAvoidTime))
 	}
 	return err
 }
@@ -193,7 +193,7 @@
 func (n *Node) pickWitness(now time.Time) (membership.Member, bool) {
 	var candidates []membership.Member
 	for _, m := range n.gossip.Members() {
-		if m.ID != n.id && !m.Draining && m.Region == n.settings.Region && !n.witnesses.shun.has(m.ID, now) {
+		if m.ID != n.id && !m.Draining && m.Region == n.settings.Region && !n.witnesses.avoided.has(m.ID, now) {
 			candidates = append(candidates, m)
 		}
 	}
@@ -209,17 +209,17 @@
 	}), true
 }
 
-// pairRank returns a rank of member that depends on home, so that each node orders the
+// pairRank returns a rank of member that depends on node, so that each node orders the
 // members differently.
-func pairRank(home, member string) uint64 {
+func pairRank(node, member string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(home + member))
+	_, _ = hash.Write([]byte(node + member))
 	return hash.Sum64()
 }
 
 // runWitness updates the witnesses at regular intervals until ctx ends.
 func (n *Node) runWitness(ctx context.Context) {
-	for objects.Pause(ctx, witnessPause) {
+	for objects.Pause(ctx, witnessInterval) {
 		n.updateWitnesses(ctx)
 	}
 }
@@ -227,28 +227,28 @@
 // updateWitnesses reports settled notes to the members that have them, and sends notes
 // whose witness is gone to another member.
 func (n *Node) updateWitnesses(ctx context.Context) {
-	for _, id := range n.witnesses.noted.Stale() {
+	for _, id := range n.witnesses.ownNotes.Stale() {
 		n.updateWitness(ctx, id)
 	}
-	for range maxNoted / maxNotesSent {
-		notes := n.witnesses.noted.Missing(n.now(), n.mayWitness, maxNotesSent)
-		if len(notes) == 0 || !n.tellMissing(ctx, notes) {
+	for range maxOwnNotes / maxNotesSent {
+		notes := n.witnesses.ownNotes.Missing(n.now(), n.isPresent, maxNotesSent)
+		if len(notes) == 0 || !n.sendMissing(ctx, notes) {
 			return
 		}
 	}
 }
 
-// tellMissing sends notes without a living witness to a member and reports whether the
+// sendMissing sends notes without a living witness to a member and reports whether the
 // member confirmed them.
-func (n *Node) tellMissing(ctx context.Context, notes []atmostonce.Note) bool {
+func (n *Node) sendMissing(ctx context.Context, notes []atmostonce.Note) bool {
 	member, ok := n.pickWitness(n.now())
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, witnessRound)
+	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
 	defer cancel()
-	word := n.witnesses.noted.Offer(notes, member.ID)
-	return n.sendNotes(ctx, member, witnessMessage{Open: &word, Notes: notes}) == nil
+	open := n.witnesses.ownNotes.Offer(notes, member.ID)
+	return n.sendNotes(ctx, member, witnessMessage{Open: &open, Notes: notes}) == nil
 }
 
 // updateWitness sends one member the list of its notes that are still open. A member
@@ -258,21 +258,21 @@
 	member, state, ok := n.gossip.Lookup(id)
 	switch {
 	case !ok || state == membership.Left:
-		n.witnesses.noted.Forget(id)
+		n.witnesses.ownNotes.Forget(id)
 		return
-	case state == membership.Dead || n.witnesses.shun.has(id, n.now()):
+	case state == membership.Dead || n.witnesses.avoided.has(id, n.now()):
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, witnessRound)
+	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
 	defer cancel()
-	word := n.witnesses.noted.Word(id)
-	if err := n.sendWitness(ctx, member, witnessMessage{Open: &word}); err == nil {
-		n.witnesses.noted.Heard(id, word.Seq)
+	open := n.witnesses.ownNotes.Word(id)
+	if err := n.sendWitness(ctx, member, witnessMessage{Open: &open}); err == nil {
+		n.witnesses.ownNotes.Heard(id, open.Seq)
 	}
 }
 
-// mayWitness reports whether a member is alive or only suspected.
-func (n *Node) mayWitness(id string) bool {
+// isPresent reports whether a member is alive or only suspected.
+func (n *Node) isPresent(id string) bool {
 	_, state, ok := n.gossip.Lookup(id)
 	return ok && (state == membership.Alive || state == membership.Suspect)
 }
--- a/node/witness_test.go
+++ b/node/witness_test.go
@@ -68,7 +68,7 @@
 // A VM is lost with filings in flight that ran on it alone and whose callers never
 // retry. Its key table is lost with it, and no other node took part in the calls. Each
 // of these filings must be listed for operators, and no filing that completed.
-func TestFilingsThatOnlyTheLostHomeKnewAreListed(t *testing.T) {
+func TestFilingsThatOnlyTheLostOwnerKnewAreListed(t *testing.T) {
 	for _, adjust := range []func(*Settings){func(*Settings) {}, withoutWitness} {
 		inFleet(t, func(f *fleet) {
 			a, b, c := f.zonedFilers(fileSlowly, adjust)
@@ -77,7 +77,7 @@
 				want = 0
 			}
 			f.c.Check(f.file(a, f.mintAt(a)).outcome, qt.Equals, "complete")
-			time.Sleep(2 * witnessPause)
+			time.Sleep(2 * witnessInterval)
 			f.fileAt(a, 20)
 			f.c.Check(f.listed(b, c), qt.HasLen, 0)
 			f.lose("a")
@@ -96,13 +96,13 @@
 // in flight, and more filings arrive right then. One filing may wait for the witness,
 // once, and must complete. Another member must get all notes that the lost witness had:
 // when their owner is lost as well, all filings must be listed.
-func TestAnotherMemberIsToldWhenTheWitnessFails(t *testing.T) {
+func TestAnotherMemberGetsTheNotesWhenTheWitnessFails(t *testing.T) {
 	faults := map[string]func(f *fleet, name string){
 		"killed":      (*fleet).kill,
 		"paused":      func(f *fleet, name string) { f.net.Freeze(name) },
 		"partitioned": func(f *fleet, name string) { f.net.Cut("a", name) },
 	}
-	for fault, strike := range faults {
+	for fault, inject := range faults {
 		t.Run(fault, func(t *testing.T) {
 			inFleet(t, func(f *fleet) {
 				a, _, _ := f.zonedFilers(func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
@@ -111,8 +111,8 @@
 					}
 				})
 				f.fileAt(a, 5)
-				name, left := f.witnessOf(a)
-				strike(f, name)
+				name, remaining := f.witnessOf(a)
+				inject(f, name)
 				start := time.Now()
 				f.c.Check(f.ask(a, http.MethodPost, "/file", "X-Operation", "quick").outcome, qt.Equals, "complete")
 				f.c.Check(time.Since(start) <= witnessWait, qt.IsTrue, qt.Commentf("%s", time.Since(start)))
@@ -120,9 +120,9 @@
 				time.Sleep(30 * time.Second)
 				f.lose("a")
 				if fault == "partitioned" {
-					left = append(left, f.nodes[name])
+					remaining = append(remaining, f.nodes[name])
 				}
-				f.c.Check(f.listed(left...), qt.HasLen, 10)
+				f.c.Check(f.listed(remaining...), qt.HasLen, 10)
 				f.net.HealAll()
 				f.net.Thaw(name)
 			})
@@ -150,7 +150,7 @@
 // complete, and the successor takes over the unknown fate and lists it once. The
 // witness, which had notes of all, must list nothing. When the successor is lost too,
 // the unknown fate is in no table any more, and the witness must list it.
-func TestHomeThatLeavesIsNotLost(t *testing.T) {
+func TestOwnerThatLeavesIsNotLost(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(witnessedProfiles)
 		file := func(_ http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
@@ -166,7 +166,7 @@
 		f.settle()
 		f.c.Check(f.ask(a, http.MethodPost, "/file", "X-Operation", "breaks").outcome, qt.Equals, "unknown")
 		f.fileAt(a, 10)
-		f.c.Check(c.witnesses.kept.Len(), qt.Equals, 11)
+		f.c.Check(c.witnesses.heldNotes.Len(), qt.Equals, 11)
 		f.c.Assert(a.Drain(f.t.Context()), qt.IsNil)
 		delete(f.nodes, "a")
 		time.Sleep(5 * time.Second)
@@ -180,7 +180,7 @@
 // A node and its witness are lost at the same time. No member knows of the filings any
 // more, and they are not listed. The operators' page documents this limit; this test
 // should fail if it is ever lifted.
-func TestHomeAndWitnessLostTogether(t *testing.T) {
+func TestOwnerAndWitnessLostTogether(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, _, _ := f.zonedFilers(fileSlowly)
 		f.fileAt(a, 5)
@@ -206,21 +206,21 @@
 		f.c.Check(time.Since(start), qt.Equals, time.Duration(0))
 		f.c.Check(f.runs.of("filing", "op"), qt.Equals, 3)
 		f.c.Check(f.runs.of("filing", ""), qt.Equals, 0)
-		f.c.Check(a.metrics.WitnessNotes.With(noteTold).Count(), qt.Equals, int64(0))
+		f.c.Check(a.metrics.WitnessNotes.With(noteConfirmed).Count(), qt.Equals, int64(0))
 		f.c.Check(a.metrics.WitnessNotes.With(noteNoMember).Count() >= 2, qt.IsTrue)
 	})
 }
 
 // Requests on the peer port may not come from a member. An unknown member, a message
 // that exceeds the limits and invalid JSON must be refused and must leave no note.
-func TestNotesOfStrangersAreRefused(t *testing.T) {
+func TestNotesOfUnknownMembersAreRefused(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, _ := f.zonedFilers(answerOK)
 		long := atmostonce.Note{Number: 1, Key: strings.Repeat("x", maxNoteText+1)}
 		f.c.Check((&witnessMessage{Notes: make([]atmostonce.Note, maxNotesSent+1)}).check(), qt.IsNotNil)
 		f.c.Check((&witnessMessage{Notes: []atmostonce.Note{long}}).check(), qt.IsNotNil)
 		f.c.Check((&witnessMessage{Open: &atmostonce.OpenNotes{Numbers: []uint64{2, 1}}}).check(), qt.IsNotNil)
-		f.c.Check(b.takeNotes(witnessMessage{Home: "nobody", Notes: []atmostonce.Note{{Number: 1}}}), qt.Equals, http.StatusForbidden)
+		f.c.Check(b.storeNotes(witnessMessage{Home: "nobody", Notes: []atmostonce.Note{{Number: 1}}}), qt.Equals, http.StatusForbidden)
 		member, _, _ := a.gossip.Lookup(b.ID())
 		f.c.Check(a.postWitness(f.t.Context(), member.Addr, witnessMessage{Home: "nobody"}), qt.ErrorMatches, ".*Forbidden")
 		conn, err := f.net.Host("client").Dial(f.t.Context(), member.Addr)
@@ -229,7 +229,7 @@
 		_, _ = io.WriteString(conn, "POST "+witnessPath+" HTTP/1.0\r\nHost: "+witnessHost+"\r\nContent-Length: 3\r\n\r\n{]}")
 		answer, _ := io.ReadAll(conn)
 		f.c.Check(string(answer), qt.Contains, " 400 ")
-		f.c.Check(b.witnesses.kept.Len(), qt.Equals, 0)
+		f.c.Check(b.witnesses.heldNotes.Len(), qt.Equals, 0)
 	})
 }
 
@@ -249,8 +249,8 @@
 			w := httptest.NewRecorder()
 			b.serveWitness(w, httptest.NewRequest(http.MethodPost, witnessPath, strings.NewReader(strings.Replace(body, `"H"`, `"`+a.id+`"`, 1))))
 			f.c.Check(w.Code == http.StatusNoContent || w.Code >= http.StatusBadRequest, qt.IsTrue, qt.Commentf("%d", w.Code))
-			f.c.Check(b.witnesses.kept.Len() <= maxNotesSent, qt.IsTrue)
-			for _, note := range b.witnesses.kept.Lost(b.now(), func(atmostonce.Incarnation) bool { return false }) {
+			f.c.Check(b.witnesses.heldNotes.Len() <= maxNotesSent, qt.IsTrue)
+			for _, note := range b.witnesses.heldNotes.Lost(b.now(), func(atmostonce.Incarnation) bool { return false }) {
 				f.c.Check(len(note.Key) <= maxNoteText && note.Expires.Sub(b.now()) <= b.settings.KeyWindow, qt.IsTrue)
 			}
 		})
--- a/node/witnesscost_test.go
+++ b/node/witnesscost_test.go
@@ -105,20 +105,20 @@
 			}
 			witness := start("portal", func(*Settings) {})
 			network := &countedNetwork{Network: witness.network, to: func() string { return witness.Addr(PeerListener) }}
-			home := start("filing", func(s *Settings) {
+			owner := start("filing", func(s *Settings) {
 				s.Peers = []string{witness.Addr("gossip")}
 				s.Network = network
 			})
 			upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }))
 			b.Cleanup(upstream.Close)
-			c.Assert(home.Announce(Announcement{Service: "filing", Addr: upstream.Listener.Addr().String(), Slots: 10}), qt.IsNil)
-			for len(home.gossip.Members()) < 2 || home.config.Status().Version == 0 {
+			c.Assert(owner.Announce(Announcement{Service: "filing", Addr: upstream.Listener.Addr().String(), Slots: 10}), qt.IsNil)
+			for len(owner.gossip.Members()) < 2 || owner.config.Status().Version == 0 {
 				time.Sleep(10 * time.Millisecond)
 			}
 			time.Sleep(2 * joinTime)
 			network.bytes.Store(0)
 			for b.Loop() {
-				resp, err := http.Post("http://"+home.Addr(EdgeListener)+"/file", "text/plain", strings.NewReader("x"))
+				resp, err := http.Post("http://"+owner.Addr(EdgeListener)+"/file", "text/plain", strings.NewReader("x"))
 				c.Assert(err, qt.IsNil)
 				_, _ = io.Copy(io.Discard, resp.Body)
 				_ = resp.Body.Close()
--- a/node/witnessserver.go
+++ b/node/witnessserver.go
@@ -44,15 +44,15 @@
 			return &WitnessMessageError{Field: "notes"}
 		}
 	}
-	if m.Open != nil && (len(m.Open.Numbers) > maxNoted || !slices.IsSorted(m.Open.Numbers)) {
+	if m.Open != nil && (len(m.Open.Numbers) > maxOwnNotes || !slices.IsSorted(m.Open.Numbers)) {
 		return &WitnessMessageError{Field: "open"}
 	}
 	return nil
 }
 
-// takesNotes reports whether a request on the peer listener is a message with notes and
-// not a call.
-func (n *Node) takesNotes(r *http.Request) bool {
+// isNotesRequest reports whether a request on the peer listener is a message with notes
+// and not a call.
+func (n *Node) isNotesRequest(r *http.Request) bool {
 	return r.Method == http.MethodPost && r.URL.Path == witnessPath && r.Host == witnessHost && !n.settings.Ablate.NoWitness
 }
 
@@ -67,19 +67,19 @@
 		n.writeBad(w, r, &BodyError{Cause: err})
 		return
 	}
-	w.WriteHeader(n.takeNotes(m))
+	w.WriteHeader(n.storeNotes(m))
 }
 
-// takeNotes stores the notes of a message and returns the status of the response. It
+// storeNotes stores the notes of a message and returns the status of the response. It
 // refuses the notes of an owner that is no known member here: such an owner would look
 // lost.
-func (n *Node) takeNotes(m witnessMessage) int {
-	if !n.mayWitness(m.Home) || m.Home == n.id {
+func (n *Node) storeNotes(m witnessMessage) int {
+	if !n.isPresent(m.Home) || m.Home == n.id {
 		return http.StatusForbidden
 	}
-	home := atmostonce.Incarnation(m.Home)
+	owner := atmostonce.Incarnation(m.Home)
 	if m.Open != nil {
-		n.witnesses.kept.Hear(home, *m.Open)
+		n.witnesses.heldNotes.Hear(owner, *m.Open)
 	}
 	now := n.now()
 	latest := now.Add(n.settings.KeyWindow)
@@ -88,7 +88,7 @@
 			m.Notes[i].Expires = latest
 		}
 	}
-	if n.witnesses.kept.Take(home, m.Notes, now) > 0 {
+	if n.witnesses.heldNotes.Take(owner, m.Notes, now) > 0 {
 		return http.StatusInsufficientStorage
 	}
 	return http.StatusNoContent
@@ -97,7 +97,7 @@
 // lostFates returns the calls of lost owners that this node witnessed.
 func (n *Node) lostFates() []FateView {
 	var fates []FateView
-	for _, note := range n.witnesses.kept.Lost(n.now(), n.homeKept) {
+	for _, note := range n.witnesses.heldNotes.Lost(n.now(), n.hasOwner) {
 		fates = append(fates, FateView{
 			Key:     note.Key,
 			State:   atmostonce.StateUnknown.String(),
@@ -112,28 +112,28 @@
 	return fates
 }
 
-// homeKept reports whether a member, this node included, owns the keys of the
+// hasOwner reports whether a member, this node included, owns the keys of the
 // incarnation home.
-func (n *Node) homeKept(home atmostonce.Incarnation) bool {
+func (n *Node) hasOwner(home atmostonce.Incarnation) bool {
 	return n.homeLives(string(home)) || slices.Contains(n.keys.Homes(), home)
 }
 
-// shunList is the set of members that are not chosen as a witness until a given time.
-type shunList struct {
+// avoidList is the set of members that are not chosen as a witness until a given time.
+type avoidList struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-func newShunList() *shunList { return &shunList{until: make(map[string]time.Time)} }
+func newAvoidList() *avoidList { return &avoidList{until: make(map[string]time.Time)} }
 
-func (s *shunList) add(id string, until time.Time) {
+func (s *avoidList) add(id string, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.until, func(_ string, end time.Time) bool { return end.Add(witnessShunned).Before(until) })
+	maps.DeleteFunc(s.until, func(_ string, end time.Time) bool { return end.Add(witnessAvoidTime).Before(until) })
 	s.until[id] = until
 }
 
-func (s *shunList) has(id string, now time.Time) bool {
+func (s *avoidList) has(id string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	until, ok := s.until[id]
--- a/node/zones_test.go
+++ b/node/zones_test.go
@@ -18,8 +18,8 @@
 	return a, b, c
 }
 
-// cutZones separates the two zones by a network partition, or heals it.
-func (f *fleet) cutZones(cut bool) {
+// partitionZones separates the two zones by a network partition, or heals it.
+func (f *fleet) partitionZones(cut bool) {
 	for _, host := range []string{"a", "b"} {
 		if cut {
 			f.net.Cut(host, "c")
@@ -60,21 +60,21 @@
 // while the filing runs. The node in the other zone can't know the outcome: it must
 // neither run the filing nor report that it did not run. Once the link is back, the
 // caller must get the answer of the filing.
-func TestCallerThatMovesOverACutFilesOnce(t *testing.T) {
+func TestCallerThatMovesDuringAPartitionFilesOnce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, c := f.twoZones()
 		key := f.mintAt(a)
 		first := make(chan reply, 1)
 		go func() { first <- f.file(a, key) }()
 		time.Sleep(100 * time.Millisecond)
-		f.cutZones(true)
+		f.partitionZones(true)
 		for range 3 {
 			got := f.file(c, key)
 			f.c.Check(got.outcome, qt.Equals, "unknown", qt.Commentf("%s", got.reason))
 			time.Sleep(time.Second)
 		}
 		f.c.Check((<-first).body, qt.Equals, "filed op")
-		f.cutZones(false)
+		f.partitionZones(false)
 		time.Sleep(30 * time.Second)
 		for _, n := range []*Node{c, b, a} {
 			got := f.file(n, key)
@@ -88,7 +88,7 @@
 // The first node is killed while the filing runs and before its answer has arrived. The
 // caller retries in the other zone, at once and for two minutes. The filing must not
 // run there, and the caller must never be told that it did not run.
-func TestCallerThatMovesFromALostNodeIsToldTheTruth(t *testing.T) {
+func TestCallerThatMovesFromALostNodeGetsUnknown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, _, c := f.twoZones()
 		key := f.mintAt(a)
