--- a/node/fleetsize.go
+++ b/node/fleetsize.go
@@ -13,10 +13,10 @@
 // fleetSizeName is the name of the object that stores the size of the fleet. It has the
 // same kind as the objects that name nodes to join.
 //
-// Without it, customers can exceed their limits when a network partition divides the
-// fleet and all nodes of one side are restarted during it. Those nodes have seen no
-// other members and consider their side to be the complete fleet. They lease the
-// complete limit of each customer, and so does the other side.
+// The stored size keeps customers within their limits when a network partition divides
+// the fleet and all nodes of one side are restarted during it. Those nodes have seen no
+// other members and would consider their side to be the complete fleet. They would
+// lease the complete limit of each customer, as the other side does.
 const fleetSizeName = "fleet-size"
 
 const (
--- a/node/witness.go
+++ b/node/witness.go
@@ -47,9 +47,10 @@
 	noteNoTime    = "no-time"
 )
 
-// witnesses holds the notes of both roles of a node: ownNotes are those about its own
-// calls that other members witness, heldNotes are those that it witnesses for other
-// members. avoided holds the members that are not chosen as a witness for now.
+// witnesses holds the notes of both roles of a node. A note describes one call in
+// flight. ownNotes are those about the node's own calls, which other members witness;
+// heldNotes are those that the node stores as a witness for other members. avoided
+// holds the members that are not chosen as a witness for now.
 type witnesses struct {
 	ownNotes  *atmostonce.Noted
 	heldNotes *atmostonce.Witnessed
@@ -188,8 +189,8 @@
 }
 
 // pickWitness chooses the witness: a member of the same region, preferably in another
-// zone. Each node stays with one member as long as that member responds, and different
-// nodes choose different members.
+// zone. Each node stays with one member as long as that member responds, and the
+// choices of the nodes are spread over the members.
 func (n *Node) pickWitness(now time.Time) (membership.Member, bool) {
 	var candidates []membership.Member
 	for _, m := range n.gossip.Members() {
