--- a/node/keyhome.go
+++ b/node/keyhome.go
@@ -100,8 +100,8 @@
 //
 // A node that hands its keys over forwards calls to its successor even before the
 // commit is sent. A call that overtook the commit used to be forwarded back and forth
-// until its hops were used up, and its caller was told that the key's home is gone. It
-// is enough to wait at the successor: a node only forwards a call to the member that it
+// until its hops were used up, and its caller got the reason key-home-gone. It is
+// enough to wait at the successor: a node only forwards a call to the member that it
 // considers the owner or that it is making the owner.
 func (n *Node) mayBecomeOwner(req *request) bool { return req.homeHops > 0 && n.keys.Active() }
 
@@ -120,8 +120,8 @@
 	return membership.Member{}, false
 }
 
-// recallFate looks up the fate of a key whose owner is gone in the platform's claim
-// store.
+// recallFate answers for a key whose owner is gone, from the claim that the platform
+// stores.
 func (n *Node) recallFate(ctx context.Context, req *request, owner string) *answer {
 	verdict, err := n.keys.Recall(ctx, req.key)
 	if err == nil {
--- a/node/longids_test.go
+++ b/node/longids_test.go
@@ -10,10 +10,10 @@
 	"pollengauge.dev/call"
 )
 
-// The request id of a call deep in the call graph contains the ids of all requests
-// upstream of it. Nodes used to refuse such long ids, and all requests upstream failed.
-// The call must run under its own id and must be found by it; records only store its
-// short form.
+// The request id of a call deep in the call graph contains the ids of all requests that
+// led to it. Nodes used to refuse such long ids, and all of these requests failed. The
+// call must run under its own id and must be found by it; records only store its short
+// form.
 func TestDeepCallsWithLongIDsAreServed(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		emitted := &events{}
--- a/node/members.go
+++ b/node/members.go
@@ -99,8 +99,8 @@
 // this time to learn of them.
 //
 // A node that had no targets yet used to receive calls whose upstream made calls
-// itself. Those ended with no-target, so each start of a node failed some requests of
-// callers at other nodes.
+// itself. Those ended with no-target, so each start of a node made some requests of
+// callers at other nodes fail.
 const joinTime = time.Second
 
 // announceSelf announces to the members that this node has an upstream with this many
--- a/node/peer.go
+++ b/node/peer.go
@@ -97,7 +97,7 @@
 
 // extract reads the call context from the headers. Only with a dialect do request ids
 // grow with the depth of a call. Without a dialect a request id is the one that a root
-// assigned, and an id that is longer than records store it is rejected.
+// assigned, and an id longer than call.KeptIDLength is rejected.
 func (n *Node) extract(h http.Header) (call.Context, error) {
 	c, err := call.Extract(h)
 	if err == nil && !n.spoken() && len(c.RequestID) > call.KeptIDLength {
