--- a/node/changes.go
+++ b/node/changes.go
@@ -8,20 +8,22 @@
 	"pollengauge.dev/observe"
 )
 
-// memberChanges reports what changed in the membership since it last looked.
+// memberChanges logs what has changed in the membership since the previous look.
 type memberChanges struct {
 	log  *observe.Logger
 	self string
 
 	mu     sync.Mutex
 	states map[string]membership.State
-	zones  map[string]zoneSeen
+	zones  map[string]zoneState
 }
 
-// zoneSeen counts the living members of one availability zone.
-type zoneSeen struct {
-	alive int
-	cut   bool
+// zoneState is the last known state of one availability zone. alive counts its living
+// members. partitioned is set while the zone appears to be separated by a network
+// partition.
+type zoneState struct {
+	alive       int
+	partitioned bool
 }
 
 func newMemberChanges(log *observe.Logger, self string) *memberChanges {
@@ -29,11 +31,11 @@
 		log:    log,
 		self:   self,
 		states: make(map[string]membership.State),
-		zones:  make(map[string]zoneSeen),
+		zones:  make(map[string]zoneState),
 	}
 }
 
-// look compares the members with those of the last look.
+// look compares the members with those of the previous look and logs the differences.
 func (c *memberChanges) look(gossip *membership.Gossip) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +49,7 @@
 		if m.State == membership.Alive {
 			alive[m.Zone]++
 		}
-		c.change(m, m.State)
+		c.reportMember(m, m.State)
 	}
 	for id, before := range c.states {
 		if present[id] {
@@ -59,13 +61,13 @@
 			continue
 		}
 		if state != before {
-			c.change(m, state)
+			c.reportMember(m, state)
 		}
 	}
 	c.compareZones(alive)
 }
 
-func (c *memberChanges) change(m membership.Member, state membership.State) {
+func (c *memberChanges) reportMember(m membership.Member, state membership.State) {
 	before, known := c.states[m.ID]
 	if known && before == state {
 		return
@@ -91,33 +93,33 @@
 	}
 }
 
-// cutZone is the number of members from which the loss of all of them at once
-// reads as a cut of their availability zone, not as so many failures.
-const cutZone = 2
+// partitionMinMembers is the minimum number of members whose simultaneous loss, if the
+// zone has no others, is reported as a network partition and not as separate failures.
+const partitionMinMembers = 2
 
 func (c *memberChanges) compareZones(alive map[string]int) {
 	for zone, seen := range c.zones {
-		if alive[zone] == 0 && seen.alive >= cutZone {
+		if alive[zone] == 0 && seen.alive >= partitionMinMembers {
 			c.log.Emit(observe.RegionCut, observe.Str("zone", zone), observe.Int("members", seen.alive))
-			c.zones[zone] = zoneSeen{cut: true}
+			c.zones[zone] = zoneState{partitioned: true}
 		}
 	}
 	for zone, count := range alive {
 		seen := c.zones[zone]
-		if seen.cut {
+		if seen.partitioned {
 			c.log.Emit(observe.RegionHealed, observe.Str("zone", zone), observe.Int("members", count))
 		}
-		c.zones[zone] = zoneSeen{alive: max(count, min(seen.alive, cutZone))}
+		c.zones[zone] = zoneState{alive: max(count, min(seen.alive, partitionMinMembers))}
 	}
 }
 
-// levelChanges reports when admission levels and limits move. It belongs to
-// the maintenance goroutine.
+// levelChanges holds the last logged state of admission levels, limits, brownouts,
+// targets and gossip counters. Only the maintenance goroutine uses it.
 type levelChanges struct {
 	raised    bool
 	below     map[string]bool
 	limit     int
-	brownouts map[string]brownoutSeen
+	brownouts map[string]brownoutState
 	ejected   map[string]bool
 	refuted   uint64
 	refused   uint64
@@ -125,9 +127,10 @@
 	behind    behindSeen
 }
 
-// brownoutSeen is how many stored answers a profile had given, and for how
-// many looks it has given none.
-type brownoutSeen struct {
+// brownoutState is the last known brownout state of a profile: how many stored answers
+// it has returned, for how many looks in a row it has returned none, and whether a
+// brownout is on.
+type brownoutState struct {
 	count int64
 	quiet int
 	on    bool
@@ -136,12 +139,12 @@
 func newLevelChanges() *levelChanges {
 	return &levelChanges{
 		below:     make(map[string]bool),
-		brownouts: make(map[string]brownoutSeen),
+		brownouts: make(map[string]brownoutState),
 		ejected:   make(map[string]bool),
 	}
 }
 
-// reportChanges logs what moved since the last look.
+// reportChanges logs what has changed since the previous look.
 func (n *Node) reportChanges() {
 	n.reportLevel()
 	n.reportLimit()
@@ -166,7 +169,7 @@
 	n.log.Emit(observe.AdmissionNormal)
 }
 
-// limitStep is the factor by which the limit must have moved to be logged.
+// limitStep is the factor by which the limit must have changed to be logged.
 const limitStep = 2
 
 func (n *Node) reportLimit() {
@@ -181,7 +184,7 @@
 	}
 }
 
-// quietLooks is how many looks without a stored answer end a brownout.
+// quietLooks is how many looks in a row without a stored answer end a brownout.
 const quietLooks = 5
 
 func (n *Node) reportProfiles() {
@@ -254,7 +257,8 @@
 	n.changes.refused = stats.Refused
 }
 
-// countAttempt counts what one attempt was given and brought back.
+// countAttempt counts an attempt, the credit that was lent to it and the credit that it
+// returned.
 func (n *Node) countAttempt(profile string, lent int, a *answer) {
 	p := n.metrics.Profile(profile)
 	p.Outbound.Inc(1)
--- a/node/keyed.go
+++ b/node/keyed.go
@@ -15,8 +15,8 @@
 	"pollengauge.dev/observe"
 )
 
-// runKeyed runs a call that must not run twice. A call that came without a
-// key gets one, which the answer names.
+// runKeyed runs a call under its idempotency key, so that it runs at most once. A call
+// without a key gets a new one. The answer names the key in a header.
 func (n *Node) runKeyed(ctx context.Context, req *request) *answer {
 	if req.key == "" {
 		req.key = n.mint()
@@ -25,29 +25,30 @@
 	if err != nil {
 		return n.keyRefusal(req, err)
 	}
-	a := n.byVerdict(ctx, req, verdict)
+	a := n.followVerdict(ctx, req, verdict)
 	a.header.Set(call.HeaderIdempotencyKey, req.key)
 	return a
 }
 
-// begin presents the key. Waiting for another presentation is bounded by the
-// deadline; while the table is on its way to a successor a new key waits for
-// that too, rather than being refused.
+// begin presents the key to the key table. It waits for a concurrent presentation of
+// the same key until the deadline at most. While the table is handed over to a
+// successor, a new key waits for the end of the hand-over, for ownerWait at most,
+// instead of being refused at once.
 func (n *Node) begin(ctx context.Context, req *request) (atmostonce.Verdict, error) {
 	ctx, cancel := context.WithDeadline(ctx, req.deadline)
 	defer cancel()
-	until := n.now().Add(homeWait)
+	until := n.now().Add(ownerWait)
 	for {
 		verdict, err := n.keys.Begin(ctx, n.presentation(req))
 		var refused *atmostonce.RefusedError
 		moving := errors.As(err, &refused) && refused.Reason == call.ReasonDraining
-		if !moving || n.now().After(until) || !objects.Pause(ctx, homePause) {
+		if !moving || n.now().After(until) || !objects.Pause(ctx, ownerPollInterval) {
 			return verdict, err
 		}
 	}
 }
 
-func (n *Node) byVerdict(ctx context.Context, req *request, verdict atmostonce.Verdict) *answer {
+func (n *Node) followVerdict(ctx context.Context, req *request, verdict atmostonce.Verdict) *answer {
 	switch verdict.Kind {
 	case atmostonce.Replay:
 		n.log.Emit(observe.KeyReplayed, observe.Str("key", observe.RedactKey(req.key)))
@@ -56,9 +57,9 @@
 		if n.settings.Ablate.NoKeyHome {
 			return n.admitAndDispatch(ctx, req)
 		}
-		return n.forwardHome(ctx, req, string(verdict.Home))
+		return n.forwardToOwner(ctx, req, string(verdict.Home))
 	default:
-		return n.runAsHome(ctx, req, verdict.Run)
+		return n.runAsOwner(ctx, req, verdict.Run)
 	}
 }
 
@@ -76,8 +77,8 @@
 	return p
 }
 
-// fingerprint tells one request from another under the same key. Without it
-// two callers who bring the same key would get each other's answers.
+// fingerprint distinguishes requests that carry the same key. Without it, two callers
+// that use the same key would get each other's answers.
 func fingerprint(req *request) uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{req.method, req.url.RequestURI(), identityOf(req)} {
@@ -88,9 +89,9 @@
 	return max(digest.Sum64(), 1)
 }
 
-// identityOf names the caller for the fingerprint. Credentials may be renewed
-// between two presentations of a key, so a profile whose callers have a stable
-// name in a header of their own should say which.
+// identityOf returns the caller's identity for the fingerprint. A caller may renew its
+// credentials between two presentations of a key. A profile whose callers send a stable
+// name in a header of their own should therefore set CallerHeader to that header.
 func identityOf(req *request) string {
 	if name := req.profile.CallerHeader; name != "" {
 		return req.header.Get(name)
@@ -113,9 +114,11 @@
 // maxAnswerStatus is the highest status code that net/http writes.
 const maxAnswerStatus = 999
 
-// replay gives the stored answer of a key that ran before. It may have come
-// from another node or the platform: what can't be written as an answer is not
-// held, and nothing of it may decide how the connection is framed.
+// replay returns the stored answer of a key that has already run. The answer may come
+// from another node or from the platform, so it isn't trusted: a status code that
+// net/http can't write is reported as an answer that is not held, and hop-by-hop
+// headers and a wrong Content-Length are removed, so that the stored answer can't
+// decide how the connection is framed.
 func (n *Node) replay(stored atmostonce.Answer) *answer {
 	if stored.Status < http.StatusOK || stored.Status > maxAnswerStatus {
 		return n.refuse(call.Unknown, call.ReasonAnswerNotHeld, 0)
@@ -138,12 +141,13 @@
 	return a
 }
 
-// runAsHome runs a key whose home this node is.
+// runAsOwner runs a call whose key this node owns.
 //
-// The run is cut loose from its caller once it may have been dispatched: a
-// caller that gives up and asks again must find the answer, not a half-done
-// filing. Before that, a caller that has gone costs nothing and is dropped.
-func (n *Node) runAsHome(ctx context.Context, req *request, run *atmostonce.Run) *answer {
+// Once the call may have been dispatched, the run is detached from its caller: a caller
+// that gives up and retries must find the answer of the first run, not a filing that
+// was stopped halfway. Before that point nothing has been done for the call, and it is
+// dropped if its caller has gone.
+func (n *Node) runAsOwner(ctx context.Context, req *request, run *atmostonce.Run) *answer {
 	defer run.Close()
 	if ctx.Err() != nil {
 		return n.settle(run, n.refuse(call.NotRun, call.ReasonCancelled, 0))
@@ -151,7 +155,7 @@
 	if refused := n.refuseBelow(req); refused != nil {
 		return n.settle(run, refused)
 	}
-	note := n.tellWitness(ctx, req)
+	note := n.notifyWitness(ctx, req)
 	if ctx.Err() != nil {
 		n.settleNote(note)
 		return n.settle(run, n.refuse(call.NotRun, call.ReasonCancelled, 0))
@@ -172,47 +176,48 @@
 		cancel()
 		return a
 	}
-	// An answer too large to keep is still being streamed.
+	// The answer is too large to store and is still being streamed.
 	a.body = &cancelBody{readCloser: a.body, cancel: cancel}
 	return a
 }
 
-// settle records how a run ended, before its caller is told.
+// settle records the outcome of a run in the key table before the caller learns of it.
 func (n *Node) settle(run *atmostonce.Run, a *answer) *answer {
 	switch a.report.Outcome {
 	case call.NotRun:
 		if err := run.NotRun(); err != nil {
-			// The table can't take the key back, so a later presentation may
-			// be told anything but not-run.
-			n.keyError(err)
+			// The table can't release the key, for example because a hand-over has
+			// taken the claim back. Another presentation may run the key, so the caller
+			// must not be told not-run.
+			n.logKeyError(err)
 			return n.refuse(call.Unknown, a.report.Reason, 0)
 		}
 		return a
 	case call.Unknown:
-		n.keyError(run.Unknown(a.report.Reason))
+		n.logKeyError(run.Unknown(a.report.Reason))
 		return a
 	}
-	return n.keep(run, a)
+	return n.storeAnswer(run, a)
 }
 
-// keep reads the whole answer, as far as its bound, and stores it.
-func (n *Node) keep(run *atmostonce.Run, a *answer) *answer {
+// storeAnswer reads the answer, up to MaxAnswerBytes, and stores it in the key table.
+func (n *Node) storeAnswer(run *atmostonce.Run, a *answer) *answer {
 	held, err := readBody(a.body, -1, n.settings.MaxAnswerBytes)
 	if err != nil {
-		n.keyError(run.Unknown(call.ReasonTruncated))
+		n.logKeyError(run.Unknown(call.ReasonTruncated))
 		a.close()
 		return n.refuse(call.Unknown, call.ReasonTruncated, 0)
 	}
 	if !held.whole() {
-		// Too large to keep: the table remembers that it is done, and a later
-		// presenter is told that the answer is not held.
-		n.keyError(run.DoneUnheld())
+		// The answer is too large to store. The table records only that the call has
+		// completed; a later presentation is told that the answer is not held.
+		n.logKeyError(run.DoneUnheld())
 		body, _ := held.open()
 		a.body = &joinedBody{Reader: body, source: a.body}
 		return a
 	}
 	stored := atmostonce.Answer{Status: a.status, Header: a.header.Clone(), Body: held.head, Trailer: a.trailers().Clone(), At: n.now()}
-	n.keyError(run.Done(stored))
+	n.logKeyError(run.Done(stored))
 	a.close()
 	a.trailer = a.trailers()
 	a.resp = nil
@@ -220,14 +225,15 @@
 	return a
 }
 
-// keyError logs a run that moved in a way its state does not allow.
-func (n *Node) keyError(err error) {
+// logKeyError logs the error of a state change that the run's or the table's state does
+// not allow.
+func (n *Node) logKeyError(err error) {
 	if err != nil {
 		n.log.Emit(observe.KeyState, observe.Err(err))
 	}
 }
 
-// runChildKeyed runs a keyed call below a visit at most once.
+// runChildKeyed runs a keyed call that the upstream makes during a visit, at most once.
 func (n *Node) runChildKeyed(ctx context.Context, req *request, v *visit, childKey string) *answer {
 	p := n.presentation(req)
 	p.Key = childKey
--- a/node/keyhome.go
+++ b/node/keyhome.go
@@ -13,59 +13,60 @@
 	"pollengauge.dev/observe"
 )
 
-// maxHomeHops bounds how often a call is passed on in search of its key's
-// home: from the node that got it to the home, and along successors that took
-// the home's keys over.
+// maxHomeHops bounds how often a call is forwarded in search of its key's owner: from
+// the node that received it to the owner, and on to successors that have taken over the
+// owner's keys.
 const maxHomeHops = 4
 
 const (
-	// homeWait bounds how long a call waits to learn who has the keys of a node
-	// that has left or only just started, and homePause is the time between two
-	// looks. The news takes a few rounds of gossip.
-	homeWait  = 2 * time.Second
-	homePause = 50 * time.Millisecond
+	// ownerWait bounds how long a call waits to learn which member owns the keys of a
+	// node that has left or has only just started. ownerPollInterval is the time
+	// between two checks. The membership update takes a few rounds of gossip.
+	ownerWait         = 2 * time.Second
+	ownerPollInterval = 50 * time.Millisecond
 )
 
-// forwardHome passes the call on to the home of its key. Whatever happens on
-// the way, the answer is never not-run unless the home says so: an earlier
-// presentation may have run the key there.
+// forwardToOwner forwards the call to the owner of its key. Whatever fails on the way,
+// the answer is never not-run unless the owner reports it: an earlier presentation may
+// have run the key there.
 //
-// The failure: a node drains, hands its keys over and closes. Until the news
-// of its successor has spread, others would still pass calls on to it or take
-// its keys for lost, and callers would be left without a fate by a graceful
-// exit. A call that provably never left this node is therefore passed on again.
-func (n *Node) forwardHome(ctx context.Context, req *request, home string) *answer {
-	until := n.now().Add(homeWait)
+// A node that drains hands its keys over and exits. Until gossip has spread its
+// successor, other nodes would still forward calls to it or consider its keys lost, and
+// a graceful exit would leave callers with an unknown outcome. A call that provably
+// never left this node is therefore forwarded again.
+func (n *Node) forwardToOwner(ctx context.Context, req *request, owner string) *answer {
+	until := n.now().Add(ownerWait)
 	if req.deadline.Before(until) {
 		until = req.deadline
 	}
 	for {
-		if slices.Contains(n.keys.Homes(), atmostonce.Incarnation(home)) {
-			// This node has taken the keys over since the table was asked.
+		if slices.Contains(n.keys.Homes(), atmostonce.Incarnation(owner)) {
+			// This node has taken over the keys since the key table was asked.
 			return n.runKeyed(ctx, req)
 		}
 		last := n.now().After(until)
-		a := n.tryHome(ctx, req, home, last)
+		a := n.tryOwner(ctx, req, owner, last)
 		if a != nil && (a.reported || a.report.Outcome != call.NotRun) {
 			return a
 		}
-		if last || !req.body.rewind() || !objects.Pause(ctx, homePause) {
-			return n.homeUnreached(ctx, req, home, a)
+		if last || !req.body.rewind() || !objects.Pause(ctx, ownerPollInterval) {
+			return n.answerUnreached(ctx, req, owner, a)
 		}
 	}
 }
 
-// tryHome passes the call on once. It returns nil if no member is known to
-// have the home's keys yet, unless this is the last try.
-func (n *Node) tryHome(ctx context.Context, req *request, home string, last bool) *answer {
-	member, ok := n.findHome(home)
+// tryOwner forwards the call once. Unless this is the last try, it returns nil while no
+// known member has the owner's keys yet, or while this node is likely to take them
+// over.
+func (n *Node) tryOwner(ctx context.Context, req *request, owner string, last bool) *answer {
+	member, ok := n.findHome(owner)
 	switch {
-	case !ok && n.maySoonBeKnown(home):
+	case !ok && n.ownerMayAppear(owner):
 		return nil
-	case !last && n.mayInherit(req):
+	case !last && n.mayBecomeOwner(req):
 		return nil
 	case !ok, req.homeHops >= maxHomeHops:
-		return n.recall(ctx, req, home)
+		return n.recallFate(ctx, req, owner)
 	}
 	a := n.attemptPeer(ctx, member.Addr, req, req.call.Credit, strconv.Itoa(req.homeHops+1))
 	a.decision = observe.Forwarded
@@ -73,11 +74,12 @@
 	return a
 }
 
-// homeUnreached answers for a home that could not be asked in time.
-func (n *Node) homeUnreached(ctx context.Context, req *request, home string, a *answer) *answer {
+// answerUnreached answers for an owner that could not be reached in time. a is the
+// answer of the last try, nil if there is none.
+func (n *Node) answerUnreached(ctx context.Context, req *request, owner string, a *answer) *answer {
 	if a == nil {
-		a = n.recall(ctx, req, home)
-		a.home = home
+		a = n.recallFate(ctx, req, owner)
+		a.home = owner
 		return a
 	}
 	a.report.Outcome = call.Unknown
@@ -85,26 +87,26 @@
 	return a
 }
 
-// maySoonBeKnown reports whether news of a home may still be on its way: it
-// went gracefully, so that another member has its keys, or it has started just
-// now and has not been heard of.
-func (n *Node) maySoonBeKnown(home string) bool {
-	_, state, ok := n.gossip.Lookup(home)
+// ownerMayAppear reports whether a membership update about owner may still be on its
+// way: either owner left gracefully and another member has its keys, or it has only
+// just started and is not known here yet.
+func (n *Node) ownerMayAppear(owner string) bool {
+	_, state, ok := n.gossip.Lookup(owner)
 	return !ok || state == membership.Left
 }
 
-// mayInherit reports whether this node is likely to become the home of the
-// call's key at any moment: the call was passed on to it, and it isn't the home.
+// mayBecomeOwner reports whether this node may become the owner of the call's key at
+// any moment: another node forwarded the call here, and this node does not own the key.
 //
-// The failure: a node that hands its keys over passes calls on to its
-// successor from before the commit is sent. One that overtook the commit was
-// passed back, and forth, until its hops were used up, and its caller was told
-// that the key's home is gone. Waiting at the successor is enough: whoever
-// passes a call on to a node takes it for the home or is making it one.
-func (n *Node) mayInherit(req *request) bool { return req.homeHops > 0 && n.keys.Active() }
+// A node that hands its keys over forwards calls to its successor even before the
+// commit is sent. A call that overtook the commit used to be forwarded back and forth
+// until its hops were used up, and its caller got the reason key-home-gone. It is
+// enough to wait at the successor: a node only forwards a call to the member that it
+// considers the owner or that it is making the owner.
+func (n *Node) mayBecomeOwner(req *request) bool { return req.homeHops > 0 && n.keys.Active() }
 
-// findHome returns the living member that is home for an incarnation: itself,
-// or whoever took its keys over.
+// findHome returns the living member that owns the keys of an incarnation: that
+// incarnation itself, or the member that took over its keys.
 func (n *Node) findHome(id string) (membership.Member, bool) {
 	member, state, ok := n.gossip.Lookup(id)
 	if ok && (state == membership.Alive || state == membership.Suspect) {
@@ -118,12 +120,13 @@
 	return membership.Member{}, false
 }
 
-// recall asks the platform's record for the fate of a key whose home is gone.
-func (n *Node) recall(ctx context.Context, req *request, home string) *answer {
+// recallFate answers for a key whose owner is gone, from the claim that the platform
+// stores.
+func (n *Node) recallFate(ctx context.Context, req *request, owner string) *answer {
 	verdict, err := n.keys.Recall(ctx, req.key)
 	if err == nil {
 		return n.replay(verdict.Answer)
 	}
-	n.log.Emit(observe.KeyHomeGone, observe.Str("key", observe.RedactKey(req.key)), observe.Str("home", home))
+	n.log.Emit(observe.KeyHomeGone, observe.Str("key", observe.RedactKey(req.key)), observe.Str("home", owner))
 	return n.keyRefusal(req, err)
 }
--- a/node/peerroom_test.go
+++ b/node/peerlimit_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Room is bounded by node and in all, and given back.
-func TestPeerRoomIsBounded(t *testing.T) {
+// Capacity is bounded per node and in total, and is available again after its release.
+func TestPeerCapacityIsBounded(t *testing.T) {
 	c := qt.New(t)
 	room := newPeerRoom(2, 3)
 	c.Check(room.enter("a"), qt.IsTrue)
@@ -28,10 +28,10 @@
 	c.Check(room.byAddr, qt.HasLen, 0)
 }
 
-// An upstream is slow, and more requests come for it than this node may have at
-// its VM. Those beyond must go to another upstream at once, or be refused as
-// not run: held back for a connection they would be answered too late, and
-// nobody would know why.
+// An upstream is slow, and it gets more requests than this node may have in flight to
+// its VM. The excess requests must go to another upstream at once or be refused as not
+// run. If they waited for a connection, they would be answered too late, and nothing
+// would show the cause.
 func TestCallsDoNotWaitForAConnection(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		const work = time.Second
@@ -44,9 +44,9 @@
 		f.settle()
 		ask := func(n int) (served, refused int) {
 			var mu sync.Mutex
-			var asked sync.WaitGroup
+			var pending sync.WaitGroup
 			for i := range n {
-				asked.Go(func() {
+				pending.Go(func() {
 					start := time.Now()
 					got := f.askRouted(front, "/browse/x", strconv.Itoa(i))
 					took := time.Since(start)
@@ -62,7 +62,7 @@
 					f.c.Check(took < work/10, qt.IsTrue, qt.Commentf("refused after %s", took))
 				})
 			}
-			asked.Wait()
+			pending.Wait()
 			return served, refused
 		}
 		served, refused := ask(6)
--- a/node/zones_test.go
+++ b/node/zones_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// twoZones starts filers a and b in one zone and c in another.
+// twoZones starts nodes a and b of the filing service in one zone and c in another.
 func (f *fleet) twoZones() (a, b, c *Node) {
 	f.apply(filingProfiles)
 	zone := func(name string) func(*Settings) { return func(s *Settings) { s.Zone = name } }
@@ -18,8 +18,8 @@
 	return a, b, c
 }
 
-// cutZones cuts or heals every link between the two zones.
-func (f *fleet) cutZones(cut bool) {
+// partitionZones separates the two zones by a network partition, or heals it.
+func (f *fleet) partitionZones(cut bool) {
 	for _, host := range []string{"a", "b"} {
 		if cut {
 			f.net.Cut(host, "c")
@@ -32,8 +32,8 @@
 }
 
 // A caller files, its session moves to another zone while the filing runs, and it
-// presses again there with its key. The link between the zones takes 150 ms each way.
-// It must get the answer of the one filing, at both nodes.
+// retries there with the same key. The link between the zones takes 150 ms each way.
+// The caller must get the answer of the single filing at both nodes.
 func TestCallerThatMovesOverASlowLinkFilesOnce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, _, c := f.twoZones()
@@ -56,24 +56,25 @@
 	})
 }
 
-// The same with the link cut while the filing runs. The node in the other zone can't
-// know what became of it: it must neither run it nor say that it did not run. Once
-// the link is back the caller gets the answer that there is, so nothing is lost.
-func TestCallerThatMovesOverACutFilesOnce(t *testing.T) {
+// A caller moves to another zone as above, and a network partition separates the zones
+// while the filing runs. The node in the other zone can't know the outcome: it must
+// neither run the filing nor report that it did not run. Once the link is back, the
+// caller must get the answer of the filing.
+func TestCallerThatMovesDuringAPartitionFilesOnce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, b, c := f.twoZones()
 		key := f.mintAt(a)
 		first := make(chan reply, 1)
 		go func() { first <- f.file(a, key) }()
 		time.Sleep(100 * time.Millisecond)
-		f.cutZones(true)
+		f.partitionZones(true)
 		for range 3 {
 			got := f.file(c, key)
 			f.c.Check(got.outcome, qt.Equals, "unknown", qt.Commentf("%s", got.reason))
 			time.Sleep(time.Second)
 		}
 		f.c.Check((<-first).body, qt.Equals, "filed op")
-		f.cutZones(false)
+		f.partitionZones(false)
 		time.Sleep(30 * time.Second)
 		for _, n := range []*Node{c, b, a} {
 			got := f.file(n, key)
@@ -84,10 +85,10 @@
 	})
 }
 
-// The first node is killed after the filing has run and before its answer came. The
-// caller presses again in the other zone, at once and for minutes: the filing must
-// not run there, and the caller must never be told that it did not run.
-func TestCallerThatMovesFromALostNodeIsToldTheTruth(t *testing.T) {
+// The first node is killed while the filing runs and before its answer has arrived. The
+// caller retries in the other zone, at once and for two minutes. The filing must not
+// run there, and the caller must never be told that it did not run.
+func TestCallerThatMovesFromALostNodeGetsUnknown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, _, c := f.twoZones()
 		key := f.mintAt(a)
@@ -106,9 +107,10 @@
 	})
 }
 
-// The caller has no answer for its reminder since the link to its first node is cut
-// before the reminder got there. In the other zone it presses again with a key of its
-// own; once it is told complete, one reminder has gone out, not none and not two.
+// The link to a caller's first node is cut before its request for a reminder arrives,
+// so the caller gets no answer. It retries in the other zone with the same key, which
+// is its own. Once it is told that the call is complete, exactly one reminder must have
+// been sent.
 func TestReminderOfACallerThatMovesIsNotLost(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		a, _, c := f.twoZones()
