--- a/node/ending.go
+++ b/node/ending.go
@@ -32,9 +32,9 @@
 // is not shutting down.
 func (n *Node) Ready() bool { return n.config.Status().Heard && !n.ending.Load() }
 
-// end shuts down a node that uses a dialect. The upstream keeps running beside the node,
-// so other nodes stop sending to it only for as long as the drain takes to announce.
-// Accepted requests are completed.
+// end shuts down a node that uses a dialect, while the upstream keeps running beside it.
+// The node still accepts calls of other nodes for endNews, then announces the drain, and
+// refuses all new requests after endAccept. Requests accepted before are completed.
 func (n *Node) end(ctx context.Context) error {
 	objects.Pause(ctx, endNews)
 	n.SetDraining(true)
@@ -59,8 +59,8 @@
 	return n.awaitEnd(ctx, active, func() bool { return active() > 0 })
 }
 
-// crowdedShare is the share of the connections at the outbound listener, in percent,
-// above which connections are closed after their next answer.
+// crowdedShare is the share of EdgeConns, in percent, above which the outbound listener
+// closes each connection with its next answer.
 const crowdedShare = 60
 
 // retireConn makes the answer close the caller's connection once the process is shutting
--- a/node/life.go
+++ b/node/life.go
@@ -231,8 +231,8 @@
 	}
 }
 
-// otherLife reports whether an announcement comes from another incarnation, as far as
-// both identify themselves.
+// otherLife reports whether an announcement comes from another incarnation. It returns
+// false if one of the two names no instance.
 func (up *upstream) otherLife(a Announcement) bool {
 	if up.Instance == "" || a.Instance == "" {
 		return false
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -27,7 +27,8 @@
 
 // During an overload the engineer on call needs to know whether retries are still
 // allowed, which service refuses, who holds the connections, and whether the log is
-// complete. Each must be in the scrape.
+// complete. Each must be in the scrape, even if there are more services than get a label
+// of their own.
 func TestScrapeTellsOfBudgetsServicesConnectionsAndTheLog(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		told := &events{}
