--- a/node/customers_test.go
+++ b/node/customers_test.go
@@ -36,7 +36,7 @@
 
 // Guards against requests that run for the wrong customer or without one, and against
 // API keys that are forwarded to the upstream.
-func TestRequestsRunForTheHolderOfTheirKey(t *testing.T) {
+func TestRequestsRunForTheOwnerOfTheirAPIKey(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
 		desk := f.addRouted("desk", "desk", 10, echoCustomer)
@@ -74,7 +74,7 @@
 
 // A key that no customer has is refused permanently only if no later configuration is
 // known, because a later one may contain the key.
-func TestUnknownKeysMayBeThoseOfALaterConfiguration(t *testing.T) {
+func TestUnknownAPIKeysMayBelongToALaterConfiguration(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "desk", 10, echoCustomer)
 		f.c.Assert(front.OfferConfig(withCustomers(f.c, routedSet, 2)), qt.IsNil)
@@ -91,7 +91,7 @@
 }
 
 // Guards against a retry of a request whose API key was revoked after the first attempt.
-func TestNothingRunsAgainOnceItsKeyIsGone(t *testing.T) {
+func TestNoRetryAfterTheAPIKeyIsRevoked(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
 		runs := 0
@@ -121,7 +121,7 @@
 
 // The upstream's calls for a request that it serves have no API key of their own and
 // must not need one.
-func TestCallsOfARunNeedNoKey(t *testing.T) {
+func TestUpstreamCallsNeedNoAPIKey(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var front *Node
 		calls := func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
@@ -146,7 +146,7 @@
 }
 
 // A customer's priority takes precedence over the profile's.
-func TestCustomersPrioritiesGoFirst(t *testing.T) {
+func TestCustomerPriorityPrecedesProfilePriority(t *testing.T) {
 	c := qt.New(t)
 	compiled, err := config.Compile(withCustomers(c, routedSet, 2))
 	c.Assert(err, qt.IsNil)
@@ -186,7 +186,7 @@
 // Guards against a filing that runs twice: a customer over its limit presents an
 // idempotency key whose filing has already run. If the refusal said not-run, the
 // customer would file again under another key.
-func TestLimitsMakeNoClaimAboutKeys(t *testing.T) {
+func TestOverLimitRefusalOfAKeyedRequestIsUnknown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.add("n", "filing", 10, answerOK)
 		f.settle()
@@ -208,7 +208,7 @@
 }
 
 // An API key in a trailer must not be forwarded either.
-func TestKeysInTrailersStayHere(t *testing.T) {
+func TestAPIKeysInTrailersAreNotForwarded(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.add("n", "desk", 10, func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
 			_, _ = io.Copy(io.Discard, r.Body)
--- a/node/faults_test.go
+++ b/node/faults_test.go
@@ -21,7 +21,7 @@
 // Guards against an upstream that answers 101 although the request asked for no protocol
 // switch. The caller must not receive it as a complete answer, and the slot must become
 // free again; before the fix, the caller got a bare 101 with outcome complete.
-func TestUnaskedSwitchOfProtocolsIsNoAnswer(t *testing.T) {
+func TestUnrequestedProtocolSwitchIsNoAnswer(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.add("front", "portal", 1, func(w http.ResponseWriter, _ *http.Request, _ func(string, string, string) (*http.Response, error)) {
 			w.Header().Set("Upgrade", "other")
@@ -188,7 +188,7 @@
 // length and ends with its connection, which breaks. A caller that reads chunks must see
 // them end early; an HTTP/1.0 caller, which can only see how the connection ends, must
 // see a reset and not an orderly close.
-func TestBrokenAnswerWithoutLengthIsNoWholeOne(t *testing.T) {
+func TestTruncatedAnswerWithoutLengthIsNotComplete(t *testing.T) {
 	for _, broken := range []bool{true, false} {
 		for _, version := range []string{"1.0", "1.1"} {
 			inFleet(t, func(f *fleet) {
--- a/node/life_test.go
+++ b/node/life_test.go
@@ -23,7 +23,7 @@
 }
 
 // Guards against mistaking a lost answer for a crash of the upstream, or the reverse.
-func TestEndedUpstreamIsToldFromALostAnswer(t *testing.T) {
+func TestCrashIsDistinguishedFromALostAnswer(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(1)
 		f.askRouted(m.nodes[0], "/file/"+fatalPart, "a")
@@ -44,7 +44,7 @@
 
 // Guards against blaming requests for the end of an upstream that announced its
 // shutdown.
-func TestUpstreamThatLeavesHasNotEndedUnderARequest(t *testing.T) {
+func TestUpstreamShutdownIsNotBlamedOnARequest(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(1)
 		n := m.nodes[0]
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -29,7 +29,7 @@
 // allowed, which service refuses, who holds the connections, and whether the log is
 // complete. Each must be in the scrape, even if there are more services than get a label
 // of their own.
-func TestScrapeTellsOfBudgetsServicesConnectionsAndTheLog(t *testing.T) {
+func TestScrapeShowsBudgetsServicesConnectionsAndTheLog(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		told := &events{}
 		n := f.addRouted("a", "desk", 10, echo, logged(f.c, told))
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -31,7 +31,7 @@
 
 // Guards against sending a request that crashes its upstreams to one upstream after the
 // other, while the callers of innocent requests get no answer.
-func TestRequestThatEndsUpstreamsIsHeldBack(t *testing.T) {
+func TestRequestThatCrashesUpstreamsIsQuarantined(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3)
 		innocent := m.call(innocentPace, func(i int) string { return "/browse/" + strconv.Itoa(i) })
@@ -46,7 +46,7 @@
 }
 
 // Shows that without the quarantine the request crashes more than three upstreams.
-func TestWithoutQuarantineUpstreamsEndOnAndOn(t *testing.T) {
+func TestWithoutQuarantineUpstreamsKeepCrashing(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3, func(s *Settings) { s.Ablate.NoQuarantine = true })
 		culprit := m.call(1500*time.Millisecond, samePath(fatalPath))
@@ -74,7 +74,7 @@
 
 // Guards against confusing several such requests that are sent at the same time with
 // each other, or with a popular read that runs beside them.
-func TestSeveralCausesAreHeldBackAndThePopularReadIsNot(t *testing.T) {
+func TestSeveralCausesAreQuarantinedAndThePopularReadIsNot(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(12)
 		popular := m.call(innocentPace, samePath("/browse/popular"))
@@ -93,7 +93,7 @@
 
 // Guards against quarantining requests when upstreams crash for other reasons,
 // frequently or all at once.
-func TestEndsOfOtherCausesHoldNothingBack(t *testing.T) {
+func TestCrashesOfOtherCausesQuarantineNothing(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(4)
 		popular := m.call(innocentPace, samePath("/browse/popular"))
@@ -117,7 +117,7 @@
 }
 
 // Guards against missing crashes of upstreams that look like lost answers.
-func TestUpstreamsThatAreBackAtOnceCount(t *testing.T) {
+func TestCrashesOfUpstreamsThatRestartAtOnceCount(t *testing.T) {
 	for _, kind := range []struct {
 		name               string
 		away               time.Duration
@@ -176,7 +176,7 @@
 
 // Guards against identifying the cause again, which would crash three more upstreams,
 // after the nodes were restarted.
-func TestHeldRequestIsKnownAfterARestart(t *testing.T) {
+func TestQuarantinedRequestIsKnownAfterARestart(t *testing.T) {
 	for _, all := range []bool{true, false} {
 		t.Run(fmt.Sprintf("all=%v", all), func(t *testing.T) {
 			inFleet(t, func(f *fleet) {
@@ -213,7 +213,7 @@
 
 // Guards against a request that stays quarantined after its upstreams are fixed, and
 // against trying it at all of them at once.
-func TestMendedUpstreamsGetTheRequestAgain(t *testing.T) {
+func TestFixedUpstreamsGetTheRequestAgain(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3)
 		m.untilQuarantined()
@@ -230,7 +230,7 @@
 }
 
 // Guards against a quarantined request that an operator can't release.
-func TestOperatorClearsAHeldRequest(t *testing.T) {
+func TestOperatorClearsAQuarantinedRequest(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3)
 		m.untilQuarantined()
@@ -252,7 +252,7 @@
 // Guards against records that are not exchanged after a network partition heals: each
 // side identifies the cause by itself, and neither loses further upstreams to it
 // afterwards.
-func TestHalvesOfACutFleetHoldTheRequestEach(t *testing.T) {
+func TestBothPartitionSidesQuarantineTheRequest(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(6)
 		cut := func(change func(a, b string)) {
@@ -293,7 +293,7 @@
 
 // Guards against identifying the cause again, which would crash upstreams of another
 // service, when operators route the request to that service.
-func TestHeldRequestIsHeldAtOtherServices(t *testing.T) {
+func TestRequestIsQuarantinedAtOtherServices(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3)
 		m.untilQuarantined()
@@ -311,7 +311,7 @@
 
 // Guards against forgetting a request that is quarantined for seconds only while all
 // nodes restart one after another: each new node learns of it from the running ones.
-func TestHeldRequestOutlivesARollingRestart(t *testing.T) {
+func TestQuarantineSurvivesARollingRestart(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3)
 		for range 2 {
--- a/node/quarantine_trouble_test.go
+++ b/node/quarantine_trouble_test.go
@@ -54,7 +54,7 @@
 }
 
 // Guards against losing the crash count of a request while other faults happen.
-func TestHeldRequestStaysHeldUnderTrouble(t *testing.T) {
+func TestRequestStaysQuarantinedDuringFaults(t *testing.T) {
 	for name, happens := range faultKinds {
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -135,7 +135,7 @@
 
 // A network partition divides the nodes into two halves. Each half leases half of the
 // limit, so that both together stay within it, and both continue to lease.
-func TestHalvesOfACutShareTheLimit(t *testing.T) {
+func TestPartitionSidesShareTheLimit(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		seen := &arrivals{}
 		nodes := f.quotaFleet(6, seen, 40, 40)
@@ -174,7 +174,7 @@
 
 // The owner of a customer fails. The customer's requests are refused for a moment at
 // most, and its limit holds.
-func TestLostHomesAreReplaced(t *testing.T) {
+func TestLostOwnersAreReplaced(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		seen := &arrivals{}
 		nodes := f.quotaFleet(5, seen, 40, 40)
@@ -195,7 +195,7 @@
 }
 
 // A request that was refused for another reason returns its token.
-func TestRefusedRequestsGiveTheirPlaceBack(t *testing.T) {
+func TestRefusedRequestsReturnTheirToken(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("front", "front", 10, echo)
 		f.settle()
@@ -208,7 +208,7 @@
 }
 
 // Invalid token requests, and those of unknown members, are refused and change nothing.
-func TestQuestionsForTokensAreChecked(t *testing.T) {
+func TestTokenRequestsAreValidated(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("n", "desk", 10, echo)
 		f.settle()
--- a/node/record_test.go
+++ b/node/record_test.go
@@ -19,7 +19,7 @@
 // queues at the portal and is refused. Its record must show that it waited, and that the
 // slot was blocked by a downstream call; without both, explain would tell the operator
 // to add capacity to the portal.
-func TestRefusalIsOnRecordWithItsWait(t *testing.T) {
+func TestRefusalIsRecordedWithItsWait(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.add("front", "portal", 1, func(w http.ResponseWriter, _ *http.Request, call func(string, string, string) (*http.Response, error)) {
 			resp, err := call("registry", http.MethodGet, "/lookup")
@@ -57,7 +57,7 @@
 
 // Guards against an ending without a description: the operator would see no cause on the
 // screen.
-func TestEveryEndingHasWords(t *testing.T) {
+func TestEveryEndingHasADescription(t *testing.T) {
 	c := qt.New(t)
 	for _, why := range []retry.Why{
 		retry.WhyMayHaveRun, retry.WhyHopeless, retry.WhyOverload, retry.WhyDeadline,
