--- a/node/customersadmin.go
+++ b/node/customersadmin.go
@@ -49,7 +49,7 @@
 	response := CustomersResponse{ConfigVersion: current.Version(), Customers: []CustomerView{}}
 	for _, c := range current.Set().Customers {
 		view := CustomerView{Name: c.Name, Keys: len(c.Keys), Priority: c.Priority, Rate: c.Rate, Burst: c.Burst}
-		if i, home := counted[c.Name]; home {
+		if i, isOwner := counted[c.Name]; isOwner {
 			a := accounts[i]
 			view.Home, view.Asked, view.Refused, view.Tokens = true, a.Asked, a.Refused, a.Tokens
 		}
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -179,10 +179,10 @@
 		seen := &arrivals{}
 		nodes := f.quotaFleet(5, seen, 40, 40)
 		f.sendHot(nodes, 20, 2*time.Second)
-		home, _ := nodes[0].quotas.owners.Load().Of("hot")
+		owner, _ := nodes[0].quotas.owners.Load().Of("hot")
 		var rest []*Node
 		for i, n := range nodes {
-			if n.id == home {
+			if n.id == owner {
 				n.Close()
 				delete(f.nodes, "vm"+strconv.Itoa(i))
 				continue
--- a/node/quotaask.go
+++ b/node/quotaask.go
@@ -48,8 +48,8 @@
 // requestFromOwner requests tokens from the owner of a customer, and from its deputy if
 // the owner doesn't respond.
 func (n *Node) requestFromOwner(ctx context.Context, ask quota.Ask) (quota.Grant, error) {
-	home, deputy := n.quotas.owners.Load().Of(ask.Customer)
-	grant, err := n.requestFromMember(ctx, home, ask, false)
+	owner, deputy := n.quotas.owners.Load().Of(ask.Customer)
+	grant, err := n.requestFromMember(ctx, owner, ask, false)
 	var moved *QuotaMovedError
 	if asQuotaMoved(err, &moved) {
 		// The two nodes have different views of the membership, so they disagree on the
--- a/node/quotahome.go
+++ b/node/quotahome.go
@@ -16,21 +16,21 @@
 // is the owner in its own view of the membership, only after it has joined, and only the
 // part of the limit that corresponds to the part of the fleet that it sees.
 func (n *Node) leaseTokens(ask quota.Ask, asDeputy bool) (quota.Grant, error) {
-	homes := n.quotas.owners.Load()
-	home, _ := homes.Of(ask.Customer)
+	owners := n.quotas.owners.Load()
+	owner, _ := owners.Of(ask.Customer)
 	n.applyKnownLimit(&ask)
 	ask.Draw = rand.Float64()
 	switch {
 	case !n.joined.Load():
 		return quota.Grant{}, &QuotaSilentError{Member: n.id[:idPrefix]}
-	case home == n.id:
-		ask.Share, ask.Since = n.quotas.share(n.now()), homes.since
+	case owner == n.id:
+		ask.Share, ask.Since = n.quotas.share(n.now()), owners.since
 		return n.quotas.ledger.Ask(ask, n.now()), nil
 	case asDeputy:
 		ask.Share, ask.Limit = 1, n.quotas.tolerance.Deputy(ask.Limit)
 		return n.quotas.deputy.Ask(ask, n.now()), nil
 	}
-	return quota.Grant{}, &QuotaMovedError{Home: home}
+	return quota.Grant{}, &QuotaMovedError{Home: owner}
 }
 
 // applyKnownLimit replaces the limit in a token request by the one in force on this
@@ -70,12 +70,12 @@
 	if slices.Equal(ids, q.owners.Load().ids) {
 		return
 	}
-	homes := &ownerSet{Homes: quota.NewHomes(ids), ids: ids, since: n.now()}
-	q.owners.Store(homes)
+	owners := &ownerSet{Homes: quota.NewHomes(ids), ids: ids, since: n.now()}
+	q.owners.Store(owners)
 	clear(q.silentMembers)
 	q.ledger.Keep(func(customer string) bool {
-		home, _ := homes.Of(customer)
-		return home == n.id
+		owner, _ := owners.Of(customer)
+		return owner == n.id
 	})
 }
 
--- a/node/quotawire.go
+++ b/node/quotawire.go
@@ -113,8 +113,8 @@
 }
 
 func parseGrant(resp *http.Response) (quota.Grant, error) {
-	if home := resp.Header.Get(quotaHomeHeader); home != "" {
-		return quota.Grant{}, &QuotaMovedError{Home: home}
+	if owner := resp.Header.Get(quotaHomeHeader); owner != "" {
+		return quota.Grant{}, &QuotaMovedError{Home: owner}
 	}
 	if resp.StatusCode != http.StatusNoContent {
 		return quota.Grant{}, &QuotaMessageError{Field: "status"}
