--- a/node/customers_test.go
+++ b/node/customers_test.go
@@ -41,7 +41,7 @@
 		front := f.addRouted("front", "front", 10, echo)
 		desk := f.addRouted("desk", "desk", 10, echoCustomer)
 		f.settle()
-		f.c.Check(f.askRouted(front, "/browse/x", "before", "X-Customer", "city").body, qt.Equals, "|", qt.Commentf("nobody has a key yet"))
+		f.c.Check(f.askRouted(front, "/browse/x", "before", "X-Customer", "city").body, qt.Equals, "|", qt.Commentf("no customer has a key yet"))
 		for _, n := range []*Node{front, desk} {
 			f.c.Assert(n.OfferConfig(withCustomers(f.c, routedSet, 2)), qt.IsNil)
 		}
@@ -59,7 +59,7 @@
 			f.c.Check(got.reason, qt.Equals, string(call.ReasonUnauthorized))
 		}
 		f.c.Check(f.askRouted(front, "/browse/x", "none").status, qt.Equals, http.StatusUnauthorized)
-		f.c.Check(f.askRouted(front, "/browse/x", "gone/1").status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("the id of a call whose run is not here"))
+		f.c.Check(f.askRouted(front, "/browse/x", "gone/1").status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("the id belongs to a call of a run that this node does not know"))
 		f.c.Check(f.askRouted(front, "/browse/x", "gone/1", "X-Key", "nobody's").status, qt.Equals, http.StatusUnauthorized)
 		two := f.askTwoKeys(front)
 		f.c.Check(two, qt.Equals, http.StatusUnauthorized)
@@ -85,7 +85,7 @@
 		set := withCustomers(f.c, routedSet, 9)
 		set.CustomersMissing = true
 		f.c.Assert(front.OfferConfig(set), qt.IsNil)
-		f.c.Check(ask(), qt.Equals, http.StatusServiceUnavailable, qt.Commentf("a customer could not be read"))
+		f.c.Check(ask(), qt.Equals, http.StatusServiceUnavailable, qt.Commentf("the configuration says that a customer is missing"))
 		f.c.Check(f.askRouted(front, "/browse/x", "id", "X-Key", "key-one").status, qt.Equals, http.StatusOK)
 	})
 }
@@ -139,7 +139,7 @@
 		}
 		got := f.askRouted(front, "/start/x", "root", "X-Key", "key-city")
 		f.c.Check(got.status, qt.Equals, http.StatusOK)
-		f.c.Check(got.body, qt.Equals, "|", qt.Commentf("a call is no request of a customer"))
+		f.c.Check(got.body, qt.Equals, "|", qt.Commentf("a call of an upstream has no customer"))
 		time.Sleep(time.Second)
 		f.c.Check(f.askRouted(front, "/browse/x", "root/2").status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("the run has ended"))
 	})
@@ -173,7 +173,7 @@
 			_, _ = io.WriteString(w, r.Header.Get(call.HeaderCustomer)+"|"+r.Header.Get(call.HeaderAPIKey))
 		})
 		f.settle()
-		f.c.Check(f.ask(n, http.MethodGet, "/x", call.HeaderAPIKey, "its own").body, qt.Equals, "|its own", qt.Commentf("without customers the header is the upstream's"))
+		f.c.Check(f.ask(n, http.MethodGet, "/x", call.HeaderAPIKey, "its own").body, qt.Equals, "|its own", qt.Commentf("without customers the header must reach the upstream"))
 		set := withCustomers(f.c, "profiles:\n  - {name: default, priority: 3}\n  - {name: open, priority: 2, public: true}\nassignments:\n  - {service: desk, pathPrefix: /open, profile: open}\n", 2)
 		f.c.Assert(n.OfferConfig(set), qt.IsNil)
 		f.c.Check(f.ask(n, http.MethodGet, "/x", call.HeaderAPIKey, "key-city", call.HeaderCustomer, "other").body, qt.Equals, "city|")
@@ -203,7 +203,7 @@
 		f.c.Check(over.status, qt.Equals, http.StatusTooManyRequests)
 		f.c.Check(over.outcome, qt.Equals, call.Unknown.String())
 		over = f.ask(n, http.MethodGet, "/x", call.HeaderAPIKey, "key-one")
-		f.c.Check(over.outcome, qt.Equals, call.NotRun.String(), qt.Commentf("without a key nothing can have run: %d", over.status))
+		f.c.Check(over.outcome, qt.Equals, call.NotRun.String(), qt.Commentf("without an idempotency key the outcome must be not-run: status %d", over.status))
 	})
 }
 
--- a/node/ending.go
+++ b/node/ending.go
@@ -35,7 +35,7 @@
 // shutdownWithDialect shuts down a node that uses a dialect, while the upstream keeps
 // running beside it. The node still accepts calls of other nodes for shutdownDrainDelay,
 // then announces the drain, and refuses all new requests after shutdownAcceptTime.
-// Requests accepted before are completed.
+// Requests accepted before are completed if ctx allows it.
 func (n *Node) shutdownWithDialect(ctx context.Context) error {
 	objects.Pause(ctx, shutdownDrainDelay)
 	n.SetDraining(true)
--- a/node/quarantine_faults_test.go
+++ b/node/quarantine_faults_test.go
@@ -75,7 +75,7 @@
 					innocent.stop()
 					for _, path := range []string{fatalPath, fatalWrite} {
 						late := m.endedAfterThird(path, 3*time.Second)
-						f.c.Check(late <= 3, qt.IsTrue, qt.Commentf("%s: %d upstreams ended later, at %v", path, late, m.endsUnder(path)))
+						f.c.Check(late <= 3, qt.IsTrue, qt.Commentf("%s: %d upstreams crashed later, at %v", path, late, m.endsUnder(path)))
 					}
 				})
 			})
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -39,7 +39,7 @@
 		time.Sleep(time.Minute)
 		culprit.stop()
 		innocent.stop()
-		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 		f.c.Check(m.reachedAfter(fatalPath, 3, 3*time.Second) <= 3, qt.IsTrue)
 		f.c.Check(innocent.share() > 0.98, qt.IsTrue, qt.Commentf("%.3f of the innocent requests served", innocent.share()))
 	})
@@ -66,7 +66,7 @@
 		time.Sleep(time.Minute)
 		culprit.stop()
 		innocent.stop()
-		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 		f.c.Check(innocent.share() > 0.98, qt.IsTrue, qt.Commentf("%.3f of the innocent requests served", innocent.share()))
 		f.c.Check(innocent.held.Load(), qt.Equals, int64(0))
 	})
@@ -138,7 +138,7 @@
 				culprit := m.call(700*time.Millisecond, samePath(fatalWrite))
 				time.Sleep(time.Minute)
 				culprit.stop()
-				f.c.Check(m.ended() == 2 || m.ended() == 3, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+				f.c.Check(m.ended() == 2 || m.ended() == 3, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 			})
 		})
 	}
@@ -157,7 +157,7 @@
 			time.Sleep(time.Second)
 		}
 		innocent.stop()
-		f.c.Check(m.ended() == 2 || m.ended() == 3, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+		f.c.Check(m.ended() == 2 || m.ended() == 3, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 	})
 }
 
@@ -171,7 +171,7 @@
 		m.askRouted(m.nodes[0], fatalPath, "x")
 		time.Sleep(time.Second)
 	}
-	m.c.Fatalf("%d upstreams ended", m.ended())
+	m.c.Fatalf("%d upstreams crashed", m.ended())
 }
 
 // Guards against identifying the cause again, which would crash three more upstreams,
@@ -266,7 +266,7 @@
 		cut(f.net.Cut)
 		culprit := m.call(700*time.Millisecond, samePath(fatalPath))
 		time.Sleep(40 * time.Second)
-		f.c.Check(m.ended() <= 6, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+		f.c.Check(m.ended() <= 6, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 		cut(f.net.Heal)
 		time.Sleep(10 * time.Second)
 		before := m.ended()
@@ -286,7 +286,7 @@
 		culprit := m.call(700*time.Millisecond, samePath(fatalPath))
 		time.Sleep(2 * time.Minute)
 		culprit.stop()
-		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 		f.c.Check(m.reachedAfter(fatalPath, 3, 3*time.Second) <= 3, qt.IsTrue)
 	})
 }
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -226,7 +226,7 @@
 		}
 		good := "Quota-Customer: a\r\nQuota-Rate: 1\r\nQuota-Burst: 1\r\nQuota-Version: 1\r\nQuota-Want: 1\r\nQuota-Need: 1\r\n"
 		resp := f.raw(n, PeerListener, "POST "+quotaPath+" HTTP/1.1\r\nHost: "+quotaHost+"\r\nContent-Length: 0\r\nConnection: close\r\n"+good+"\r\n")
-		f.c.Check(resp.StatusCode, qt.Equals, http.StatusForbidden, qt.Commentf("a stranger"))
+		f.c.Check(resp.StatusCode, qt.Equals, http.StatusForbidden, qt.Commentf("unknown member"))
 		f.c.Check(n.quotas.ledger.Accounts(), qt.HasLen, 0)
 	})
 }
