--- a/node/node.go
+++ b/node/node.go
@@ -53,8 +53,9 @@
 	feedback *admission.Feedback
 	ranker   *admission.Ranker
 	// graph links each run of the upstream to the calls that the upstream makes.
-	// shedder tracks the downstream pressure on the routes of callers, below the one
-	// on the upstream's own calls. The three are used only with a dialect.
+	// shedder tracks the downstream pressure on the routes of callers; the Shedder named
+	// below tracks the pressure on the upstream's own calls. All three are used only
+	// with a dialect.
 	graph   *admission.CallGraph
 	shedder *admission.Shedder
 	below   *admission.Shedder
--- a/node/quarantineannounce.go
+++ b/node/quarantineannounce.go
@@ -75,21 +75,21 @@
 
 // mergeRecord merges one record, and reports whether this changes what this node
 // announces.
-func (n *Node) mergeRecord(announced quarantine.Record) (changed bool) {
-	isNew, answer, contradicts := n.quarantine.ledger.Merge(announced, n.now())
+func (n *Node) mergeRecord(incoming quarantine.Record) (changed bool) {
+	isNew, answer, contradicts := n.quarantine.ledger.Merge(incoming, n.now())
 	if !isNew {
 		return false
 	}
-	changed = n.quarantine.bulletin.Withdraw(announced.Fingerprint)
+	changed = n.quarantine.bulletin.Withdraw(incoming.Fingerprint)
 	switch {
 	case contradicts:
 		n.noteCleared(answer, "completed")
 		n.quarantine.bulletin.Post(answer, n.now())
 		return true
-	case announced.Ends > 0:
-		n.noteQuarantined(announced, "")
+	case incoming.Ends > 0:
+		n.noteQuarantined(incoming, "")
 	default:
-		n.noteCleared(announced, "member")
+		n.noteCleared(incoming, "member")
 	}
 	return changed
 }
