--- a/node/customers_test.go
+++ b/node/customers_test.go
@@ -15,8 +15,8 @@
 	"pollengauge.dev/customer"
 )
 
-// withCustomers is routedSet, or another set, with two customers, of which the second
-// goes before the first, and a public profile.
+// withCustomers returns the configuration in text, such as routedSet, with two customers
+// added, of which the second has the higher priority.
 func withCustomers(c *qt.C, text string, version uint64) config.Set {
 	set, err := config.Parse([]byte(text), config.YAML)
 	c.Assert(err, qt.IsNil)
@@ -28,19 +28,20 @@
 	return set
 }
 
-// tellCustomer answers with what the upstream was told.
-func tellCustomer(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
+// echoCustomer answers with the customer and the key that the upstream received.
+func echoCustomer(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
 	w.Header().Set("X-Echo", r.Header.Get("X-Id"))
 	_, _ = io.WriteString(w, r.Header.Get("X-Customer")+"|"+r.Header.Get("X-Key")+r.Trailer.Get("X-Key"))
 }
 
-// Guards against requests that run for another customer, or for none, and keys passed on.
-func TestRequestsRunForTheHolderOfTheirKey(t *testing.T) {
+// Guards against requests that run for the wrong customer or without one, and against
+// API keys that are forwarded to the upstream.
+func TestRequestsRunForTheOwnerOfTheirAPIKey(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
-		desk := f.addRouted("desk", "desk", 10, tellCustomer)
+		desk := f.addRouted("desk", "desk", 10, echoCustomer)
 		f.settle()
-		f.c.Check(f.askRouted(front, "/browse/x", "before", "X-Customer", "city").body, qt.Equals, "|", qt.Commentf("nobody has a key yet"))
+		f.c.Check(f.askRouted(front, "/browse/x", "before", "X-Customer", "city").body, qt.Equals, "|", qt.Commentf("no customer has a key yet"))
 		for _, n := range []*Node{front, desk} {
 			f.c.Assert(n.OfferConfig(withCustomers(f.c, routedSet, 2)), qt.IsNil)
 		}
@@ -52,30 +53,30 @@
 		for _, key := range []string{"", "key-on", "key-one ", "KEY-ONE", "key-one\x00"} {
 			got := f.askRouted(front, "/browse/x", "bad", "X-Key", strings.TrimSuffix(key, "\x00"), "X-Customer", "city")
 			if key == "key-one " || key == "key-one\x00" {
-				continue // net/http takes the space off, and can't send the other
+				continue // net/http trims the space and can't send a NUL byte
 			}
 			f.c.Check(got.status, qt.Equals, http.StatusUnauthorized, qt.Commentf("%q", key))
 			f.c.Check(got.reason, qt.Equals, string(call.ReasonUnauthorized))
 		}
 		f.c.Check(f.askRouted(front, "/browse/x", "none").status, qt.Equals, http.StatusUnauthorized)
-		f.c.Check(f.askRouted(front, "/browse/x", "gone/1").status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("the id of a call whose run is not here"))
+		f.c.Check(f.askRouted(front, "/browse/x", "gone/1").status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("the id belongs to a call of a run that this node does not know"))
 		f.c.Check(f.askRouted(front, "/browse/x", "gone/1", "X-Key", "nobody's").status, qt.Equals, http.StatusUnauthorized)
 		two := f.askTwoKeys(front)
 		f.c.Check(two, qt.Equals, http.StatusUnauthorized)
 	})
 }
 
-// askTwoKeys sends two keys with one request.
+// askTwoKeys sends one request with two API keys.
 func (f *fleet) askTwoKeys(to *Node) int {
 	text := "GET /browse/x HTTP/1.1\r\nHost: desk.example\r\nX-Id: two\r\nX-Key: key-one\r\nX-Key: key-city\r\nConnection: close\r\n\r\n"
 	return f.raw(to, OutboundListener, text).StatusCode
 }
 
-// A key that no customer has is refused for good only where no later configuration is
-// known of, which may have it.
-func TestUnknownKeysMayBeThoseOfALaterConfiguration(t *testing.T) {
+// A key that no customer has is refused permanently only if no later configuration is
+// known, because a later one may contain the key.
+func TestUnknownAPIKeysMayBelongToALaterConfiguration(t *testing.T) {
 	inFleet(t, func(f *fleet) {
-		front := f.addRouted("front", "desk", 10, tellCustomer)
+		front := f.addRouted("front", "desk", 10, echoCustomer)
 		f.c.Assert(front.OfferConfig(withCustomers(f.c, routedSet, 2)), qt.IsNil)
 		ask := func() int { return f.askRouted(front, "/browse/x", "id", "X-Key", "key-new").status }
 		f.c.Check(ask(), qt.Equals, http.StatusUnauthorized)
@@ -84,13 +85,13 @@
 		set := withCustomers(f.c, routedSet, 9)
 		set.CustomersMissing = true
 		f.c.Assert(front.OfferConfig(set), qt.IsNil)
-		f.c.Check(ask(), qt.Equals, http.StatusServiceUnavailable, qt.Commentf("a customer could not be read"))
+		f.c.Check(ask(), qt.Equals, http.StatusServiceUnavailable, qt.Commentf("the configuration says that a customer is missing"))
 		f.c.Check(f.askRouted(front, "/browse/x", "id", "X-Key", "key-one").status, qt.Equals, http.StatusOK)
 	})
 }
 
-// A request is tried again after its key was taken away. It must not run any more.
-func TestNothingRunsAgainOnceItsKeyIsGone(t *testing.T) {
+// Guards against a retry of a request whose API key was revoked after the first attempt.
+func TestNoRetryAfterTheAPIKeyIsRevoked(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		front := f.addRouted("front", "front", 10, echo)
 		runs := 0
@@ -118,18 +119,19 @@
 	})
 }
 
-// The upstream calls out for a request that it serves, and has no key of its own.
-func TestCallsOfARunNeedNoKey(t *testing.T) {
+// The upstream's calls for a request that it serves have no API key of their own and
+// must not need one.
+func TestUpstreamCallsNeedNoAPIKey(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var front *Node
 		calls := func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
-			below := f.askRouted(front, "/browse/x", r.Header.Get("X-Id")+"/1")
+			downstream := f.askRouted(front, "/browse/x", r.Header.Get("X-Id")+"/1")
 			w.Header().Set("X-Echo", r.Header.Get("X-Id"))
-			w.WriteHeader(below.status)
-			_, _ = io.WriteString(w, below.body)
+			w.WriteHeader(downstream.status)
+			_, _ = io.WriteString(w, downstream.body)
 		}
 		front = f.addRouted("front", "front", 10, calls)
-		f.addRouted("desk", "desk", 10, tellCustomer)
+		f.addRouted("desk", "desk", 10, echoCustomer)
 		f.settle()
 		text := strings.Replace(routedSet, "shares: [{service: desk, weight: 1}]}\n  - {name: file", "shares: [{service: desk, weight: 1}]}\n  - {name: start, host: desk.example, pathPrefix: /start/, profile: read, shares: [{service: front, weight: 1}]}\n  - {name: file", 1)
 		for _, n := range f.nodes {
@@ -137,14 +139,14 @@
 		}
 		got := f.askRouted(front, "/start/x", "root", "X-Key", "key-city")
 		f.c.Check(got.status, qt.Equals, http.StatusOK)
-		f.c.Check(got.body, qt.Equals, "|", qt.Commentf("a call is no request of a customer"))
+		f.c.Check(got.body, qt.Equals, "|", qt.Commentf("a call of an upstream has no customer"))
 		time.Sleep(time.Second)
 		f.c.Check(f.askRouted(front, "/browse/x", "root/2").status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("the run has ended"))
 	})
 }
 
-// A customer's priority goes before that of the profile.
-func TestCustomersPrioritiesGoFirst(t *testing.T) {
+// A customer's priority takes precedence over the profile's.
+func TestCustomerPriorityPrecedesProfilePriority(t *testing.T) {
 	c := qt.New(t)
 	compiled, err := config.Compile(withCustomers(c, routedSet, 2))
 	c.Assert(err, qt.IsNil)
@@ -163,14 +165,15 @@
 	c.Check(compiled.PriorityFor(nil, compiled.Profile("write")), qt.Equals, order[2])
 }
 
-// With the project's own interface keys work alike, under its own names.
+// With the project's own interface API keys work the same way, with the project's header
+// names.
 func TestKeysOfTheOwnInterface(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.add("n", "desk", 10, func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
 			_, _ = io.WriteString(w, r.Header.Get(call.HeaderCustomer)+"|"+r.Header.Get(call.HeaderAPIKey))
 		})
 		f.settle()
-		f.c.Check(f.ask(n, http.MethodGet, "/x", call.HeaderAPIKey, "its own").body, qt.Equals, "|its own", qt.Commentf("without customers the header is the upstream's"))
+		f.c.Check(f.ask(n, http.MethodGet, "/x", call.HeaderAPIKey, "its own").body, qt.Equals, "|its own", qt.Commentf("without customers the header must reach the upstream"))
 		set := withCustomers(f.c, "profiles:\n  - {name: default, priority: 3}\n  - {name: open, priority: 2, public: true}\nassignments:\n  - {service: desk, pathPrefix: /open, profile: open}\n", 2)
 		f.c.Assert(n.OfferConfig(set), qt.IsNil)
 		f.c.Check(f.ask(n, http.MethodGet, "/x", call.HeaderAPIKey, "key-city", call.HeaderCustomer, "other").body, qt.Equals, "city|")
@@ -180,9 +183,10 @@
 	})
 }
 
-// A customer over its limit presents a key again whose filing has run. Told not-run it
-// would file once more under another key.
-func TestLimitsMakeNoClaimAboutKeys(t *testing.T) {
+// Guards against a filing that runs twice: a customer over its limit presents an
+// idempotency key whose filing has already run. If the refusal said not-run, the
+// customer would file again under another key.
+func TestOverLimitRefusalOfAKeyedRequestIsUnknown(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.add("n", "filing", 10, answerOK)
 		f.settle()
@@ -199,12 +203,12 @@
 		f.c.Check(over.status, qt.Equals, http.StatusTooManyRequests)
 		f.c.Check(over.outcome, qt.Equals, call.Unknown.String())
 		over = f.ask(n, http.MethodGet, "/x", call.HeaderAPIKey, "key-one")
-		f.c.Check(over.outcome, qt.Equals, call.NotRun.String(), qt.Commentf("without a key nothing can have run: %d", over.status))
+		f.c.Check(over.outcome, qt.Equals, call.NotRun.String(), qt.Commentf("without an idempotency key the outcome must be not-run: status %d", over.status))
 	})
 }
 
-// A key in a trailer goes no further either.
-func TestKeysInTrailersStayHere(t *testing.T) {
+// An API key in a trailer must not be forwarded either.
+func TestAPIKeysInTrailersAreNotForwarded(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.add("n", "desk", 10, func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
 			_, _ = io.Copy(io.Discard, r.Body)
--- a/node/quarantine_test.go
+++ b/node/quarantine_test.go
@@ -17,21 +17,21 @@
 const innocentPace = 40 * time.Millisecond
 
 const (
-	// fatalPath is a read under which every upstream ends.
+	// fatalPath is the path of a read that crashes every upstream.
 	fatalPath = "/browse/" + fatalPart
-	// fatalWrite is a request of that kind that can't be repeated.
+	// fatalWrite is the path of an unrepeatable request that crashes every upstream.
 	fatalWrite = "/file/" + fatalPart
 )
 
-// each gives every request a path of its own.
-func each(i int) string { return "/browse/" + strconv.Itoa(i) }
+// distinctPath returns a different path for every request.
+func distinctPath(i int) string { return "/browse/" + strconv.Itoa(i) }
 
-// always gives every request the same path.
-func always(path string) func(int) string { return func(int) string { return path } }
+// samePath returns the same path for every request.
+func samePath(path string) func(int) string { return func(int) string { return path } }
 
-// Guards against handing a request that ends its upstreams to one after the other,
-// while the callers of innocent requests get no answer.
-func TestRequestThatEndsUpstreamsIsHeldBack(t *testing.T) {
+// Guards against sending a request that crashes its upstreams to one upstream after the
+// other, while the callers of innocent requests get no answer.
+func TestRequestThatCrashesUpstreamsIsQuarantined(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3)
 		innocent := m.call(innocentPace, func(i int) string { return "/browse/" + strconv.Itoa(i) })
@@ -39,45 +39,45 @@
 		time.Sleep(time.Minute)
 		culprit.stop()
 		innocent.stop()
-		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 		f.c.Check(m.reachedAfter(fatalPath, 3, 3*time.Second) <= 3, qt.IsTrue)
 		f.c.Check(innocent.share() > 0.98, qt.IsTrue, qt.Commentf("%.3f of the innocent requests served", innocent.share()))
 	})
 }
 
-// Shows that the quarantine is what holds the request back.
-func TestWithoutQuarantineUpstreamsEndOnAndOn(t *testing.T) {
+// Shows that without the quarantine the request crashes more than three upstreams.
+func TestWithoutQuarantineUpstreamsKeepCrashing(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3, func(s *Settings) { s.Ablate.NoQuarantine = true })
-		culprit := m.call(1500*time.Millisecond, always(fatalPath))
+		culprit := m.call(1500*time.Millisecond, samePath(fatalPath))
 		time.Sleep(20 * time.Second)
 		culprit.stop()
 		f.c.Check(m.reachedAfter(fatalPath, 3, 3*time.Second) > 3, qt.IsTrue)
 	})
 }
 
-// Guards against counting for each upstream alone: a request that is never repeated by
-// a node comes to another upstream each time.
+// Guards against counting crashes for each upstream separately: a request that no node
+// retries reaches another upstream each time.
 func TestUnrepeatableRequestIsCountedOverAllUpstreams(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(6)
-		innocent := m.call(innocentPace, each)
-		culprit := m.call(1500*time.Millisecond, always(fatalWrite))
+		innocent := m.call(innocentPace, distinctPath)
+		culprit := m.call(1500*time.Millisecond, samePath(fatalWrite))
 		time.Sleep(time.Minute)
 		culprit.stop()
 		innocent.stop()
-		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 		f.c.Check(innocent.share() > 0.98, qt.IsTrue, qt.Commentf("%.3f of the innocent requests served", innocent.share()))
 		f.c.Check(innocent.held.Load(), qt.Equals, int64(0))
 	})
 }
 
-// Guards against several such requests at once that are taken for one another, or for
-// the popular read beside them.
-func TestSeveralCausesAreHeldBackAndThePopularReadIsNot(t *testing.T) {
+// Guards against confusing several such requests that are sent at the same time with
+// each other, or with a popular read that runs beside them.
+func TestSeveralCausesAreQuarantinedAndThePopularReadIsNot(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(12)
-		popular := m.call(innocentPace, always("/browse/popular"))
+		popular := m.call(innocentPace, samePath("/browse/popular"))
 		culprits := m.call(700*time.Millisecond, func(i int) string { return fatalPath + strconv.Itoa(i%4) })
 		time.Sleep(time.Minute)
 		culprits.stop()
@@ -91,13 +91,13 @@
 	})
 }
 
-// Guards against holding back requests for upstreams that end of themselves, often or
-// all of them at once.
-func TestEndsOfOtherCausesHoldNothingBack(t *testing.T) {
+// Guards against quarantining requests when upstreams crash for other reasons,
+// frequently or all at once.
+func TestCrashesOfOtherCausesQuarantineNothing(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(4)
-		popular := m.call(innocentPace, always("/browse/popular"))
-		innocent := m.call(innocentPace, each)
+		popular := m.call(innocentPace, samePath("/browse/popular"))
+		innocent := m.call(innocentPace, distinctPath)
 		for i := range 30 {
 			time.Sleep(time.Second)
 			m.killOne(m.nodes[i%len(m.nodes)])
@@ -116,8 +116,8 @@
 	})
 }
 
-// Guards against missing the ends of upstreams that look like lost answers.
-func TestUpstreamsThatAreBackAtOnceCount(t *testing.T) {
+// Guards against missing crashes of upstreams that look like lost answers.
+func TestCrashesOfUpstreamsThatRestartAtOnceCount(t *testing.T) {
 	for _, kind := range []struct {
 		name               string
 		away               time.Duration
@@ -135,34 +135,34 @@
 				m.unnamed.Store(kind.unnamed)
 				m.forwarded = kind.forwarded
 				m.start(3)
-				culprit := m.call(700*time.Millisecond, always(fatalWrite))
+				culprit := m.call(700*time.Millisecond, samePath(fatalWrite))
 				time.Sleep(time.Minute)
 				culprit.stop()
-				f.c.Check(m.ended() == 2 || m.ended() == 3, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+				f.c.Check(m.ended() == 2 || m.ended() == 3, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 			})
 		})
 	}
 }
 
-// Guards against blaming only who is still there: an upstream goes on with a request
-// whose caller has given up, and ends under it.
+// Guards against blaming only requests whose callers still wait: an upstream continues
+// to run a request whose caller has given up, and crashes under it.
 func TestRequestThatWasGivenUpIsBlamed(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.mortals()
 		m.lasting = runTime / 2
 		m.start(3)
-		innocent := m.call(innocentPace, each)
+		innocent := m.call(innocentPace, distinctPath)
 		for i := range 60 {
 			f.askRouted(m.nodes[i%3], fatalWrite, strconv.Itoa(i), "X-Timeout", "20")
 			time.Sleep(time.Second)
 		}
 		innocent.stop()
-		f.c.Check(m.ended() == 2 || m.ended() == 3, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+		f.c.Check(m.ended() == 2 || m.ended() == 3, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 	})
 }
 
-// untilHeld has the fatal read come until three upstreams have ended under it.
-func (m *mortals) untilHeld() {
+// untilQuarantined sends the fatal read until three upstreams have crashed under it.
+func (m *mortals) untilQuarantined() {
 	for range 100 {
 		if m.ended() >= 3 {
 			m.settle()
@@ -171,17 +171,17 @@
 		m.askRouted(m.nodes[0], fatalPath, "x")
 		time.Sleep(time.Second)
 	}
-	m.c.Fatalf("%d upstreams ended", m.ended())
+	m.c.Fatalf("%d upstreams crashed", m.ended())
 }
 
-// Guards against finding the cause anew, at the price of three upstreams, when the
-// nodes were restarted.
-func TestHeldRequestIsKnownAfterARestart(t *testing.T) {
+// Guards against identifying the cause again, which would crash three more upstreams,
+// after the nodes were restarted.
+func TestQuarantinedRequestIsKnownAfterARestart(t *testing.T) {
 	for _, all := range []bool{true, false} {
 		t.Run(fmt.Sprintf("all=%v", all), func(t *testing.T) {
 			inFleet(t, func(f *fleet) {
 				m := f.addMortals(3)
-				m.untilHeld()
+				m.untilQuarantined()
 				old := m.nodes
 				if all {
 					for name, n := range f.nodes {
@@ -211,12 +211,12 @@
 	}
 }
 
-// Guards against a request that stays held once its upstreams are mended, and against
-// finding that out at all of them at once.
-func TestMendedUpstreamsGetTheRequestAgain(t *testing.T) {
+// Guards against a request that stays quarantined after its upstreams are fixed, and
+// against trying it at all of them at once.
+func TestFixedUpstreamsGetTheRequestAgain(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3)
-		m.untilHeld()
+		m.untilQuarantined()
 		m.healed.Store(true)
 		before := m.reached(fatalPath)
 		time.Sleep(quarantine.HoldTime(3))
@@ -229,11 +229,11 @@
 	})
 }
 
-// Guards against a request that an operator can't release.
-func TestOperatorClearsAHeldRequest(t *testing.T) {
+// Guards against a quarantined request that an operator can't release.
+func TestOperatorClearsAQuarantinedRequest(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3)
-		m.untilHeld()
+		m.untilQuarantined()
 		m.healed.Store(true)
 		held := m.nodes[0].HeldRequests(false)
 		f.c.Assert(held, qt.HasLen, 1)
@@ -249,9 +249,10 @@
 	})
 }
 
-// Guards against news that does not cross a healed cut: both halves find the cause by
-// themselves, and neither pays for it again.
-func TestHalvesOfACutFleetHoldTheRequestEach(t *testing.T) {
+// Guards against records that are not exchanged after a network partition heals: each
+// side identifies the cause by itself, and neither loses further upstreams to it
+// afterwards.
+func TestBothPartitionSidesQuarantineTheRequest(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(6)
 		cut := func(change func(a, b string)) {
@@ -263,9 +264,9 @@
 			}
 		}
 		cut(f.net.Cut)
-		culprit := m.call(700*time.Millisecond, always(fatalPath))
+		culprit := m.call(700*time.Millisecond, samePath(fatalPath))
 		time.Sleep(40 * time.Second)
-		f.c.Check(m.ended() <= 6, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+		f.c.Check(m.ended() <= 6, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 		cut(f.net.Heal)
 		time.Sleep(10 * time.Second)
 		before := m.ended()
@@ -275,27 +276,27 @@
 	})
 }
 
-// Guards against clearing a request for an error: its upstream may fail before it comes
-// to what it ends under.
+// Guards against clearing a request after an error response: the upstream may fail
+// before it reaches the code that crashes it.
 func TestErrorDoesNotClearARequest(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.mortals()
 		m.failEvery = 2
 		m.start(3)
-		culprit := m.call(700*time.Millisecond, always(fatalPath))
+		culprit := m.call(700*time.Millisecond, samePath(fatalPath))
 		time.Sleep(2 * time.Minute)
 		culprit.stop()
-		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams ended", m.ended()))
+		f.c.Check(m.ended() <= 3, qt.IsTrue, qt.Commentf("%d upstreams crashed", m.ended()))
 		f.c.Check(m.reachedAfter(fatalPath, 3, 3*time.Second) <= 3, qt.IsTrue)
 	})
 }
 
-// Guards against finding the cause anew, at the price of the other service's upstreams,
-// as operators move its route.
-func TestHeldRequestIsHeldAtOtherServices(t *testing.T) {
+// Guards against identifying the cause again, which would crash upstreams of another
+// service, when operators route the request to that service.
+func TestRequestIsQuarantinedAtOtherServices(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3)
-		m.untilHeld()
+		m.untilQuarantined()
 		other := f.addRouted("other", "portal", 10, echo)
 		moved, err := config.Parse([]byte(strings.NewReplacer("version: 1", "version: 2", "service: desk", "service: portal").Replace(routedSet)), config.YAML)
 		f.c.Assert(err, qt.IsNil)
@@ -308,9 +309,9 @@
 	})
 }
 
-// Guards against forgetting a request that is held for seconds, as all nodes restart in
-// turn: each learns it from those that are there.
-func TestHeldRequestOutlivesARollingRestart(t *testing.T) {
+// Guards against forgetting a request that is quarantined for seconds only while all
+// nodes restart one after another: each new node learns of it from the running ones.
+func TestQuarantineSurvivesARollingRestart(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		m := f.addMortals(3)
 		for range 2 {
--- a/node/quota_test.go
+++ b/node/quota_test.go
@@ -16,8 +16,8 @@
 	"pollengauge.dev/quota"
 )
 
-// limited is routedSet with one customer that has a limit, and one without.
-func limited(c *qt.C, version uint64, rate, burst float64) config.Set {
+// limitedSet is routedSet with one customer that has a limit, and one without.
+func limitedSet(c *qt.C, version uint64, rate, burst float64) config.Set {
 	set, err := config.Parse([]byte(routedSet), config.YAML)
 	c.Assert(err, qt.IsNil)
 	set.Version = version
@@ -28,7 +28,7 @@
 	return set
 }
 
-// arrivals counts when requests arrived at upstreams.
+// arrivals records when requests arrived at upstreams.
 type arrivals struct {
 	mu sync.Mutex
 	at []time.Time
@@ -41,7 +41,7 @@
 	echo(w, r, c)
 }
 
-// most is the most arrivals in any window.
+// most returns the most arrivals in any window.
 func (a *arrivals) most(window time.Duration) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -55,7 +55,7 @@
 	return most
 }
 
-// quotaFleet starts nodes of one service, each with the limit in force.
+// quotaFleet starts nodes of one service, all with the limit in force.
 func (f *fleet) quotaFleet(count int, seen *arrivals, rate, burst float64) []*Node {
 	var nodes []*Node
 	for i := range count {
@@ -63,14 +63,14 @@
 	}
 	f.settle()
 	for _, n := range nodes {
-		f.c.Assert(n.OfferConfig(limited(f.c, 2, rate, burst)), qt.IsNil)
+		f.c.Assert(n.OfferConfig(limitedSet(f.c, 2, rate, burst)), qt.IsNil)
 	}
 	return nodes
 }
 
-// storm sends requests of the limited customer through all nodes for a time, so many a
-// second, and returns the answers by status.
-func (f *fleet) storm(nodes []*Node, perSecond int, during time.Duration) map[int]int {
+// sendHot sends requests of the limited customer through all nodes at a constant rate,
+// and counts the answers by status.
+func (f *fleet) sendHot(nodes []*Node, perSecond int, during time.Duration) map[int]int {
 	var mu sync.Mutex
 	counts := map[int]int{}
 	var running sync.WaitGroup
@@ -93,12 +93,13 @@
 }
 
 // One customer sends seven times its limit through all nodes. It gets its limit and no
-// more, is told 429 with a time to come back, and another customer notices nothing.
+// more, receives 429 with a Retry-After for the rest, and another customer is not
+// affected.
 func TestOneCustomerGetsItsLimitOverAllNodes(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		seen := &arrivals{}
 		nodes := f.quotaFleet(5, seen, 20, 20)
-		counts := f.storm(nodes, 140, 10*time.Second)
+		counts := f.sendHot(nodes, 140, 10*time.Second)
 		f.c.Check(float64(seen.most(5*time.Second)) <= quota.DefaultTolerance.Most(quota.Limit{Rate: 20, Burst: 20}), qt.IsTrue, qt.Commentf("%d", seen.most(5*time.Second)))
 		f.c.Check(counts[http.StatusOK] >= 190, qt.IsTrue, qt.Commentf("%v", counts))
 		f.c.Check(counts[http.StatusOK]+counts[http.StatusTooManyRequests], qt.Equals, 1400, qt.Commentf("%v", counts))
@@ -110,12 +111,12 @@
 }
 
 // All nodes are restarted at the same time while a customer sends many times its limit.
-// No window may hold its burst twice.
+// No window may contain the customer's burst twice.
 func TestRestartOfAllLendsNothingTwice(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		seen := &arrivals{}
 		nodes := f.quotaFleet(5, seen, 20, 20)
-		f.storm(nodes, 100, 4*time.Second)
+		f.sendHot(nodes, 100, 4*time.Second)
 		for i, n := range nodes {
 			n.Close()
 			delete(f.nodes, "vm"+strconv.Itoa(i))
@@ -124,21 +125,21 @@
 		var again []*Node
 		for i := range nodes {
 			n := f.addRouted("again"+strconv.Itoa(i), "desk", 100, seen.note)
-			f.c.Assert(n.OfferConfig(limited(f.c, 2, 20, 20)), qt.IsNil)
+			f.c.Assert(n.OfferConfig(limitedSet(f.c, 2, 20, 20)), qt.IsNil)
 			again = append(again, n)
 		}
-		f.storm(again, 100, 6*time.Second)
+		f.sendHot(again, 100, 6*time.Second)
 		f.c.Check(float64(seen.most(5*time.Second)) <= quota.DefaultTolerance.Most(quota.Limit{Rate: 20, Burst: 20}), qt.IsTrue, qt.Commentf("%d", seen.most(5*time.Second)))
 	})
 }
 
-// The nodes are cut into halves. Each half lends its half, so that both together keep
-// the limit; both go on lending.
-func TestHalvesOfACutShareTheLimit(t *testing.T) {
+// A network partition divides the nodes into two halves. Each half leases half of the
+// limit, so that both together stay within it, and both continue to lease.
+func TestPartitionSidesShareTheLimit(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		seen := &arrivals{}
 		nodes := f.quotaFleet(6, seen, 40, 40)
-		f.storm(nodes, 120, 2*time.Second)
+		f.sendHot(nodes, 120, 2*time.Second)
 		for i := range nodes {
 			for k := range nodes {
 				if i%2 != k%2 {
@@ -146,59 +147,59 @@
 				}
 			}
 		}
-		counts := f.storm(nodes, 120, 15*time.Second)
+		counts := f.sendHot(nodes, 120, 15*time.Second)
 		f.c.Check(float64(seen.most(5*time.Second)) <= quota.DefaultTolerance.Most(quota.Limit{Rate: 40, Burst: 40}), qt.IsTrue, qt.Commentf("%d", seen.most(5*time.Second)))
 		f.c.Check(counts[http.StatusOK] >= 15*40/2, qt.IsTrue, qt.Commentf("%v", counts))
 	})
 }
 
-// The limit is lowered far below what its customer sends, by a version that reaches the
-// nodes one after the other. The home keeps the latest one.
+// A configuration version that reaches the nodes one after the other lowers the limit
+// far below what its customer sends. The customer's owner applies the latest version.
 func TestLowerLimitsHoldAtOnce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		seen := &arrivals{}
 		nodes := f.quotaFleet(5, seen, 200, 200)
-		f.storm(nodes, 100, 2*time.Second)
-		f.c.Assert(nodes[0].OfferConfig(limited(f.c, 3, 10, 10)), qt.IsNil)
+		f.sendHot(nodes, 100, 2*time.Second)
+		f.c.Assert(nodes[0].OfferConfig(limitedSet(f.c, 3, 10, 10)), qt.IsNil)
 		time.Sleep(2 * time.Second)
 		lowered := &arrivals{}
 		seen.mu.Lock()
 		before := len(seen.at)
 		seen.mu.Unlock()
-		f.storm(nodes, 100, 8*time.Second)
+		f.sendHot(nodes, 100, 8*time.Second)
 		lowered.at = seen.at[before:]
 		f.c.Check(float64(lowered.most(5*time.Second)) <= quota.DefaultTolerance.Most(quota.Limit{Rate: 10, Burst: 10}), qt.IsTrue, qt.Commentf("%d", lowered.most(5*time.Second)))
 	})
 }
 
-// Who counts for a customer is lost. Its requests are refused for a moment at the most,
-// and its limit holds.
-func TestLostHomesAreReplaced(t *testing.T) {
+// The owner of a customer fails. The customer's requests are refused for a moment at
+// most, and its limit holds.
+func TestLostOwnersAreReplaced(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		seen := &arrivals{}
 		nodes := f.quotaFleet(5, seen, 40, 40)
-		f.storm(nodes, 20, 2*time.Second)
-		home, _ := nodes[0].quotas.homes.Load().Of("hot")
+		f.sendHot(nodes, 20, 2*time.Second)
+		owner, _ := nodes[0].quotas.owners.Load().Of("hot")
 		var rest []*Node
 		for i, n := range nodes {
-			if n.id == home {
+			if n.id == owner {
 				n.Close()
 				delete(f.nodes, "vm"+strconv.Itoa(i))
 				continue
 			}
 			rest = append(rest, n)
 		}
-		counts := f.storm(rest, 20, 10*time.Second)
+		counts := f.sendHot(rest, 20, 10*time.Second)
 		f.c.Check(counts[http.StatusOK] >= 180, qt.IsTrue, qt.Commentf("%v", counts))
 	})
 }
 
-// A request that was refused for another cause gives its place back.
-func TestRefusedRequestsGiveTheirPlaceBack(t *testing.T) {
+// A request that was refused for another reason returns its token.
+func TestRefusedRequestsReturnTheirToken(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("front", "front", 10, echo)
 		f.settle()
-		f.c.Assert(n.OfferConfig(limited(f.c, 2, 1, 4)), qt.IsNil)
+		f.c.Assert(n.OfferConfig(limitedSet(f.c, 2, 1, 4)), qt.IsNil)
 		for i := range 20 {
 			got := f.askRouted(n, "/browse/x", strconv.Itoa(i), "X-Key", "hot")
 			f.c.Check(got.reason, qt.Equals, string(call.ReasonNoTarget), qt.Commentf("request %d", i))
@@ -206,8 +207,8 @@
 	})
 }
 
-// What no member sends is refused, and changes nothing.
-func TestQuestionsForTokensAreChecked(t *testing.T) {
+// Invalid token requests, and those of unknown members, are refused and change nothing.
+func TestTokenRequestsAreValidated(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("n", "desk", 10, echo)
 		f.settle()
@@ -225,12 +226,13 @@
 		}
 		good := "Quota-Customer: a\r\nQuota-Rate: 1\r\nQuota-Burst: 1\r\nQuota-Version: 1\r\nQuota-Want: 1\r\nQuota-Need: 1\r\n"
 		resp := f.raw(n, PeerListener, "POST "+quotaPath+" HTTP/1.1\r\nHost: "+quotaHost+"\r\nContent-Length: 0\r\nConnection: close\r\n"+good+"\r\n")
-		f.c.Check(resp.StatusCode, qt.Equals, http.StatusForbidden, qt.Commentf("a stranger"))
+		f.c.Check(resp.StatusCode, qt.Equals, http.StatusForbidden, qt.Commentf("unknown member"))
 		f.c.Check(n.quotas.ledger.Accounts(), qt.HasLen, 0)
 	})
 }
 
-// BenchmarkQuotaTaken is what a limit costs a request whose token is there.
+// BenchmarkQuotaTaken measures the cost of a limit for a request whose token is already
+// at the node.
 func BenchmarkQuotaTaken(b *testing.B) {
 	p := quota.NewPurse(400 * time.Millisecond)
 	now := time.Now()
