--- a/node/errors.go
+++ b/node/errors.go
@@ -115,13 +115,13 @@
 type DepthError struct{ Depth int }
 
 // Error implements error.
-func (e *DepthError) Error() string { return "call depth " + strconv.Itoa(e.Depth) + " is too high" }
+func (e *DepthError) Error() string { return "call depth " + strconv.Itoa(e.Depth) + " is the limit" }
 
 // MethodError reports that requests with this method are not carried.
 type MethodError struct{ Method string }
 
 // Error implements error.
-func (e *MethodError) Error() string { return "method " + e.Method + " is not supported" }
+func (e *MethodError) Error() string { return "method " + e.Method + " can't be carried" }
 
 // HeadError reports that the head of a request exceeds a limit.
 type HeadError struct {
@@ -146,7 +146,7 @@
 	if len(path) > shown {
 		path = path[:shown] + "..."
 	}
-	return "path " + strconv.Quote(path) + ": want a path that all servers interpret alike"
+	return "path " + strconv.Quote(path) + ": want one that can be read in one way only"
 }
 
 // StrangerError reports that a node that is not a known member of this service tried
@@ -155,5 +155,5 @@
 
 // Error implements error.
 func (e *StrangerError) Error() string {
-	return "hand-over from " + strconv.Quote(e.From) + ": sender is no known member of this service"
+	return "hand-over from " + strconv.Quote(e.From) + ": no known member of this service"
 }
--- a/node/outbound.go
+++ b/node/outbound.go
@@ -25,7 +25,7 @@
 	defer n.active.Add(-1)
 	service := serviceOf(r.Host)
 	if !validName(service) {
-		n.writeBad(w, r, &WrongServiceError{Service: service, Want: "a service name in the Host header"})
+		n.writeBad(w, r, &WrongServiceError{Service: service, Want: "a service name as Host"})
 		return
 	}
 	id := r.Header.Get(call.HeaderVisit)
--- a/node/witnessserver.go
+++ b/node/witnessserver.go
@@ -145,4 +145,4 @@
 type WitnessMessageError struct{ Field string }
 
 // Error implements error.
-func (e *WitnessMessageError) Error() string { return "message with notes: invalid field " + e.Field }
+func (e *WitnessMessageError) Error() string { return "message with notes: " + e.Field }
