--- a/node/adjust.go
+++ b/node/adjust.go
@@ -7,7 +7,7 @@
 	"pollengauge.dev/config"
 )
 
-// Adjustment has the settings that can change while a node runs.
+// Adjustment contains the settings that can change while a node runs.
 type Adjustment struct {
 	// DrainTimeout is as in Settings.
 	DrainTimeout time.Duration
@@ -15,8 +15,8 @@
 	RetryRatio float64
 }
 
-// Adjust puts a in force. The error is a *SettingsError; nothing changes then.
-// A new ratio starts new bounds on retries, which have earned nothing yet.
+// Adjust applies a. On invalid values it returns a *SettingsError and changes
+// nothing. A new ratio resets the retry budgets, which start without earned retries.
 func (n *Node) Adjust(a Adjustment) error {
 	c := &checker{}
 	c.duration("drain-timeout", a.DrainTimeout, 0, time.Hour)
--- a/node/adjust_test.go
+++ b/node/adjust_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Operators give the node another grace period and another bound on retries
-// while it runs. Read at the start only, the old ones would hold until a restart:
-// a node would cut work off early, or go on retrying beyond the new bound. A value
-// out of range must change nothing.
+// Operators change the drain timeout and the retry ratio while a node runs. If they
+// were read only at the start, the old values would hold until a restart: a node
+// would cut work off too early, or go on retrying beyond the new ratio. A value out
+// of range must change nothing.
 func TestAdjustedSettingsHoldAtOnce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, echo, func(s *Settings) { s.RetryRatio = 0.2 })
--- a/node/bounds_test.go
+++ b/node/bounds_test.go
@@ -13,8 +13,8 @@
 	"pollengauge.dev/config"
 )
 
-// headOf returns a request of exactly size bytes as headLimit measures it, with
-// fields besides X-Id and X-Pad.
+// headOf returns a request head of exactly size bytes as headLimit measures it, with
+// the given number of fields besides X-Id and X-Pad.
 func headOf(method, target, host, id string, fields, size int) string {
 	const pad, own = "X-Pad", "X-Id"
 	text := method + " " + target + " HTTP/1.1\r\nHost: " + host + "\r\nConnection: close\r\n" + own + ": " + id + "\r\n"
@@ -28,10 +28,10 @@
 	return text + pad + ": " + strings.Repeat("p", max(size-used, 0)) + "\r\n\r\n"
 }
 
-// A caller sends a head that is just within the bound of the operators: many
-// fields, a long id, a long host. The node took it, added what nodes tell each
-// other, and the next one refused it, or the node itself did for a bound that
-// no operator had set. The caller was told that its request is wrong, for good.
+// A caller sends a head that is just within the operators' limit: many fields, a long
+// id, a long host. The node used to accept it and add the context for other nodes,
+// and the next node refused it, or the node itself refused it for a limit that no
+// operator had set. The caller was told permanently that its request is invalid.
 func TestHeadsWithinTheOperatorsBoundPassEveryHop(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		widest := func(s *Settings) { s.MaxHeaderBytes = config.MaxHeaderBytes }
@@ -59,8 +59,8 @@
 	})
 }
 
-// The room that the next node leaves for what nodes add has to hold the longest
-// context that there is.
+// The header space that each node reserves for the headers added by other nodes must
+// hold the longest possible context.
 func TestRoomForContextsHoldsTheLongest(t *testing.T) {
 	c := qt.New(t)
 	h := http.Header{}
--- a/node/brownout.go
+++ b/node/brownout.go
@@ -14,26 +14,26 @@
 	"pollengauge.dev/observe"
 )
 
-// negotiated headers choose the form of an answer.
+// negotiated lists the headers that select the representation of a response.
 var negotiated = []string{"Accept", "Accept-Encoding", "Accept-Language", "Range"}
 
-// customPrefix starts the headers that services define for themselves.
+// customPrefix is the prefix of headers that services define for themselves.
 const customPrefix = "X-"
 
-// neutralCustom are customary headers that identify neither a caller nor a
-// form of the answer.
+// neutralCustom lists common X- headers that identify neither a caller nor a
+// representation of the response.
 var neutralCustom = map[string]bool{
 	headerRequestID: true, "X-Forwarded-For": true, "X-Forwarded-Proto": true,
 	"X-Forwarded-Host": true, "X-Real-Ip": true, "X-Requested-With": true,
 }
 
-// storedKey is what a stored answer belongs to: this request of this caller.
+// storedKey returns the key of the stored response to this request of this caller.
 //
-// The failure: a service tells callers apart by a header that no profile
-// names, and one caller gets another's cases. The key therefore has the
-// profile's vary headers (credentials and cookies always among them), its
-// caller header, the caller's address where there are no credentials, and
-// every header that a service may have defined for itself.
+// A service may tell callers apart by a header that no profile names; with a key that
+// lacks it one caller would get another caller's data. The key therefore contains the
+// profile's vary headers (always including credentials and cookies), its caller
+// header, the caller's address if there are no credentials, and every header that a
+// service may have defined for itself.
 func (n *Node) storedKey(req *request) admission.BrownoutKey {
 	if n.settings.Ablate.SharedAnswers {
 		return admission.BrownoutKey{Method: req.method, URL: req.service + req.url.RequestURI()}
@@ -66,8 +66,8 @@
 	}
 }
 
-// storable reports whether the key tells apart all that the answer says it
-// depends on.
+// storable reports whether the key covers every header that the response's Vary
+// lists. The negotiated headers are always part of the key.
 func storable(key admission.BrownoutKey, answer http.Header) bool {
 	for _, field := range answer.Values("Vary") {
 		for name := range strings.SplitSeq(field, ",") {
@@ -82,9 +82,9 @@
 	return true
 }
 
-// brownout returns a stored answer in place of a refusal, if the profile
-// allows one of its age. It is marked with its age, so that nobody takes it
-// for a fresh one.
+// brownout returns a stored response in place of a rejection, if the profile allows a
+// response of its age, else nil. The response carries its age, so that nobody takes
+// it for a fresh one.
 func (n *Node) brownout(req *request) *answer {
 	maxAge := time.Duration(req.profile.Brownout.MaxAge)
 	if maxAge == 0 {
@@ -103,8 +103,8 @@
 	return a
 }
 
-// remember keeps a copy of a fresh answer while it is streamed, where the
-// profile allows brownouts.
+// remember returns the body of a. If the profile allows brownouts, the returned body
+// stores a copy of a fresh response while it is streamed.
 func (n *Node) remember(req *request, a *answer) readCloser {
 	fresh := a.report.Outcome == call.Complete && a.status == http.StatusOK && a.decision == ""
 	if req.profile.Brownout.MaxAge == 0 || !fresh {
@@ -113,10 +113,10 @@
 	return &rememberBody{readCloser: a.body, node: n, req: req, answer: a}
 }
 
-// maxRemembered bounds the copy of one answer.
+// maxRemembered is the maximum size of a stored response body, in bytes.
 const maxRemembered = 256 << 10
 
-// rememberBody stores the answer only once it has ended in full.
+// rememberBody stores the response once it has been read completely.
 type rememberBody struct {
 	readCloser
 	node     *Node
@@ -139,7 +139,7 @@
 	return count, err
 }
 
-// keepStored keeps a whole answer for a later brownout.
+// keepStored stores a complete response for a later brownout.
 func (n *Node) keepStored(req *request, a *answer, body []byte) {
 	key := n.storedKey(req)
 	if !storable(key, a.header) {
--- a/node/brownout_test.go
+++ b/node/brownout_test.go
@@ -17,10 +17,10 @@
 - {service: "*", method: GET, profile: status}
 `
 
-// The upstream is gone and tenants ask for their status. Each gets the answer
-// that was last given to it, marked with its age, whatever browser it uses;
-// nobody gets another's, and past the age that the profile allows the status
-// is refused rather than wrong.
+// The upstream rejects all calls while tenants request their status. Each tenant must
+// get the last response given to it, marked with its age, whatever browser it uses.
+// No tenant may get another's response, and once the response is older than the
+// profile allows, the request is refused.
 func TestStatusDoesNotGoBlank(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(statusProfiles)
--- a/node/callerlimits.go
+++ b/node/callerlimits.go
@@ -9,17 +9,17 @@
 	"pollengauge.dev/config"
 )
 
-// spokenIdleTimeout is how long a caller's connection is kept without a request
-// where a dialect is spoken and the configuration gives no time. Callers there
-// open connections by the hundred, and what they leave holds descriptors.
+// spokenIdleTimeout is how long an idle connection of a caller is kept open where a
+// dialect is used and the configuration gives no time. Such callers open connections
+// by the hundred, and abandoned ones hold file descriptors.
 const spokenIdleTimeout = 15 * time.Second
 
-// forCallers tells whether callers from outside use l.
+// forCallers reports whether callers from outside use l.
 func (n *Node) forCallers(l Listener) bool {
 	return l == EdgeListener || (l == OutboundListener && n.spoken())
 }
 
-// limitCaller holds a caller's request to the configuration in force.
+// limitCaller enforces the limits of the current configuration on a caller's request.
 func (n *Node) limitCaller(w http.ResponseWriter, r *http.Request) error {
 	limits := n.config.Current().Limits()
 	if limits.HeaderBytes > 0 {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// idleTimeout is how long a caller's connection is kept without a request.
+// idleTimeout returns how long an idle connection of a caller is kept open.
 func (n *Node) idleTimeout() time.Duration {
 	limit := time.Duration(n.config.Current().Limits().IdleTimeout)
 	switch {
@@ -54,8 +54,8 @@
 	return keepAliveTimeout
 }
 
-// longestIdle is what net/http itself allows a connection of l. Those of callers
-// are ended by watchIdle.
+// longestIdle returns the idle timeout that net/http enforces on connections of l.
+// Those of callers are closed earlier, by watchIdle.
 func (n *Node) longestIdle(l Listener) time.Duration {
 	if n.forCallers(l) {
 		return time.Duration(config.MaxIdleTimeout)
@@ -63,15 +63,16 @@
 	return keepAliveTimeout
 }
 
-// longAgo is a deadline that ends a read at once.
+// longAgo is a deadline in the past, which ends a read at once.
 var longAgo = time.Unix(1, 0)
 
-// watchIdle ends a caller's connection that has been idle for as long as the
-// configuration allows. net/http can't: its time is fixed with the server.
+// watchIdle closes a caller's connection that has been idle for the time given by the
+// configuration. net/http can't, because its idle timeout is fixed when the server is
+// created.
 //
-// The failure: callers used connections again that had been idle for longer than
-// the node's fixed time, as their configuration allowed. The node had closed
-// them, and each such request ended without an answer.
+// With a fixed timeout, callers reused connections that had been idle longer than the
+// node's timeout, as their configuration allowed. The node had already closed these
+// connections, and each such request ended without a response.
 func (n *Node) watchIdle(conn net.Conn, state http.ConnState) {
 	c, ok := resetConnOf(conn)
 	if !ok {
@@ -84,12 +85,12 @@
 	c.idle.stop()
 }
 
-// idleTimer runs from the end of one request to the begin of the next.
+// idleTimer runs from the end of one request to the start of the next.
 type idleTimer struct {
 	mu    sync.Mutex
 	timer *time.Timer
-	// turn counts starts and stops: a timer that has fired but lost the race for
-	// mu to the next request must not touch that request's connection.
+	// turn counts starts and stops. A timer that has fired but lost the race for mu
+	// to the next request must not touch that request's connection.
 	turn uint64
 }
 
--- a/node/callerlimits_test.go
+++ b/node/callerlimits_test.go
@@ -14,7 +14,7 @@
 	"pollengauge.dev/config"
 )
 
-// offerLimits puts the routes of routedSet in force with other limits.
+// offerLimits applies the routes of routedSet with other limits.
 func (f *fleet) offerLimits(n *Node, version uint64, limits config.Limits) {
 	set, err := config.Parse([]byte(routedSet), config.YAML)
 	f.c.Assert(err, qt.IsNil)
@@ -23,11 +23,11 @@
 	f.c.Assert(n.OfferConfig(set), qt.IsNil)
 }
 
-// Callers keep a connection and use it again after a pause that the
-// configuration allows. The node used to close at a time of its own, so the next
-// request met a closed connection and got no answer. The time has to follow the
-// configuration also for connections that are open when it changes, and hold:
-// what is idle for longer is closed.
+// Callers keep a connection open and reuse it after a pause that the configuration
+// allows. The node used to close it after a fixed time, so the next request met a
+// closed connection and got no response. The idle timeout must follow the
+// configuration, also for connections that are open when it changes, and a connection
+// that is idle for longer must be closed.
 func TestIdleConnectionsFollowTheConfiguration(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, echo)
@@ -61,9 +61,9 @@
 	})
 }
 
-// The operators bound what a caller may send. A head or an announced body above
-// that must be refused as not run, and one below must run; a body without a
-// length can't be judged at its head and must not run whole.
+// Operators limit what a caller may send. A head or an announced body above the limit
+// must be refused as not run, and one below it must run. A body without a length
+// can't be judged from its head and must not run if it exceeds the limit.
 func TestCallersKeepToTheLimitsOfTheConfiguration(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		told := &events{}
@@ -99,7 +99,7 @@
 			f.c.Check(f.runs.of("desk", one.id), qt.Equals, one.runs, qt.Commentf(one.id))
 		}
 		f.c.Check(told.has("too-large"), qt.IsTrue)
-		// Nodes speak the project's own form among each other.
+		// Nodes use the project's own headers among each other.
 		resp := f.raw(n, PeerListener, "GET /browse/x HTTP/1.1\r\nHost: desk\r\nConnection: close\r\nA: "+strings.Repeat("a", 40<<10)+"\r\n\r\n")
 		f.c.Assert(resp, qt.IsNotNil)
 		f.c.Check(resp.Header.Get(call.HeaderOutcome), qt.Equals, "not-run")
--- a/node/callers_test.go
+++ b/node/callers_test.go
@@ -14,11 +14,10 @@
 	panic(http.ErrAbortHandler)
 }
 
-// A caller's request fails and it sends the request again, five times, as
-// impatient clients do. The first may use the chain's credit of two; its
-// repeats are known by their idempotency key or request id and bring none, or
-// each would multiply below. A caller that names nothing can't be
-// known.
+// A caller's request fails and it sends the request again, five times, as impatient
+// clients do. The first may use the chain's retry credit of two. Its repeats are
+// recognized by their idempotency key or request id and get no credit, or each of
+// them would multiply downstream. Repeats that carry neither can't be recognized.
 func TestCallersOwnRetriesBringNoCredit(t *testing.T) {
 	const asked, credit = 6, 2
 	cases := []struct {
@@ -40,7 +39,7 @@
 			f.add("c", "portal", 10, crashAll)
 			f.settle()
 			for range 1000 {
-				n.budget.Load().OnFirst(time.Now()) // leave the bound to the credit
+				n.budget.Load().OnFirst(time.Now()) // so that only the credit limits retries
 			}
 			for i := range asked {
 				header := append([]string{"X-Operation", "op"}, tc.header...)
@@ -54,9 +53,9 @@
 	}
 }
 
-// A thousand callers come within a second to a service that takes a few, and
-// each comes back when it was told to. If the hints agreed they would return
-// as one wave and be refused together again.
+// A thousand callers arrive within a second at a service that takes a few, and each
+// retries when it was told to. If the hints were equal, the callers would return as
+// one burst and be refused together again.
 func TestRefusedCrowdComesBackSpread(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(filingProfiles)
--- a/node/guard.go
+++ b/node/guard.go
@@ -14,30 +14,29 @@
 )
 
 const (
-	// maxHeaderFields bounds the number of fields in a header block.
+	// maxHeaderFields is the maximum number of fields in a header block.
 	maxHeaderFields = 128
-	// nodeHeaderFields and nodeHeaderBytes are the room for what nodes add.
+	// nodeHeaderFields and nodeHeaderBytes are reserved for the headers that nodes
+	// add. Each listener for nodes accepts this much more than the edge does.
 	//
-	// The failure: the edge takes a request whose header block is just within
-	// the limit, the next node refuses it because of the context added to it,
-	// and a filing that could have run ends without a fate. Each listener for
-	// nodes therefore takes this much more than the edge does.
+	// Otherwise the edge would accept a request whose header block is just within the
+	// limit, the next node would refuse it because of the added context, and a filing
+	// that could have run would end without a fate.
 	nodeHeaderFields = 16
 	nodeHeaderBytes  = 4 << 10
-	// fieldOverhead is the ": " and the line end of a field.
+	// fieldOverhead is the size of the ": " and the line end of a field, in bytes.
 	fieldOverhead = 4
-	// answerGrace is how long an answer may take to be written where the
+	// answerGrace is the minimum time for writing a response, used where the
 	// request's deadline leaves less.
 	answerGrace = 5 * time.Second
 )
 
-// headLimit bounds the head of one request. No fields means as many as the bytes
-// hold.
+// headLimit bounds the head of one request. With fields 0, only bytes is checked.
 type headLimit struct{ bytes, fields int }
 
-// headLimitOf is the node's own bound. Where a dialect is spoken, operators bound
-// what callers send, and that by bytes alone: a head of many short fields is as
-// proper as one of a few long ones.
+// headLimitOf returns the node's own limit for a listener. Where a dialect is used,
+// operators limit the heads of callers, and by size alone: a head of many short
+// fields is as valid as one of a few long ones.
 func (n *Node) headLimitOf(listener Listener) headLimit {
 	limit := headLimit{bytes: n.settings.MaxHeaderBytes, fields: maxHeaderFields}
 	if listener == PeerListener {
@@ -50,7 +49,7 @@
 	return limit
 }
 
-// check measures the head in the form in which it would be sent on.
+// check measures the head in the form in which it would be forwarded.
 func (l headLimit) check(r *http.Request) error {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	fields := 0
@@ -69,7 +68,8 @@
 	return nil
 }
 
-// guard is the first to see the requests of a listener.
+// guard is the outermost handler of a listener. It recovers panics and enforces the
+// limits on request heads and bodies.
 func (n *Node) guard(listener Listener, next http.Handler) http.Handler {
 	limit := n.headLimitOf(listener)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -78,7 +78,7 @@
 			conn.Serve(r)
 			defer conn.Done()
 		}
-		// The deadline of the answer before on this connection ends here.
+		// Clear the write deadline of the previous response on this connection.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 		err := limit.check(r)
 		if err == nil && n.forCallers(listener) {
@@ -95,8 +95,9 @@
 	})
 }
 
-// recovered reports a panic other than the one that tears a connection down,
-// and tears it down: the receiver must not take half an answer for a whole one.
+// recovered recovers a panic and closes the connection, so that the receiver doesn't
+// take a partial response for a complete one. It logs every panic other than
+// http.ErrAbortHandler, which closes a connection on purpose.
 func (n *Node) recovered(listener Listener, w http.ResponseWriter, r *http.Request) {
 	fault := recover()
 	if fault == nil {
@@ -110,7 +111,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// connState follows the connections of a listener.
+// connState returns the callback that follows the connections of a listener.
 func (n *Node) connState(listener Listener, limit int) func(net.Conn, http.ConnState) {
 	count := n.countConns(listener, limit)
 	if !n.forCallers(listener) {
@@ -130,7 +131,8 @@
 	return counts
 }
 
-// countConns tells when a listener holds as many connections as it may.
+// countConns counts the open connections of a listener and logs an event when they
+// reach the limit.
 func (n *Node) countConns(listener Listener, limit int) func(net.Conn, http.ConnState) {
 	open := n.conns[listener]
 	return func(_ net.Conn, state http.ConnState) {
@@ -145,12 +147,12 @@
 	}
 }
 
-// limitWrite bounds the writing of an answer by the request's deadline.
+// limitWrite bounds the writing of a response by the request's deadline.
 //
-// The failure: a caller asks for a long answer and does not read it. The write
-// blocks, the answer's source can't end, and the slot at the upstream is held;
-// a few such callers stop a service. Nobody waits for an answer after the
-// deadline, so the connection is torn down then.
+// Without it, a caller could request a long response and not read it. The write would
+// block, the response could not be read to its end, and the slot at the upstream
+// would stay occupied; a few such callers would stop a service. Nobody waits for a
+// response after the deadline, so the connection is closed then.
 func limitWrite(w http.ResponseWriter, deadline time.Time) {
 	if grace := time.Now().Add(answerGrace); deadline.Before(grace) {
 		deadline = grace
@@ -160,9 +162,9 @@
 
 const ownPrefix = "pollengauge"
 
-// isOwn reports whether a header name belongs to nodes. Upstreams that take
-// their headers through CGI-like variables can't tell _ from -, so a name with
-// either is one.
+// isOwn reports whether a header name is reserved for nodes. Upstreams that read
+// headers through CGI-like variables can't tell _ from -, so names with either
+// separator are reserved.
 func isOwn(name string) bool {
 	if len(name) <= len(ownPrefix) || !strings.EqualFold(name[:len(ownPrefix)], ownPrefix) {
 		return false
@@ -171,8 +173,8 @@
 	return separator == '-' || separator == '_'
 }
 
-// stripOwn removes every header or trailer that only nodes may set, those of
-// later versions included. What a node believes, it writes afterwards.
+// stripOwn removes every header or trailer that only nodes may set, including those
+// of later versions. Values that a node trusts are set again afterwards.
 func stripOwn(h http.Header) {
 	for name := range h {
 		if isOwn(name) {
@@ -181,7 +183,8 @@
 	}
 }
 
-// ownHeader returns one header that only nodes may set, "" if there is none.
+// ownHeader returns the name of a header in h that only nodes may set, "" if there is
+// none.
 func ownHeader(h http.Header) string {
 	for name := range h {
 		if isOwn(name) && name != call.HeaderRequest {
--- a/node/lag.go
+++ b/node/lag.go
@@ -8,19 +8,19 @@
 	"pollengauge.dev/admission"
 )
 
-// lagTick is how often the lag is measured. Each tick costs a wake-up.
+// lagTick is how often the lag is measured. Each tick costs a wake-up of the process.
 const lagTick = 50 * time.Millisecond
 
-// lagSlots is how many ticks a measured lag counts.
+// lagSlots is the number of ticks for which a measured lag counts.
 const lagSlots = 6
 
-// lagMeter measures how late the node's own work is done: how long after its
-// time a timer's goroutine runs.
+// lagMeter measures the scheduling delay of the node: how long after its due time a
+// timer's goroutine runs. The reported lag is the highest of the last lagSlots ticks.
 type lagMeter struct{ nanos atomic.Int64 }
 
 func (m *lagMeter) lag() time.Duration { return time.Duration(m.nanos.Load()) }
 
-// run measures until ctx ends.
+// run measures the lag until ctx ends.
 func (m *lagMeter) run(ctx context.Context) {
 	var recent [lagSlots]time.Duration
 	timer := time.NewTimer(lagTick)
@@ -42,5 +42,6 @@
 	}
 }
 
-// busy tells whether the node itself is too late to begin more work.
+// busy reports whether the node's own scheduling delay is too high to begin more
+// work.
 func (n *Node) busy(work admission.Work) bool { return admission.TooLate(n.lag.lag(), work) }
--- a/node/local.go
+++ b/node/local.go
@@ -15,8 +15,8 @@
 	"pollengauge.dev/retry"
 )
 
-// runLocal admits the call and runs it at this VM's upstream. Every return
-// carries the outcome as far as it is proved here.
+// runLocal admits the call and runs it at this VM's upstream. Every answer it returns
+// carries the outcome as far as this node can prove it.
 func (n *Node) runLocal(ctx context.Context, req *request) *answer {
 	arrived := n.now()
 	up := n.upstream.Load()
@@ -39,7 +39,7 @@
 	return run.run(up)
 }
 
-// openVisit opens the account of an admitted call's run.
+// openVisit registers the visit of an admitted call.
 func (n *Node) openVisit(ctx context.Context, req *request, ticket admission.Ticket, life *upstreamLife) (*visit, context.CancelFunc) {
 	v := &visit{
 		call:     req.call,
@@ -62,8 +62,8 @@
 	return v, cancel
 }
 
-// localCall is one run at the local upstream, from dispatch to the end of the
-// answer's body.
+// localCall is one execution of a call at the local upstream, from dispatch to the
+// end of the response body.
 type localCall struct {
 	node     *Node
 	upstream *upstream
@@ -73,14 +73,14 @@
 	arrived  time.Time
 	started  time.Time
 	finished bool
-	// unsent is set if nothing of the run reached the upstream.
+	// unsent is set if no byte of the request reached the upstream.
 	unsent bool
-	// ends is what is known of the upstreams that ended under the request, the one
-	// here included, if it has.
+	// ends is what is known of the upstreams that crashed while running the request,
+	// including a crash of the local one.
 	ends quarantine.Verdict
 }
 
-// run sends the call to the upstream and judges what comes of it.
+// run sends the call to the upstream and derives the outcome from its response.
 func (l *localCall) run(up *upstream) *answer {
 	req := l.request
 	out := l.node.upstreamRequest(up, l.visit, req)
@@ -91,7 +91,8 @@
 	return l.answered(up, resp)
 }
 
-// failed judges a run without an answer.
+// failed determines the outcome of a call to which the upstream sent no usable
+// response.
 func (l *localCall) failed(unsent bool, err error) *answer {
 	nothingRan := l.node.visits.closeProved(l.visit)
 	outcome, reason := call.Unknown, lossReason(l.visit.ctx, err)
@@ -117,7 +118,7 @@
 	return l.withoutAnswer(result, outcome, reason)
 }
 
-// withoutAnswer ends a run that has no answer to pass on.
+// withoutAnswer finishes a call that has no upstream response to pass on.
 func (l *localCall) withoutAnswer(result admission.Result, outcome call.Outcome, reason call.Reason) *answer {
 	l.finish(result, outcome, reason, 0)
 	a := l.node.refuse(outcome, reason, 0)
@@ -127,12 +128,12 @@
 	return a
 }
 
-// answered judges an answer by its header; the visit stays open until the
-// body has ended.
+// answered determines the outcome of a call from the head of the response. The visit
+// stays open until the body has ended.
 func (l *localCall) answered(up *upstream, resp *http.Response) *answer {
 	if resp.StatusCode == http.StatusSwitchingProtocols {
-		// The connection is no longer HTTP, so what comes on it has no end that
-		// could be told from a break, and the slot would never be free.
+		// After a protocol switch the connection carries no HTTP. The node can't tell
+		// its regular end from a broken connection, so the slot would never be freed.
 		_ = resp.Body.Close()
 		return l.failed(false, &SwitchedError{})
 	}
@@ -151,7 +152,8 @@
 	return l.gaveUp(resp, header, claim, reason, hop)
 }
 
-// claimOf reads what the upstream says of its own call, complete if nothing.
+// claimOf returns the outcome that the upstream reports for its own call, complete if
+// it reports none.
 func claimOf(up *upstream, resp *http.Response) call.Outcome {
 	if relayed, err := call.ParseOutcome(resp.Header.Get(call.HeaderOutcome)); err == nil {
 		return relayed
@@ -162,7 +164,7 @@
 	return call.Complete
 }
 
-// complete passes on the upstream's own answer.
+// complete passes on the upstream's own response.
 func (l *localCall) complete(resp *http.Response, header http.Header) *answer {
 	a := &answer{status: resp.StatusCode, header: header, resp: resp}
 	a.report = call.Report{Outcome: call.Complete, Hop: l.node.settings.Service}
@@ -171,7 +173,8 @@
 	return a
 }
 
-// fillReport adds what the hop above learns from every answer.
+// fillReport adds the admission level, retry credit and load that every answer
+// reports to the calling hop.
 func (n *Node) fillReport(r *call.Report, v *visit) {
 	r.Worst = max(n.gate.AdmitLevel(), v.worstBelow())
 	r.CreditLeft = v.creditLeft()
@@ -182,7 +185,7 @@
 	}
 }
 
-// lossReason names why a dispatched call has no answer.
+// lossReason returns the reason why a dispatched call has no response.
 func lossReason(ctx context.Context, err error) call.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
--- a/node/local_admission.go
+++ b/node/local_admission.go
@@ -9,7 +9,7 @@
 	"pollengauge.dev/observe"
 )
 
-// admissionRequest tells the gate what it has to know of the call.
+// admissionRequest returns the properties of the call that the gate decides on.
 func (n *Node) admissionRequest(req *request) admission.Request {
 	r := admission.Request{
 		Level:     req.call.Level,
@@ -19,11 +19,13 @@
 		Progress:  req.call.Progress,
 		MaxWait:   time.Duration(req.profile.MaxWait),
 		Deadline:  req.deadline,
-		// The failure: a payment that has done its work above is refused after
-		// a short wait here, while the queue holds it in front of all reads.
-		// Its fate is then unknown and nobody may try again.
+		// An unrepeatable call may wait for all of its profile's MaxWait, whatever
+		// the gate's own limit. Otherwise a payment for which earlier hops have
+		// already done work would be refused here after a short wait, although the
+		// queue places it before all reads. Its fate would then be unknown, and
+		// nobody could retry it.
 		Hold: req.profile.Unrepeatable,
-		// Profiles count the other way: 1 is recovery.
+		// Profiles count in the opposite direction: there 1 means recovery.
 		Preference: 1 - float64(req.profile.Prefer),
 	}
 	if n.settings.Ablate.NoProgress {
@@ -36,7 +38,7 @@
 	return r
 }
 
-// gateRefusal turns an admission refusal into an answer. The call was never
+// gateRefusal turns a rejection by the gate into an answer. The call was never
 // dispatched, so it is proved not run.
 func (n *Node) gateRefusal(req *request, err error, arrived time.Time) *answer {
 	refused := &admission.RefusedError{Reason: call.ReasonQueueFull}
@@ -57,7 +59,8 @@
 	return a
 }
 
-// refusedHop describes a refusal and the gate that gave it.
+// refusedHop returns the hop record of a refused call with the state of the gate that
+// refused it.
 func (n *Node) refusedHop(req *request, refused *admission.RefusedError, arrived time.Time) observe.Hop {
 	hop := n.hop(req, observe.Inbound)
 	hop.Took = hop.At.Sub(arrived)
--- a/node/local_dialect.go
+++ b/node/local_dialect.go
@@ -7,9 +7,10 @@
 	"pollengauge.dev/call"
 )
 
-// answeredInDialect judges an answer by what the dialect reads in its head. The
-// upstream's word that it did not run the request is taken: the dialect has it
-// say so only before it has done anything.
+// answeredInDialect determines the outcome of a call from what the dialect reads in
+// the head of the response. An upstream's statement that it did not run the request
+// is trusted, because the dialect allows it only before the upstream has done any
+// work.
 func (l *localCall) answeredInDialect(up *upstream, resp *http.Response) *answer {
 	told := l.node.settings.Dialect.ReadUpstream(resp, l.node.upstreamTold(up, l.request))
 	stripHop(resp.Header)
@@ -23,14 +24,15 @@
 		}
 		return l.gaveUp(resp, resp.Header, call.NotRun, l.refusedReason(told.Reason), "")
 	}
-	// The connection is not used again: what comes on it next may belong to
-	// any request.
+	// The connection is not reused: the next response on it may belong to any
+	// request.
 	_ = resp.Body.Close()
 	return l.notBelieved(told.Reason)
 }
 
-// refusedReason tells a refusal that goes with the upstream's load from one that
-// does not: the second may be repeated at others, however many of them refuse.
+// refusedReason distinguishes a rejection under load from any other rejection by the
+// upstream. The latter may be retried at other upstreams, however many of them reject
+// the request.
 func (l *localCall) refusedReason(told call.Reason) call.Reason {
 	if told == call.ReasonUpstreamShed && l.node.gate.HasRoom() {
 		return call.ReasonUpstreamRefused
@@ -38,10 +40,11 @@
 	return told
 }
 
-// completeHeld passes on the upstream's answer once it is whole.
+// completeHeld passes on the upstream's response after it has been received
+// completely.
 func (l *localCall) completeHeld(resp *http.Response) *answer {
 	if l.request.method == http.MethodHead {
-		// The head names the length of a body that doesn't come.
+		// The Content-Length of a response to HEAD announces a body that is not sent.
 		return l.complete(resp, resp.Header)
 	}
 	body, whole, err := heldBody(resp)
@@ -61,7 +64,7 @@
 	return a
 }
 
-// notBelieved ends a run whose answer can't be the one to its request.
+// notBelieved finishes a call whose response can't be the one to its request.
 func (l *localCall) notBelieved(reason call.Reason) *answer {
 	if l.visit.ctx.Err() != nil {
 		reason = lossReason(l.visit.ctx, l.visit.ctx.Err())
--- a/node/local_finish.go
+++ b/node/local_finish.go
@@ -8,7 +8,8 @@
 	"pollengauge.dev/observe"
 )
 
-// finish ends the visit. It runs once.
+// finish ends the visit, frees its slot and records the call. Only the first call has
+// an effect.
 func (l *localCall) finish(result admission.Result, outcome call.Outcome, reason call.Reason, status int) {
 	if l.finished {
 		return
@@ -35,7 +36,7 @@
 	l.record(outcome, reason, status)
 }
 
-// record keeps the hop of a run that has ended.
+// record writes the hop record of a finished call.
 func (l *localCall) record(outcome call.Outcome, reason call.Reason, status int) {
 	waited := l.visit.ticket.Waited()
 	decision := observe.Admitted
@@ -57,9 +58,9 @@
 	l.node.record(hop)
 }
 
-// noteWork measures how long the upstream worked. A failure that came fast says
-// nothing of its speed; a run that was cut at its deadline took that long at
-// least.
+// noteWork records how long the upstream worked on the call. A fast failure says
+// nothing about its speed, so it is ignored. A call that ran into its deadline took
+// at least that long.
 func (l *localCall) noteWork(outcome call.Outcome, reason call.Reason, status int) {
 	answered := outcome == call.Complete && status < http.StatusInternalServerError
 	late := outcome == call.Unknown && reason == call.ReasonTimeout
@@ -68,7 +69,7 @@
 	}
 }
 
-// visitBody ends the visit when the upstream's answer has ended.
+// visitBody ends the visit when the body of the upstream's response has ended.
 type visitBody struct {
 	readCloser
 	call   *localCall
@@ -94,7 +95,7 @@
 	return count, err
 }
 
-// resultOf keeps failures out of the baseline: an upstream that fails fast
+// resultOf keeps failures out of the latency baseline: an upstream that fails fast
 // would otherwise look like one that became faster.
 func resultOf(status int) admission.Result {
 	if status >= http.StatusInternalServerError {
@@ -103,8 +104,8 @@
 	return admission.OK
 }
 
-// Close implements io.Closer. A body closed before its end belongs to a
-// receiver that went away.
+// Close implements io.Closer. A body that is closed before its end belongs to a
+// receiver that has disconnected.
 func (b *visitBody) Close() error {
 	b.call.finish(admission.Ignore, call.Unknown, call.ReasonCancelled, b.status)
 	return b.readCloser.Close()
--- a/node/local_giveup.go
+++ b/node/local_giveup.go
@@ -8,16 +8,18 @@
 	"pollengauge.dev/observe"
 )
 
-// maxGaveUpBody bounds the body that goes with a give-up, in bytes.
+// maxGaveUpBody is the maximum size, in bytes, of a response body that is passed on
+// with a shed or abandoned call.
 const maxGaveUpBody = 16 << 10
 
-// gaveUp handles an upstream that says of its own call: shed, or given up
-// because a call below was.
+// gaveUp handles a response in which the upstream reports that it did not complete
+// its own call, because it shed the call or because a downstream call was refused.
 //
-// The failure: an upstream sheds after it has already called out, and the
-// hop above, told not-run, runs the call again elsewhere: the work below is
-// done twice. Its word alone is therefore not enough; the visit must show
-// that no call below ran. Otherwise the outcome is unknown.
+// The upstream's report alone does not prove not-run. An upstream may shed after it
+// has already made downstream calls; if the calling hop were told not-run, it would
+// run the call again elsewhere and the downstream work would be done twice. The
+// outcome is not-run only if the visit shows that no downstream call ran, else
+// unknown.
 func (l *localCall) gaveUp(resp *http.Response, header http.Header, claim call.Outcome, reason call.Reason, hop string) *answer {
 	nothingRan := l.node.visits.closeProved(l.visit) || l.node.settings.Ablate.NoVisitProof
 	outcome := call.Unknown
@@ -46,12 +48,14 @@
 	return a
 }
 
-// shedResult tells the limiter what a give-up means.
+// shedResult returns how the concurrency limiter counts a call that the upstream did
+// not complete.
 //
-// The failure: a deep service refuses, the upstreams above pass that on, and
-// their own limits fall although nothing is wrong with them; their queues then
-// refuse what the deep service would have taken. So only an upstream that
-// sheds in its own name counts.
+// Only a rejection by this upstream itself counts as shed. When a service far
+// downstream rejects calls, the upstreams on the way pass the rejection on. If it
+// counted against their limits, these would fall although nothing is wrong with them,
+// and their queues would refuse calls that the downstream service would have
+// accepted.
 func (l *localCall) shedResult(hop string) admission.Result {
 	if hop != "" && hop != l.node.settings.Service {
 		return admission.Ignore
--- a/node/mortal_test.go
+++ b/node/mortal_test.go
@@ -22,53 +22,53 @@
 const (
 	// runTime is how long an upstream of these tests works on a request.
 	runTime = 60 * time.Millisecond
-	// restartTime is how long one that has ended is away.
+	// restartTime is how long an upstream that has crashed is down.
 	restartTime = 2 * time.Second
-	// fatalPart in a path makes the upstream that runs the request end.
+	// fatalPart in a request's path makes the upstream that runs the request crash.
 	fatalPart = "fatal"
 )
 
-// mortals are upstreams of one service that end while they run a marked request,
-// and are back later, at the same address, as another incarnation.
+// mortals are upstreams of one service that crash while they run a marked request,
+// and restart later at the same address as another incarnation.
 type mortals struct {
 	*fleet
 	nodes []*Node
-	// healed upstreams survive the marked requests, and unnamed ones do not tell one
-	// incarnation from the next.
+	// With healed set, upstreams survive marked requests. With unnamed set, they
+	// announce no Instance, so that their incarnations can't be told apart.
 	healed, unnamed atomic.Bool
-	// forwarded upstreams are reached through something that accepts connections
-	// whether they are there or not.
+	// forwarded makes nodes reach their upstreams through a proxy that accepts
+	// connections whether the upstream runs or not.
 	forwarded bool
-	// away is how long one that has ended is away, and lasting how long after the run
-	// of a marked request has ended it ends itself.
+	// away is how long a crashed upstream is down. With lasting set, an upstream also
+	// crashes that long after it has begun a marked request.
 	away, lasting time.Duration
-	// failEvery has one marked request of so many answered with an error, 0 for none.
+	// failEvery makes one in so many marked requests get an error response, 0 none.
 	failEvery int
 
 	mu sync.Mutex
-	// ends are the times at which upstreams ended, and arrivals those at which a
-	// path reached one.
+	// ends holds the times at which upstreams crashed, and arrivals, by path, the
+	// times at which a request reached an upstream.
 	ends     []time.Time
 	arrivals map[string][]time.Time
-	// under has the times at which upstreams ended while they ran a path.
+	// under holds, by path, the times at which upstreams crashed while running it.
 	under map[string][]time.Time
-	// upstreams are those beside the nodes, in their order.
+	// upstreams holds the upstream beside each node, in the order of nodes.
 	upstreams []*mortal
 }
 
-// addMortals starts as many nodes of the service desk, each with its upstream.
+// addMortals starts count nodes of the service desk, each with its upstream.
 func (f *fleet) addMortals(count int, adjust ...func(*Settings)) *mortals {
 	m := f.mortals()
 	m.start(count, adjust...)
 	return m
 }
 
-// mortals makes the service without upstreams.
+// mortals returns the service without any node or upstream.
 func (f *fleet) mortals() *mortals {
 	return &mortals{fleet: f, arrivals: make(map[string][]time.Time), under: make(map[string][]time.Time), away: restartTime}
 }
 
-// start starts as many nodes, each with its upstream.
+// start adds count nodes, each with its upstream.
 func (m *mortals) start(count int, adjust ...func(*Settings)) {
 	for i := range count {
 		m.nodes = append(m.nodes, m.addMortal("desk-"+strconv.Itoa(i), adjust...))
@@ -87,7 +87,7 @@
 	return u.node
 }
 
-// forward passes connections on to the upstream.
+// forward starts the proxy in front of the upstream.
 func (u *mortal) forward() {
 	listener, err := u.host.Listen("x:7100")
 	u.c.Assert(err, qt.IsNil)
@@ -123,7 +123,7 @@
 	settings.Peers = u.peers
 	settings.GossipInterval = 250 * time.Millisecond
 	settings.Edge = ""
-	// A node that is restarted is found where it was.
+	// Fixed ports, so that a restarted node has the same addresses.
 	settings.Gossip, settings.Peer, settings.Outbound = "x:7001", "x:7002", "x:7003"
 	settings.Dialect = plainDialect{}
 	for _, a := range u.adjust {
@@ -144,7 +144,8 @@
 	u.node = n
 }
 
-// restartNode kills a node and starts it anew; its upstream goes on.
+// restartNode kills a node and starts a new one at its place, while its upstream
+// keeps running.
 func (m *mortals) restartNode(i int) {
 	u := m.upstreams[i]
 	m.at(i).Close()
@@ -155,7 +156,7 @@
 	u.announce()
 }
 
-// at returns the node of a place.
+// at returns the node at index i, modulo the number of nodes.
 func (m *mortals) at(i int) *Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -165,20 +166,20 @@
 // name returns the host of a node.
 func (m *mortals) name(i int) string { return m.upstreams[i].name }
 
-// mortal is one upstream in the course of its lives.
+// mortal is one upstream across all its incarnations.
 type mortal struct {
 	*mortals
 	name   string
 	host   *memnet.Host
 	adjust []func(*Settings)
-	// node is the one beside it, life counts its incarnations and end ends the
-	// present one; mu guards them.
+	// node is the node beside the upstream, life counts the upstream's incarnations,
+	// and end crashes the current one. mu guards these fields.
 	node *Node
 	life int
 	end  func()
 }
 
-// live starts the upstream anew.
+// live starts a new incarnation of the upstream.
 func (u *mortal) live() {
 	listener, err := u.host.Listen("x:7000")
 	u.c.Assert(err, qt.IsNil)
@@ -229,7 +230,7 @@
 	u.announce()
 }
 
-// announce makes the upstream known to its node.
+// announce announces the upstream to its node.
 func (u *mortal) announce() {
 	u.mu.Lock()
 	a := Announcement{Service: "desk", Addr: u.name + ":7000", Slots: 50}
@@ -250,7 +251,7 @@
 	m.arrivals[path] = append(m.arrivals[path], time.Now())
 }
 
-// killOne ends the upstream beside a node.
+// killOne crashes the upstream beside a node.
 func (m *mortals) killOne(n *Node) {
 	m.mu.Lock()
 	end := func() {}
@@ -263,8 +264,8 @@
 	end()
 }
 
-// endsUnder returns when upstreams ended while they ran a path, as seconds after the
-// first of them.
+// endsUnder returns when upstreams crashed while running a path, in seconds since the
+// first of these crashes.
 func (m *mortals) endsUnder(path string) []float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -275,8 +276,8 @@
 	return after
 }
 
-// endedAfterThird counts the upstreams that ended under a path later than a span after
-// the third.
+// endedAfterThird counts the upstreams that crashed while running a path more than
+// span after the third such crash.
 func (m *mortals) endedAfterThird(path string, span time.Duration) int {
 	late := 0
 	after := m.endsUnder(path)
@@ -288,22 +289,22 @@
 	return late
 }
 
-// ended returns how many upstreams have ended.
+// ended returns how many upstreams have crashed.
 func (m *mortals) ended() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.ends)
 }
 
-// reached returns how often a path has come to an upstream.
+// reached returns how often a path has arrived at an upstream.
 func (m *mortals) reached(path string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.arrivals[path])
 }
 
-// reachedAfter counts the arrivals of a path later than a span after the upstream
-// that ended as the count-th.
+// reachedAfter counts the arrivals of a path more than span after the count-th crash
+// of any upstream.
 func (m *mortals) reachedAfter(path string, count int, span time.Duration) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -319,8 +320,9 @@
 	return late
 }
 
-// callers send requests at an even pace to all nodes in turn, until stop is called. It counts those that were served, and those that were
-// refused as held.
+// callers send requests to all nodes in turn, at a constant rate, until stop is
+// called. They count the requests that were served and those that were refused as
+// quarantined.
 type callers struct {
 	sent, served, held atomic.Int64
 	stop               func()
@@ -360,5 +362,5 @@
 	return c
 }
 
-// share returns the share of the requests sent that were served.
+// share returns the share of the sent requests that were served.
 func (c *callers) share() float64 { return float64(c.served.Load()) / float64(max(c.sent.Load(), 1)) }
--- a/node/offered.go
+++ b/node/offered.go
@@ -7,12 +7,12 @@
 	"pollengauge.dev/call"
 )
 
-// offeredWindow is the time over which root requests are counted for the
-// hints in refusals. The last whole window and the running one count.
+// offeredWindow is the length of the windows in which root requests are counted for
+// the retry hints in rejections. The last complete window and the current one count.
 const offeredWindow = time.Second
 
-// offered counts root requests and refusals by priority. Counting is
-// approximate at the turn of a window, which is all that a hint needs.
+// offered counts root requests and rejections by priority. The counts are approximate
+// at the change of a window, which is precise enough for a hint.
 type offered struct {
 	began   atomic.Int64
 	now     offeredCounts
@@ -32,12 +32,14 @@
 	}
 }
 
-// recent returns the counts of the last one to two windows over the requests
-// of priority p and above: those that a request of p competes with.
+// recent returns the counts of the last one to two windows over the requests of
+// priority p and above, which are the requests that a request of priority p competes
+// with.
 //
-// The failure: readers that retry hard are refused twenty times as often as
-// they are served, a filing refused next to them is told to come back in
-// twenty seconds, and is not there when its room is.
+// Lower priorities are left out, because readers that retry aggressively may be
+// refused twenty times as often as they are served. With the rate over all requests,
+// a filing refused beside them was told to retry after twenty seconds and was not
+// there when capacity was free for it.
 func (o *offered) recent(p call.Priority, now time.Time) offeredReading {
 	o.roll(now)
 	var r offeredReading
--- a/node/offered_test.go
+++ b/node/offered_test.go
@@ -9,10 +9,10 @@
 	"pollengauge.dev/call"
 )
 
-// Readers retry hard and are refused nineteen times of twenty; filings beside
-// them are refused every other time. The filings' hint must follow their own
-// share: by that of all requests they were told to stay away for twenty
-// seconds, and were not there when their room was.
+// Readers retry aggressively and are refused nineteen times of twenty; filings beside
+// them are refused every other time. The hint for filings must follow their own
+// rejection rate. With the rate of all requests they were told to stay away for
+// twenty seconds, and were not there when capacity was free for them.
 func TestHintFollowsOnesOwnImportance(t *testing.T) {
 	c := qt.New(t)
 	const reads, filings = 3, 15
--- a/node/pipelining/ahead.go
+++ b/node/pipelining/ahead.go
@@ -5,36 +5,36 @@
 	"net/http"
 )
 
-// MaxAhead is how many requests are begun before their turn. Each one holds
-// a goroutine and a connection to another node; answers come one by one, so
-// of more than a few the last are late anyhow.
+// MaxAhead is the maximum number of requests of a connection that are started early.
+// Each one holds a goroutine and a connection to another node. Responses are sent one
+// by one, so with more than a few the last ones are late in any case.
 const MaxAhead = 16
 
-// Answer is the answer to a request that was begun before its turn.
+// Answer is the answer to a request that was started early.
 type Answer interface {
-	// Drop lets go of an answer whose turn will not come. It does not block.
+	// Drop releases an answer that will not be sent. It does not block.
 	Drop()
 }
 
-// Begin begins a request before its turn. It returns nil for one that has to
-// wait. ctx ends when the caller leaves. It must not block.
+// Begin starts a request early. It returns nil for a request that has to wait for its
+// turn. ctx ends when the caller disconnects. Begin must not block.
 type Begin func(ctx context.Context, r *http.Request) Answer
 
-// begun is a request that was begun before its turn.
+// begun is a request that was started early. end is its end offset in the stream.
 type begun struct {
 	request *http.Request
 	answer  Answer
 	end     int64
 }
 
-// Serve tells that a handler begins to serve r. Done has to follow.
+// Serve reports that a handler starts to serve r. A call of Done must follow.
 func (c *Conn) Serve(r *http.Request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serving = true
 	if len(c.queue) == 0 {
-		// What stands behind a request that may change something may depend on it
-		// (RFC 9112, 9.3.2: in parallel only if all methods are safe).
+		// Requests queued behind one that may change something may depend on it (RFC
+		// 9112, 9.3.2: in parallel only if all methods are safe).
 		c.waiting = !safeMethod(r.Method)
 		c.end = c.split.serve(r)
 		c.lookAhead()
@@ -43,14 +43,15 @@
 	c.serveBegun(r)
 }
 
-// serveBegun takes r, which was begun before its turn, from the queue. The lock is
-// held.
+// serveBegun removes r, which was started early, from the queue. The caller holds
+// c.mu.
 func (c *Conn) serveBegun(r *http.Request) {
 	first := c.queue[0]
 	c.queue = c.queue[1:]
 	if !sameRequest(first.request, r) {
-		// The two readings of the connection differ, so neither boundary can be
-		// trusted. Only requests that may run more than once are begun early.
+		// net/http and the splitter parsed the connection differently, so neither
+		// request boundary can be trusted. Dropping the answers is safe, because only
+		// requests that may run more than once are started early.
 		first.answer.Drop()
 		c.dropAll()
 		c.end = -1
@@ -61,8 +62,8 @@
 	c.lookAhead()
 }
 
-// Take returns the answer of the request being served if that was begun before
-// its turn, else nil. Whoever takes it has to let go of it.
+// Take returns the answer to the request being served if the request was started
+// early, else nil. The caller of Take must release the answer.
 func (c *Conn) Take() Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +72,8 @@
 	return taken
 }
 
-// sameRequest tells whether a request that was begun is the one that net/http read.
+// sameRequest reports whether the request that was started early equals the one that
+// net/http read.
 func sameRequest(a, b *http.Request) bool {
 	if a.Method != b.Method || a.RequestURI != b.RequestURI || a.Host != b.Host || len(a.Header) != len(b.Header) {
 		return false
@@ -84,9 +86,9 @@
 	return true
 }
 
-// Done tells that the handler has returned. An answer that it did not take is
-// dropped: a handler may refuse a request that was begun, as when a limit came
-// down meanwhile, and its run would count as under way for ever.
+// Done reports that the handler has returned. An answer that the handler did not take
+// is dropped: a handler may refuse a request that was started early, for example when
+// a limit was lowered meanwhile, and its run would count as in flight for ever.
 func (c *Conn) Done() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,9 +100,9 @@
 	c.changed.Broadcast()
 }
 
-// Last reports whether the answer being made may close the connection, and if so
-// begins no further request. It may not while requests behind it were begun: the
-// caller would take them for unread, and their work would be lost.
+// Last reports whether the current response may close the connection, and if so stops
+// starting requests early. It may not while requests queued behind it have been
+// started: the caller would take them for unread, and their work would be lost.
 func (c *Conn) Last() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,8 +113,8 @@
 	return true
 }
 
-// lookAhead begins what may begin, and sees to it that the socket is read on
-// once the caller sends requests behind one another. The lock is held.
+// lookAhead starts the queued requests that may start early, and starts the reading
+// goroutine once the caller pipelines requests. The caller holds c.mu.
 func (c *Conn) lookAhead() {
 	if !c.serving {
 		return
@@ -126,8 +128,8 @@
 	}
 }
 
-// beginNext begins what stands behind the queue, up to the first request that has
-// to wait. The lock is held.
+// beginNext starts the received requests in order, up to the first that has to wait
+// for its turn. The caller holds c.mu.
 func (c *Conn) beginNext() {
 	for len(c.queue) < MaxAhead && !c.waiting {
 		r, length := c.split.next()
@@ -140,7 +142,7 @@
 		r.RemoteAddr = c.RemoteAddr().String()
 		answer := c.begin(c.left, r)
 		if answer == nil {
-			c.waiting = true // and so does all behind it
+			c.waiting = true // and so must all requests queued behind it
 			return
 		}
 		c.split.drop(length)
@@ -148,7 +150,7 @@
 	}
 }
 
-// dropAll ends what was begun. The lock is held.
+// dropAll drops all requests that were started early. The caller holds c.mu.
 func (c *Conn) dropAll() {
 	for _, b := range c.queue {
 		b.answer.Drop()
--- a/node/pipelining/conn.go
+++ b/node/pipelining/conn.go
@@ -9,45 +9,48 @@
 
 // Conn is a caller's connection, read by one net/http server.
 //
-// Until a caller sends a request behind another, each read goes straight to the
-// socket. From then on a goroutine reads, so that requests are begun as they
-// come and the end of the connection is noticed while one is served.
+// Until the caller pipelines a request, each Read goes straight to the socket. From
+// then on a goroutine reads the socket, so that requests are started as they arrive,
+// and the end of the connection is noticed while a request is being served.
 type Conn struct {
 	net.Conn
 	begin Begin
 
 	mu sync.Mutex
-	// changed tells of anything that a waiting Read looks at.
+	// changed is signalled on every change of state that a waiting Read depends on.
 	changed *sync.Cond
 	split   splitter
 	queue   []begun
-	// waiting is set while what stands behind the queue has to wait for its turn.
+	// waiting is set while the next request after the queue has to wait for its turn.
 	waiting bool
-	// serving is set while a handler runs, and end is the offset at which its
-	// request ends, -1 if that isn't known.
+	// serving is set while a handler runs. end is the stream offset at which its
+	// request ends, -1 if unknown.
 	serving bool
 	end     int64
-	// current is the answer of the request being served, nil unless it was begun
-	// before its turn.
+	// current is the answer to the request being served, nil unless the request was
+	// started early.
 	current Answer
 	// reading is set while Read itself reads the socket.
 	reading bool
 	// taken counts the bytes that net/http has read.
 	taken int64
-	// pumping is set once a goroutine reads the socket; unread is what it has
-	// read and net/http has not, and failed how its reading ended.
+	// pumping is set once a goroutine reads the socket. unread holds the bytes that
+	// were received but not yet read by net/http, and failed the error that ended the
+	// reading.
 	pumping  bool
 	unread   []byte
 	failed   error
 	closed   bool
 	deadline time.Time
 	timer    *time.Timer
-	// left ends the requests that were begun; it is made with the first one.
+	// left is the context of the requests that were started early. It is created with
+	// the first of them and cancelled when the connection ends or the read-ahead is
+	// given up.
 	left   context.Context
 	cancel context.CancelFunc
 }
 
-// New returns a Conn on top of conn.
+// New returns a Conn that wraps conn.
 func New(conn net.Conn, begin Begin) *Conn {
 	c := &Conn{Conn: conn, begin: begin}
 	c.changed = sync.NewCond(&c.mu)
@@ -75,7 +78,7 @@
 	return c.SetWriteDeadline(t)
 }
 
-// armTimer wakes a waiting Read at the deadline. The lock is held.
+// armTimer wakes a waiting Read at the deadline. The caller holds c.mu.
 func (c *Conn) armTimer() {
 	if c.timer != nil {
 		c.timer.Stop()
--- a/node/pipelining/conn_test.go
+++ b/node/pipelining/conn_test.go
@@ -16,26 +16,26 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// search is a request that may be begun before its turn.
+// search is a request that may be started early.
 const search = "GET /search HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// early is an answer that tells whether it was let go of.
+// early is an answer that records whether it was dropped.
 type early struct{ dropped bool }
 
 func (e *early) Drop() { e.dropped = true }
 
-// turns is a connection on which a caller has sent searches behind one another.
+// turns is a connection on which a caller has pipelined searches.
 type turns struct {
 	conn   *Conn
 	caller net.Conn
 	read   *bufio.Reader
 	begun  []*early
-	// left ends when the requests that were begun are to stop.
+	// left is the context of the requests that were started early.
 	left context.Context
 }
 
-// inTurns runs f on a connection with count searches, the first of which is
-// being served.
+// inTurns runs f on a connection with count searches, the first of which is being
+// served.
 func inTurns(t *testing.T, count int, f func(c *qt.C, turns *turns)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -65,9 +65,9 @@
 	return r
 }
 
-// A limit comes down while a search runs that was begun before its turn. Its
-// handler refuses it and never asks for the answer. Not let go of, the run would
-// count as under way for as long as the node lives.
+// A limit is lowered while a search that was started early runs. Its handler refuses
+// it and never takes the answer. If the answer were not dropped, the run would count
+// as in flight for as long as the node runs.
 func TestAnswerThatNobodyTakesIsDropped(t *testing.T) {
 	inTurns(t, 3, func(c *qt.C, turns *turns) {
 		turns.conn.Done()
@@ -78,13 +78,14 @@
 		turns.conn.Serve(turns.next(c))
 		c.Check(turns.conn.Take(), qt.Equals, Answer(turns.begun[1]))
 		turns.conn.Done()
-		c.Check(turns.begun[1].dropped, qt.IsFalse, qt.Commentf("whoever took it lets go of it"))
+		c.Check(turns.begun[1].dropped, qt.IsFalse, qt.Commentf("the caller of Take releases the answer"))
 	})
 }
 
-// net/http reads another request than the one that was begun. Given the answer
-// that is ready, a caller would get what another request had asked for. All that
-// was begun is let go of, and nothing is begun on the connection any more.
+// net/http reads a different request than the one that was started early. With the
+// answer that is ready, a caller would get the response to another request. All
+// requests that were started early must be dropped, and no more may be started early
+// on the connection.
 func TestNothingIsBegunOnceTheReadingsDiffer(t *testing.T) {
 	inTurns(t, 3, func(c *qt.C, turns *turns) {
 		turns.conn.Done()
@@ -101,9 +102,10 @@
 	})
 }
 
-// A node that ends closes a connection with its next answer. Searches behind it
-// were begun: their caller would take them for unread and send them again, and
-// their work would be lost. Only the last answer may close the connection.
+// A node that shuts down closes a connection with its next response. Searches queued
+// behind it have been started: their caller would take them for unread and send them
+// again, and their work would be lost. Only the last response may close the
+// connection.
 func TestConnectionClosesOnlyBehindWhatWasBegun(t *testing.T) {
 	inTurns(t, 2, func(c *qt.C, turns *turns) {
 		c.Check(turns.conn.Last(), qt.IsFalse)
@@ -113,10 +115,9 @@
 	})
 }
 
-// A caller sends nothing behind its last request, and net/http waits for the
-// next one under its idle timeout. With a goroutine at the socket, the socket's
-// own deadline is not in force; were Read not woken, the connection would be
-// held for ever.
+// A caller sends no request after its last one, and net/http waits for the next under
+// its idle timeout. While a goroutine reads the socket, the socket's own deadline is
+// not in force; if Read were not woken, the connection would stay open for ever.
 func TestReadEndsAtItsDeadline(t *testing.T) {
 	inTurns(t, 2, func(c *qt.C, turns *turns) {
 		turns.conn.Done()
@@ -128,8 +129,8 @@
 	})
 }
 
-// A caller leaves while searches run that it sent behind one another. Nobody
-// waits for them any more: all have to stop.
+// A caller disconnects while its pipelined searches run. Nobody waits for them any
+// more, so all must stop.
 func TestCallerThatLeavesStopsWhatWasBegun(t *testing.T) {
 	inTurns(t, 3, func(c *qt.C, turns *turns) {
 		c.Assert(turns.left.Err(), qt.IsNil)
--- a/node/pipelining/fuzz_test.go
+++ b/node/pipelining/fuzz_test.go
@@ -19,14 +19,15 @@
 	"pollengauge.dev/node/testing/memnet"
 )
 
-// recorder serves connections and notes what its handler was given.
+// recorder serves connections and records the requests that its handler and Begin
+// received.
 type recorder struct {
 	mu     sync.Mutex
 	served []string
 	begun  []*ready
 }
 
-// ready is the answer to a request that was begun early.
+// ready is the answer to a request that was started early.
 type ready struct{ told string }
 
 func (*ready) Drop() {}
@@ -54,13 +55,13 @@
 				note = early.told
 			}
 		}
-		time.Sleep(time.Millisecond) // the rest arrives meanwhile
+		time.Sleep(time.Millisecond) // let the rest of the stream arrive
 		body, _ := io.ReadAll(r.Body)
 		told := describe(r, string(body))
 		rec.mu.Lock()
 		rec.served = append(rec.served, told)
 		if note != "" && note != told {
-			rec.served = append(rec.served, "answered by "+note)
+			rec.served = append(rec.served, "answered with the response to "+note)
 		}
 		rec.mu.Unlock()
 		_, _ = io.WriteString(w, "ok")
@@ -69,7 +70,7 @@
 
 type connKey struct{}
 
-// play sends the pieces of a stream to a server and returns what it answered.
+// play sends the pieces of a stream to a server and returns the server's responses.
 func play(t *testing.T, rec *recorder, ahead bool, pieces [][]byte) []byte {
 	network := memnet.New()
 	inner, err := network.Host("server").Listen("server:1")
@@ -105,7 +106,8 @@
 	_ = conn.Close()
 	synctest.Wait()
 	_ = server.Close()
-	// The server keeps a connection for half a second whose body it has refused.
+	// After the server has refused a body, it keeps the connection open for half a
+	// second.
 	time.Sleep(time.Second)
 	<-done
 	return answers
@@ -124,7 +126,8 @@
 	return New(conn, l.begin), nil
 }
 
-// cut splits a stream into pieces whose lengths are the bytes of cuts.
+// cut splits a stream into pieces; the length of each piece is one more than a byte
+// of cuts, and the last piece is the rest.
 func cut(stream, cuts []byte) [][]byte {
 	var pieces [][]byte
 	for _, length := range cuts {
@@ -138,9 +141,9 @@
 	return append(pieces, stream)
 }
 
-// checkSameReading compares a server that reads ahead with net/http alone: the
-// same requests have to be served in the same order, with the same answers, and
-// what was begun early has to be a part of them, in that order.
+// checkSameReading compares a server that reads ahead with net/http alone: the same
+// requests must be served in the same order, with the same responses, and the
+// requests that were started early must be a subsequence of them.
 func checkSameReading(t *testing.T, stream, cuts []byte) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -155,13 +158,13 @@
 			for len(rest) > 0 && rest[0] != one.told {
 				rest = rest[1:]
 			}
-			c.Assert(len(rest) > 0, qt.IsTrue, qt.Commentf("begun and never served: %s", one.told))
+			c.Assert(len(rest) > 0, qt.IsTrue, qt.Commentf("started early and never served: %s", one.told))
 			rest = rest[1:]
 		}
 	})
 }
 
-// undated drops the dates of answers.
+// undated removes the Date fields from responses.
 func undated(answers []byte) string {
 	lines := strings.Split(string(answers), "\r\n")
 	kept := lines[:0]
@@ -173,7 +176,7 @@
 	return strings.Join(kept, "\r\n")
 }
 
-// streams have requests of every form that callers may send behind one another.
+// streams contains requests of every form that callers may pipeline.
 var streams = []string{
 	"GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n\r\nGET /c HTTP/1.1\r\nHost: x\r\n\r\n",
 	"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 40\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: x\r\n\r\nxxxxxGET /b HTTP/1.1\r\nHost: x\r\n\r\nGET /c HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -195,9 +198,9 @@
 	"HEAD /a HTTP/1.1\r\nHost: x\r\n\r\nHEAD /b HTTP/1.1\r\nHost: x\r\n\r\nGET /c HTTP/1.1\r\nHost: x\r\n\r\n",
 }
 
-// Callers send requests of all forms behind one another, cut anywhere on the
-// way. Were the bytes read in another way than net/http does, a part of a body
-// would run as a request that nobody sent, or a caller get another's answer.
+// Callers pipeline requests of all forms, split into packets anywhere. If the bytes
+// were parsed differently than by net/http, part of a body would run as a request
+// that nobody sent, or a caller would get the response to another request.
 func TestReadingAheadReadsAsNetHTTP(t *testing.T) {
 	for _, stream := range streams {
 		for _, size := range []int{1, 2, 3, 7, 19, 64, 255} {
@@ -209,7 +212,7 @@
 	}
 }
 
-// FuzzReadingAhead is the same for drawn streams.
+// FuzzReadingAhead makes the same comparison for generated streams.
 func FuzzReadingAhead(f *testing.F) {
 	for _, stream := range streams {
 		f.Add([]byte(stream), []byte{10, 50, 3})
--- a/node/pipelining/read.go
+++ b/node/pipelining/read.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Bounds of what a goroutine reads.
+// Limits of the reading goroutine.
 const (
-	// maxUnread is how many received bytes wait for net/http before no more are
-	// read, in bytes.
+	// maxUnread is how many received bytes may wait for net/http, in bytes. At this
+	// limit the goroutine stops reading.
 	maxUnread = 32 << 10
-	// readSize is the size of one read, in bytes: that of net/http's buffer.
+	// readSize is the size of one read, in bytes. It equals net/http's buffer.
 	readSize = 4 << 10
 )
 
@@ -41,11 +41,13 @@
 	return c.readUnread(p)
 }
 
-// withhold keeps what Read itself has read of requests behind the one being
-// served, and lets a goroutine read from here on. The lock is held.
+// withhold stores the bytes that Read itself has received of requests queued behind
+// the one being served, and starts the reading goroutine. net/http gets them when
+// their turn comes. The caller holds c.mu.
 //
-// The failure: net/http waits for the caller to leave while a request is served,
-// and would stop at this byte of the next one. It gets it when its turn comes.
+// net/http reads in the background while a request is served, to notice that the
+// caller disconnects. If Read returned the first byte of the next request, net/http
+// would stop watching the connection.
 func (c *Conn) withhold(p []byte, err error) {
 	c.unread = append(c.unread, p...)
 	if err != nil && !isTimeout(err) {
@@ -62,7 +64,8 @@
 	return ok && timeout.Timeout()
 }
 
-// startPump reads the socket from here on. The lock is held.
+// startPump starts the goroutine that reads the socket from now on. The caller holds
+// c.mu.
 func (c *Conn) startPump() {
 	c.pumping = true
 	if err := c.Conn.SetReadDeadline(time.Time{}); err != nil && c.failed == nil {
@@ -74,7 +77,7 @@
 	}
 }
 
-// pump reads the socket until it ends.
+// pump reads the socket until a read fails or the connection is closed.
 func (c *Conn) pump() {
 	buf := make([]byte, readSize)
 	for {
@@ -85,7 +88,8 @@
 	}
 }
 
-// received takes what the pump has read, and reports whether it is to go on.
+// received stores the bytes that pump has read, and reports whether pump should
+// continue.
 func (c *Conn) received(p []byte, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +107,7 @@
 	return err == nil && !c.closed
 }
 
-// readUnread is Read where a goroutine reads the socket. The lock is held.
+// readUnread is Read once a goroutine reads the socket. The caller holds c.mu.
 func (c *Conn) readUnread(p []byte) (int, error) {
 	for {
 		switch {
@@ -124,6 +128,6 @@
 	}
 }
 
-// withheld tells whether what was received belongs to requests behind the one
-// being served. The lock is held.
+// withheld reports whether the next received bytes belong to requests queued behind
+// the one being served. The caller holds c.mu.
 func (c *Conn) withheld() bool { return c.serving && c.end >= 0 && c.taken >= c.end }
--- a/node/pipelining/splitter.go
+++ b/node/pipelining/splitter.go
@@ -10,32 +10,32 @@
 	"strings"
 )
 
-// maxPending bounds the bytes of a connection that are looked at, in bytes: a
-// dozen heads, and more than a caller's head may have.
+// maxPending is the maximum number of bytes of a connection that are inspected ahead,
+// in bytes: a dozen heads, and more than the head of a caller may have.
 const maxPending = 32 << 10
 
-// splitter finds where requests begin and end in what a connection receives.
-// It does no I/O.
+// splitter finds the boundaries between the requests of a connection in the received
+// bytes. It does no I/O.
 //
-// Where a boundary isn't certain it gives up for the rest of the connection.
-// The failure: a boundary in the wrong place makes a part of a body look like a
-// request, which would run though no caller sent it.
+// Where a boundary is uncertain, it gives up for the rest of the connection. A
+// boundary in the wrong place would make part of a body look like a request, which
+// would run although no caller sent it.
 type splitter struct {
-	// pending starts at the first request that is not accounted for. While
-	// chunked is set, that is the one being served.
+	// pending holds the received bytes from the first unaccounted request on. While
+	// chunked is set, that is the request being served.
 	pending []byte
-	// base is the offset in the stream at which pending starts.
+	// base is the stream offset at which pending starts.
 	base int64
-	// skip counts the bytes before base that are still to come: the rest of a
-	// body.
+	// skip counts the bytes before base that have not been received yet: the rest of
+	// a body.
 	skip int64
-	// chunked tells that the request being served has a chunked body whose end
-	// is not found yet.
+	// chunked is set while the request being served has a chunked body whose end has
+	// not been found.
 	chunked bool
 	lost    bool
 }
 
-// add takes bytes that were received.
+// add appends received bytes.
 func (s *splitter) add(p []byte) {
 	if s.lost {
 		return
@@ -52,19 +52,19 @@
 	s.pending = append(s.pending, p...)
 }
 
-// giveUp ends the search for the rest of the connection.
+// giveUp stops the search for boundaries for the rest of the connection.
 func (s *splitter) giveUp() {
 	s.lost = true
 	s.pending = nil
 }
 
-// behind tells whether bytes were received that are not accounted for.
+// behind reports whether unaccounted bytes were received.
 func (s *splitter) behind() bool { return !s.lost && !s.chunked && len(s.pending) > 0 }
 
-// serve accounts for r, which net/http has just read from the start of pending,
-// and returns the offset of its end, -1 where that isn't known (yet).
+// serve accounts for r, which net/http has just read from the start of pending. It
+// returns the stream offset of the end of r, -1 if that is not known, or not yet.
 func (s *splitter) serve(r *http.Request) int64 {
-	// After a request that ends the connection nothing is read any more.
+	// After a request that ends the connection, net/http reads nothing more.
 	if !s.lost && (endsConnection(r) || !s.settleChunked() || s.skip > 0 || !s.startsWith(r)) {
 		s.giveUp()
 	}
@@ -82,14 +82,14 @@
 	return s.base
 }
 
-// startsWith tells whether pending starts with the head of r. Line ends before a
-// request line, which net/http forgives at times, are not understood here.
+// startsWith reports whether pending starts with the head of r. Empty lines before a
+// request line, which net/http sometimes accepts, are not supported here.
 func (s *splitter) startsWith(r *http.Request) bool {
 	line := r.Method + " " + r.RequestURI + " "
 	return headEnd(s.pending) > 0 && bytes.HasPrefix(s.pending, []byte(line))
 }
 
-// drop accounts for the next n bytes of the stream, received or not.
+// drop accounts for the next n bytes of the stream, whether received or not.
 func (s *splitter) drop(n int64) {
 	here := min(n, int64(len(s.pending)))
 	s.skip = n - here
@@ -97,8 +97,8 @@
 	s.pending = append(s.pending[:0], s.pending[here:]...)
 }
 
-// settleChunked looks for the end of a chunked body, and reports whether none is
-// open any more.
+// settleChunked searches for the end of an open chunked body, and reports whether no
+// chunked body is open any more.
 func (s *splitter) settleChunked() bool {
 	if !s.chunked {
 		return true
@@ -111,7 +111,7 @@
 	}
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
-		return false // more is to come
+		return false // the rest has not been received
 	case err != nil:
 		s.giveUp()
 		return false
@@ -121,9 +121,9 @@
 	return true
 }
 
-// next returns the request at the start of pending if it may begin before its
-// turn, and its length. It returns nil where there is none, or it isn't whole
-// yet, or has to wait. drop takes it out.
+// next returns the request at the start of pending, and its length, if it may start
+// early. It returns nil if there is no complete request or the request has to wait
+// for its turn. drop removes it from pending.
 func (s *splitter) next() (*http.Request, int64) {
 	if s.lost || s.skip > 0 || !s.settleChunked() {
 		return nil, 0
@@ -139,8 +139,8 @@
 	return r, int64(end)
 }
 
-// headEnd returns the length of the head at the start of b up to and with its
-// empty line, -1 if that isn't there. Lines end with \n or \r\n, as in net/http.
+// headEnd returns the length of the head at the start of b including its empty line,
+// or -1 if b contains no empty line. Lines end with \n or \r\n, as in net/http.
 func headEnd(b []byte) int {
 	end := -1
 	for _, empty := range []string{"\n\r\n", "\n\n"} {
@@ -151,8 +151,8 @@
 	return end
 }
 
-// plain tells whether net/http is sure to take a head: it has one Host, and
-// nothing but printable characters.
+// plain reports whether net/http is certain to accept a head: it has exactly one Host
+// field and only printable ASCII characters.
 func plain(head []byte) bool {
 	for _, b := range head {
 		if (b < ' ' && b != '\r' && b != '\n' && b != '\t') || b >= 0x7f {
@@ -163,7 +163,7 @@
 	return bytes.Count(bytes.ToLower(head), []byte(host)) == 1
 }
 
-// mayBegin tells whether a request can be begun from its head alone and leaves
+// mayBegin reports whether a request can be started from its head alone and leaves
 // the connection open.
 func mayBegin(r *http.Request) bool {
 	if !safeMethod(r.Method) || endsConnection(r) || !plainHost(r.Host) {
@@ -185,9 +185,9 @@
 	return true
 }
 
-// endsConnection tells whether net/http may end the connection with the answer to r.
-// It takes "close" between blanks for the token too, which Request.Close does not,
-// and refuses a protocol of another major version.
+// endsConnection reports whether net/http may close the connection with the response
+// to r. Unlike Request.Close, net/http also takes "close" between blanks for the
+// token, and it refuses a protocol of another major version.
 func endsConnection(r *http.Request) bool {
 	if r.Close || r.ProtoMajor != 1 || r.ProtoMinor < 1 {
 		return true
@@ -197,18 +197,20 @@
 	})
 }
 
-// plainHost tells whether net/http is sure to take a Host: it refuses some characters.
+// plainHost reports whether net/http is certain to accept a Host: it refuses some
+// characters.
 func plainHost(host string) bool { return only(host, ".-_:[]") }
 
-// plainName is the same for the name of a field.
+// plainName reports whether net/http is certain to accept a field name.
 func plainName(name string) bool { return only(name, "-_") }
 
-// only tells whether s has letters, digits and others alone.
+// only reports whether s is not empty and contains only letters, digits and
+// characters of others.
 func only(s, others string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && !strings.ContainsRune(others, r)
 	})
 }
 
-// safeMethod tells the methods of the reads that callers send behind one another.
+// safeMethod reports whether method is one of the safe methods that callers pipeline.
 func safeMethod(method string) bool { return method == http.MethodGet || method == http.MethodHead }
--- a/node/pressed.go
+++ b/node/pressed.go
@@ -8,21 +8,22 @@
 	"pollengauge.dev/call"
 )
 
-// Bounds of the gate where a dialect is spoken.
+// Limits of the gate where a dialect is used.
 const (
-	// slotShare keeps some slots free: upstreams become slower when nearly
-	// full, and a new connection holds a slot for a moment.
+	// slotShare is the share of the slots that is used. Some stay free because
+	// upstreams become slower when nearly full, and a new connection occupies a slot
+	// for a moment.
 	slotShare = 0.95
-	// queueLimit only bounds memory: what would wait too long is refused as it
-	// comes.
+	// queueLimit only bounds memory: a request that would wait too long is refused on
+	// arrival.
 	queueLimit = 4096
-	// maxQueueWait lets the profile's own wait bound the queue.
+	// maxQueueWait is so long that the profile's own maximum wait bounds the queue.
 	maxQueueWait = 2 * time.Second
 )
 
-// refusePressed refuses a request of a caller that would meet an overloaded
-// upstream further down. It returns nil to admit. Calls of the upstream are
-// never refused here: their requests have work done.
+// refusePressed refuses a root request that would reach an overloaded upstream
+// downstream. It returns nil to admit. Calls made by the upstream are never refused
+// here, because work has already been done for their requests.
 func (n *Node) refusePressed(req *request) *answer {
 	if req.call.Depth > 0 || n.settings.Ablate.NoFeedback {
 		return nil
@@ -40,7 +41,7 @@
 	return a
 }
 
-// heardPressure keeps the pressure that an answer brought.
+// heardPressure records the downstream pressure that an answer reported.
 func (n *Node) heardPressure(req *request, a *answer) {
 	if !n.spoken() || a.target == "" {
 		return
@@ -56,9 +57,10 @@
 	}
 }
 
-// workOf is how long a visit held slots of the upstream that its pressure comes
-// from: its own time where that is the upstream here, else what its calls told.
-// It is 0 where nothing is short.
+// workOf returns how long, in milliseconds, a visit occupied slots of the upstream
+// that its pressure comes from: the visit's own time if that is the upstream here,
+// else the work that its downstream calls reported. It returns 0 if there is no
+// pressure.
 func (n *Node) workOf(v *visit) int {
 	if below := v.workedBelow(); below > 0 && n.gate.Pressure() < n.pressureOf(v.call.Profile) {
 		return below
@@ -71,13 +73,14 @@
 
 const pressureUnit = 1000
 
-// pressureOf is the pressure on requests of a profile that lead to the upstream
-// here: its own, or that on the calls which their runs make, whichever is more.
+// pressureOf returns the pressure on the requests of a profile that run at the
+// upstream here, in thousandths: the higher of the upstream's own and that of the
+// calls which these runs make.
 //
-// Of the calls to one service it is what they meet on average. The failure: told
-// was the highest of all calls of a run, so with five calls to a service of 47
-// upstreams, on which the mean was 185 thousandths, roots heard of 397 and refused
-// twice as many requests as had to go.
+// For the calls to one service the pressure is their average. With the maximum over
+// all calls of a run, five calls to a service of 47 upstreams whose mean pressure was
+// 185 thousandths reported 397 to the roots, which then refused twice as many
+// requests as necessary.
 func (n *Node) pressureOf(profile string) int {
 	most := n.gate.Pressure()
 	now := n.now()
--- a/node/pressed_test.go
+++ b/node/pressed_test.go
@@ -11,9 +11,10 @@
 )
 
 // A run makes five calls to a service of many upstreams, one in five of which is
-// hot. The highest pressure of the five was told upwards, so every request seemed
-// to meet the hot one, and roots refused six in ten although one in eight was too
-// many. What is told has to be what the calls meet on average.
+// overloaded. The highest pressure of the five used to be reported, so every request
+// seemed to meet the overloaded upstream, and roots refused six in ten although one
+// in eight was too many. The reported pressure must be what the calls meet on
+// average.
 func TestOneHotUpstreamOfManyDoesNotSpeakForAll(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, echo)
--- a/node/progress_test.go
+++ b/node/progress_test.go
@@ -10,11 +10,11 @@
 	"pollengauge.dev/call"
 )
 
-// An upstream calls a deep service, then another that calls the deep service
-// as well, then the deep service again. The deep service must learn how many
-// calls of the request had run by then, or it can't tell a filing whose work
-// is done from one that has yet to begin. A caller from outside that claims
-// work done, to jump the queue, must not be believed.
+// An upstream calls a deep service, then another service that also calls the deep
+// service, then the deep service again. The deep service must learn how many calls of
+// the request had run by then, or it can't tell a filing whose work is done from one
+// that has yet to begin. A caller from outside that claims progress, to jump the
+// queue, must not be believed.
 func TestProgressIsCountedNotClaimed(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(filingProfiles)
@@ -42,13 +42,13 @@
 		f.settle()
 		got := f.ask(front, http.MethodGet, "/x", call.HeaderProgress, "60")
 		f.c.Check(got.outcome, qt.Equals, "complete")
-		// "nowhere" was refused, which is no work done.
+		// The call to "nowhere" was refused, so it doesn't count as progress.
 		f.c.Check(seen, qt.DeepEquals, []int{0, 1, 2, 2})
 	})
 }
 
-// Calls without end must not count past what a header may hold: the next hop
-// would refuse the call as malformed.
+// The progress counter must not exceed what the header may hold, however many calls a
+// run makes: the next hop would refuse the call as malformed.
 func TestProgressStopsAtItsBound(t *testing.T) {
 	c := qt.New(t)
 	v := &visit{call: call.Context{Progress: call.MaxProgress - 1}}
--- a/node/step_record.go
+++ b/node/step_record.go
@@ -10,7 +10,8 @@
 // recordRoot records a root request that has its outcome.
 func (n *Node) recordRoot(req *request, a *answer, start time.Time) {
 	took := n.recordStep(req, a, observe.Root, start)
-	// A request that is held back tells callers nothing of the load.
+	// A quarantined request is not refused because of the load, so it doesn't count
+	// for retry hints.
 	crowded := a.report.Outcome == call.NotRun && a.report.Reason != call.ReasonHeld
 	n.offered.note(req.call.Level.Priority(), crowded, n.now())
 	profile := n.metrics.Profile(req.call.Profile)
@@ -21,7 +22,8 @@
 	}
 }
 
-// recordStep records a step with all its attempts.
+// recordStep writes the hop record of a step with all its attempts, and returns how
+// long the step took.
 func (n *Node) recordStep(req *request, a *answer, kind observe.Kind, start time.Time) time.Duration {
 	hop := n.hop(req, kind)
 	hop.At = start
--- a/node/telemetry.go
+++ b/node/telemetry.go
@@ -13,14 +13,15 @@
 	"pollengauge.dev/observe"
 )
 
-// spanExporter sends hops to a collector.
+// spanExporter sends hops to a trace collector.
 type spanExporter interface {
 	Add(observe.Hop)
 	Counts() (queued, dropped int64)
 	Shutdown(context.Context) error
 }
 
-// buildView makes what operators see: events, metrics, spans.
+// buildView creates the logger, the metrics and, if an endpoint is set, the span
+// exporter.
 func (n *Node) buildView() error {
 	n.log = n.settings.Log
 	if n.log == nil {
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// export passes a hop to the collector, if one is set.
+// export passes a hop to the trace collector, if one is configured.
 func (n *Node) export(h observe.Hop) {
 	if n.exporter != nil {
 		n.exporter.Add(h)
@@ -65,7 +66,7 @@
 	}
 }
 
-// updateGauges copies the state of the parts into the metrics.
+// updateGauges copies the state of the node's components into the metrics.
 func (n *Node) updateGauges() {
 	gate := n.gate.Snapshot()
 	n.metrics.Limit.Update(int64(gate.Limit))
@@ -109,11 +110,11 @@
 	}
 }
 
-// maxServiceLabels bounds the services with metrics of their own: the names come
-// from other members.
+// maxServiceLabels is the maximum number of services with metrics of their own. It is
+// bounded because the names come from other members.
 const maxServiceLabels = 64
 
-// updateServiceGauges tells what this node knows of each service that it calls.
+// updateServiceGauges exports what this node knows of each service that it calls.
 func (n *Node) updateServiceGauges() {
 	services := n.router.Services()
 	slices.Sort(services)
@@ -135,7 +136,7 @@
 	}
 }
 
-// setCounter brings a counter up to a total that is counted elsewhere.
+// setCounter raises a counter to a total that is counted elsewhere.
 func setCounter(c metrics.Counter, total uint64) { c.Inc(int64(total) - c.Count()) }
 
 const loadUnit = 1000
@@ -147,10 +148,10 @@
 	return 0
 }
 
-// MetricsHandler serves the metrics in the text form of Prometheus.
+// MetricsHandler serves the metrics in the Prometheus text format.
 func (n *Node) MetricsHandler() http.Handler { return n.metrics }
 
-// Status is a snapshot of the node for top and for scripts.
+// Status returns a snapshot of the node for the top command and for scripts.
 func (n *Node) Status() observe.NodeStatus {
 	gate := n.gate.Snapshot()
 	status := observe.NodeStatus{
@@ -185,7 +186,8 @@
 	return status
 }
 
-// levelBelow is the admission level that the root heard of for a profile.
+// levelBelow returns the downstream admission level in force for a profile, as
+// learned from the answers to this node's root requests.
 func (n *Node) levelBelow(profile string) call.Level {
 	_, inForce := n.feedback.Admit(profile, call.MaxLevel, n.now())
 	return inForce
--- a/node/testing/memnet/conn.go
+++ b/node/testing/memnet/conn.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// budget is what a connection may still carry; a negative one is unbounded.
+// budget is the number of bytes that a connection may still carry. A negative value
+// means unlimited.
 type budget struct {
 	mu   sync.Mutex
 	left int
 }
 
-// take returns how many of n bytes may pass.
+// take consumes up to n bytes of the budget and returns how many may pass.
 func (b *budget) take(n int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -31,17 +32,17 @@
 	net      *Network
 	from, to string
 	peer     *conn
-	// shared bounds both directions together, quota this one alone.
+	// shared limits both directions together, quota this direction alone.
 	shared *budget
 	quota  budget
-	// in is what the peer sends.
+	// in is the stream that the peer writes.
 	in     *stream
 	local  memAddr
 	remote memAddr
 
 	closed chan struct{}
 	once   sync.Once
-	// abortive makes Close a reset.
+	// abortive makes Close reset the connection.
 	abortive      atomic.Bool
 	readDeadline  *deadline
 	writeDeadline *deadline
@@ -103,8 +104,8 @@
 	}
 }
 
-// Write passes on what the connection may still carry and then ends it: the
-// receiver gets what was written so far.
+// Write passes on the bytes that the budgets allow. If that is less than p, it then
+// closes both ends: the peer still receives the bytes written so far.
 func (c *conn) Write(p []byte) (int, error) {
 	allowed := c.quota.take(c.shared.take(len(p)))
 	written, err := c.send(p[:allowed])
@@ -145,7 +146,7 @@
 	}
 }
 
-// Close implements net.Conn. What was written before still arrives.
+// Close implements net.Conn. Bytes written before still arrive.
 func (c *conn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
@@ -162,14 +163,14 @@
 	return nil
 }
 
-// SetLinger is that of a net.TCPConn, for 0: Close then resets the connection,
-// and what the peer has not read yet is lost.
+// SetLinger implements the method of net.TCPConn for sec 0: Close then resets the
+// connection, and bytes that the peer has not read yet are lost.
 func (c *conn) SetLinger(sec int) error {
 	c.abortive.Store(sec == 0)
 	return nil
 }
 
-// reset breaks both ends at once; what is on the way is lost.
+// reset breaks both ends at once. Bytes in transit are lost.
 func (c *conn) reset() {
 	c.in.reset()
 	c.peer.in.reset()
@@ -202,7 +203,7 @@
 	return nil
 }
 
-// deadline is a channel that closes at a time that may be moved.
+// deadline provides a channel that closes at a time that can be changed.
 type deadline struct {
 	mu      sync.Mutex
 	timer   *time.Timer
@@ -234,9 +235,9 @@
 	}
 	left := time.Until(t)
 	if left <= 0 {
-		// No timer that has expired already: under testing/synctest it runs on
-		// its creator's thread, and two that do so at once share one context
-		// of the race detector, which crashes the process.
+		// Start no timer that has already expired: under testing/synctest it runs on
+		// its creator's thread, and two that do so at once share one context of the
+		// race detector, which crashes the process.
 		d.past = true
 		close(d.expired)
 		return
--- a/node/testing/memnet/errors.go
+++ b/node/testing/memnet/errors.go
@@ -2,20 +2,20 @@
 
 import "syscall"
 
-// ConnError is the cause of a net.OpError of this network, or the break of a
-// connection.
+// ConnError is the cause of a net.OpError of this network, or the reason why a
+// connection broke.
 type ConnError struct {
-	// What happened, in the words of the system's own error.
+	// What is the text of the corresponding system error.
 	What string
 }
 
-// refused is what a dial to an address gets at which nothing listens.
+// refused is the error of a dial to an address without a listener.
 const refused = "connection refused"
 
 // Error implements error.
 func (e *ConnError) Error() string { return e.What }
 
-// Is has the errors compare as those of the system do.
+// Is makes errors.Is match the corresponding system errors.
 func (e *ConnError) Is(target error) bool {
 	return e.What == refused && target == syscall.ECONNREFUSED
 }
--- a/node/testing/memnet/faults.go
+++ b/node/testing/memnet/faults.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// CutAfter breaks each connection between two hosts once from has written
-// that many more bytes to to. It holds for connections that are open now, and
-// for the next one that is opened.
+// CutAfter breaks each open connection between two hosts once host from has written
+// that many more bytes to host to. It also applies to the next connection that is
+// opened.
 func (n *Network) CutAfter(from, to string, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -14,8 +14,8 @@
 	}
 }
 
-// takeQuota returns the quota of a new connection, which is used up by it.
-// The lock is held.
+// takeQuota returns the quota for a new connection and removes it. The caller holds
+// n.mu.
 func (n *Network) takeQuota(from, to string) int {
 	link := [2]string{from, to}
 	bytes, ok := n.quotas[link]
@@ -26,8 +26,8 @@
 	return bytes
 }
 
-// Freeze holds up everything that a host sends or is sent, as when its VM is
-// paused: nothing breaks, and nothing arrives until Thaw.
+// Freeze delays everything that a host sends or is sent until Thaw, like a paused VM:
+// nothing breaks, and nothing arrives.
 func (n *Network) Freeze(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,12 +46,12 @@
 	}
 }
 
-// AwaitThaw returns once a host is not frozen. What stands for a host beside
+// AwaitThaw returns once a host is not frozen. Simulated work of a host other than
 // its connections waits here, as everything on a paused VM does.
 func (n *Network) AwaitThaw(host string) { n.awaitThaw(nil, host, host) }
 
-// HealAll ends every cut, freeze, quota and delay. Connections that were
-// broken stay broken.
+// HealAll ends every cut, freeze, quota and delay, and removes the filter. Broken
+// connections stay broken.
 func (n *Network) HealAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -68,8 +68,8 @@
 	}
 }
 
-// held returns a channel that is closed when one of the hosts thaws, nil if
-// none is frozen.
+// held returns a channel that closes when one of the hosts thaws, nil if none is
+// frozen.
 func (n *Network) held(hosts ...string) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// awaitThaw waits while one of two hosts is frozen, and reports whether that
-// ended before stop.
+// awaitThaw waits while one of two hosts is frozen, and reports whether both were
+// thawed before stop closed.
 func (n *Network) awaitThaw(stop <-chan struct{}, from, to string) bool {
 	for {
 		thawed := n.held(from, to)
@@ -97,7 +97,7 @@
 	}
 }
 
-// delayOf is the one-way delay from one host to another.
+// delayOf returns the one-way delay from one host to another.
 func (n *Network) delayOf(from, to string) time.Duration {
 	n.mu.Lock()
 	delay := n.delay
--- a/node/testing/memnet/memnet.go
+++ b/node/testing/memnet/memnet.go
@@ -1,8 +1,8 @@
-// Package memnet is an in-memory network for tests: hosts with addresses,
-// connections between them, and faults that can be drawn at any moment.
-// Connections block on channels only, so that nodes run on it under
-// testing/synctest in virtual time. As with a socket, a write returns once its
-// bytes are buffered, so that a delay or a freeze doesn't stop the writer.
+// Package memnet is an in-memory network for tests. A Network joins hosts with
+// addresses, a Host opens listeners and connections, and the Network can inject
+// faults at any moment. Connections block on channels only, so that nodes run on it
+// under testing/synctest in virtual time. As with a socket, a write returns once its
+// bytes are buffered, so that a delay or a freeze doesn't block the writer.
 package memnet
 
 import (
@@ -27,8 +27,8 @@
 	frozen    map[string]chan struct{}
 }
 
-// Filter may limit a new connection: it is cut once limit bytes were written
-// in either direction. A negative limit means none.
+// Filter may limit a new connection: the connection breaks once limit bytes have been
+// written in both directions together. A negative limit means none.
 type Filter func(from, to string) (limit int)
 
 // New returns an empty network.
@@ -43,32 +43,33 @@
 	}
 }
 
-// Host is the network as one host sees it. It satisfies node.Network.
+// Host is the network as seen by one host. It implements node.Network.
 type Host struct {
 	net  *Network
 	name string
 }
 
-// Host returns the host of that name.
+// Host returns the host of the given name.
 func (n *Network) Host(name string) *Host { return &Host{net: n, name: name} }
 
-// SetFilter limits connections opened from now on.
+// SetFilter limits connections that are opened from now on.
 func (n *Network) SetFilter(f Filter) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.filter = f
 }
 
-// SetDelay gives the one-way delay of each write from one host to another. It
-// holds for open connections too.
+// SetDelay sets the one-way delay of each write from one host to another, also on
+// open connections.
 func (n *Network) SetDelay(delay func(from, to string) time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = delay
 }
 
-// Cut breaks all connections from one host to another, and refuses new ones,
-// until Heal. The other direction is not affected.
+// Cut breaks all connections between two hosts, and refuses connections that host
+// from dials to host to, until Heal. Connections that host to dials afterwards are
+// not affected.
 func (n *Network) Cut(from, to string) {
 	n.mu.Lock()
 	n.cuts[[2]string{from, to}] = true
@@ -86,8 +87,8 @@
 	delete(n.cuts, [2]string{from, to})
 }
 
-// Kill breaks everything of a host at once, as when its VM is lost: its
-// listeners refuse and its connections break.
+// Kill closes all listeners and breaks all connections of a host at once, like the
+// loss of its VM.
 func (n *Network) Kill(host string) {
 	n.mu.Lock()
 	var broken []*conn
@@ -126,8 +127,8 @@
 	return host
 }
 
-// Listen opens a listener; the port 0 takes a free one, and the host part of
-// addr is replaced by this host's name.
+// Listen opens a listener. Port 0 selects a free port, and the host part of addr is
+// replaced by this host's name.
 func (h *Host) Listen(addr string) (net.Listener, error) {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/node/testing/memnet/stream.go
+++ b/node/testing/memnet/stream.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// streamBytes is what one direction of a connection buffers.
+// streamBytes is the buffer size of one direction of a connection, in bytes.
 const streamBytes = 64 << 10
 
-// stream is one direction of a connection: pieces on their way, each with
-// when it arrives.
+// stream is one direction of a connection: the pieces in transit, each with its
+// arrival time.
 type stream struct {
 	mu     sync.Mutex
 	pieces []piece
 	size   int
-	// ended: the writer has closed. left: the reader has. broken: all is lost.
+	// ended: the writer has closed. left: the reader has closed. broken: the
+	// connection was reset and its buffered bytes are lost.
 	ended, left, broken bool
 	changed             chan struct{}
 }
 
-// piece is some bytes, or the end of the stream if there are none.
+// piece is a number of bytes, or the end of the stream if data is empty.
 type piece struct {
 	data    []byte
 	arrives time.Time
@@ -28,13 +29,13 @@
 
 func newStream() *stream { return &stream{changed: make(chan struct{})} }
 
-// notify wakes who waits. The lock is held.
+// notify wakes all waiting readers and writers. The caller holds s.mu.
 func (s *stream) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// waiting is what a reader has to wait for.
+// waiting describes the events that a blocked reader waits for.
 type waiting struct {
 	changed <-chan struct{}
 	thawed  <-chan struct{}
@@ -51,8 +52,8 @@
 	return timer.C, func() { timer.Stop() }
 }
 
-// read takes bytes that have arrived, or tells what to wait for. thawed is not
-// nil while the way is frozen.
+// read returns bytes that have arrived, or what to wait for. thawed is not nil while
+// one of the hosts is frozen.
 func (s *stream) read(p []byte, thawed <-chan struct{}) (int, *waiting, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,8 +80,8 @@
 	return count, nil, nil
 }
 
-// write buffers what there is room for. full is closed when it is worth trying
-// again.
+// write buffers as many bytes as there is space for. full is not nil if there is
+// none; it closes when a retry may succeed.
 func (s *stream) write(p []byte, arrives time.Time) (count int, full <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +102,7 @@
 	return count, nil, nil
 }
 
-// end lets the reader see the end after all bytes.
+// end makes the reader receive io.EOF after all bytes.
 func (s *stream) end(arrives time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +117,7 @@
 	s.notify()
 }
 
-// leave tells the writer that nobody reads any more.
+// leave makes further writes fail, because the reader has closed.
 func (s *stream) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/tls.go
+++ b/node/tls.go
@@ -12,21 +12,21 @@
 	"pollengauge.dev/secure"
 )
 
-// TLSSettings put mutual TLS under the connections between nodes: the peer and
-// gossip listeners, and all that is dialled to them. The other listeners stay
-// as they are. The zero value uses none.
+// TLSSettings configure mutual TLS on the connections between nodes: on the peer and
+// gossip listeners and on all dials to them. The other listeners are not affected.
+// The zero value disables TLS.
 type TLSSettings struct {
 	// Cert, Key and CA are this node's certificate, its private key and the
-	// authorities that certify nodes: each is PEM text or the path of a file
-	// that is looked at again every few seconds and on SIGHUP. Text can only
-	// change with a restart; a file needs a place that the node can read.
+	// authorities that certify nodes. Each is PEM text or the path of a file that is
+	// checked for changes every few seconds and on SIGHUP. Text can only change with
+	// a restart; a file must be readable by the node.
 	Cert, Key, CA string
-	// Name is a DNS name or URI that every node's certificate must carry. It
-	// keeps out others who are certified by the same authority; empty trusts
-	// the authority alone.
+	// Name is a DNS name or URI that every node's certificate must contain. It keeps
+	// out other holders of a certificate from the same authority. If it is empty, the
+	// authority alone is trusted.
 	Name string
-	// OnHangup makes SIGHUP look at the files at once. A process that embeds a
-	// node and uses the signal itself leaves it out.
+	// OnHangup makes SIGHUP check the files at once. A process that embeds a node and
+	// uses the signal itself leaves it unset.
 	OnHangup bool
 }
 
@@ -49,7 +49,8 @@
 	}
 }
 
-// shownPEM shows a path, and nothing of what may be a private key.
+// shownPEM returns value for an error message: a path as it is, and a placeholder for
+// PEM text, which may be a private key.
 func shownPEM(value string) string {
 	if strings.ContainsAny(value, "\r\n") || strings.Contains(value, "-----") {
 		return "(PEM text)"
@@ -58,16 +59,16 @@
 }
 
 const (
-	// noConnLimit leaves the bound on connections to peerRoom, which refuses
-	// where the transport would wait.
+	// noConnLimit disables the transport's own connection limit. peerRoom limits the
+	// connections instead: it refuses a call where the transport would wait.
 	noConnLimit = 0
-	// idlePeerPart is the part of the calls to other nodes for which idle
-	// connections are kept: calls take turns on them.
+	// idlePeerPart divides the maximum number of concurrent calls to other nodes into
+	// the number of idle connections kept: calls reuse connections one after another.
 	idlePeerPart = 4
 )
 
-// buildNetworks chooses the networks: one for callers, upstream and operator,
-// and one between nodes, with the transport for calls to them.
+// buildNetworks sets up the networks: one for callers, upstream and operator, and one
+// between nodes with the transport for calls to them.
 func (n *Node) buildNetworks() error {
 	if err := n.chooseNetworks(); err != nil {
 		return err
@@ -76,7 +77,7 @@
 	n.peers = newTransport(n.between, noConnLimit)
 	n.peers.MaxIdleConnsPerHost = n.settings.PeerConns
 	n.peers.MaxIdleConns = max(n.settings.PeerCalls/idlePeerPart, 1)
-	// A node adds its report to what its upstream may answer.
+	// A node adds its report to the headers that its upstream may send.
 	n.peers.MaxResponseHeaderBytes = maxResponseHeader + nodeHeaderBytes
 	return nil
 }
@@ -111,7 +112,7 @@
 		observe.Int("authorities", info.Authorities))
 }
 
-// watchTLS takes new certificates until ctx ends.
+// watchTLS reloads changed certificates until ctx ends.
 func (n *Node) watchTLS(ctx context.Context) {
 	if n.tls == nil {
 		return
--- a/node/tls_test.go
+++ b/node/tls_test.go
@@ -17,7 +17,7 @@
 	"pollengauge.dev/secure/securetest"
 )
 
-// events is a log that a test reads back.
+// events is a log output that a test can search.
 type events struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -36,20 +36,21 @@
 	return bytes.Contains(e.text.Bytes(), []byte("name="+name))
 }
 
-// logged makes a node write its events to e.
+// logged returns an option that makes a node write its events to e.
 func logged(c *qt.C, e *events) func(*Settings) {
 	logger, err := observe.NewLogger(observe.LoggerConfig{Output: e})
 	c.Assert(err, qt.IsNil)
 	return func(s *Settings) { s.Log = logger }
 }
 
-// certified gives a node a certificate of ca, and trusts the authorities.
+// certified returns an option that gives a node a certificate of ca and makes it
+// trust the given authorities.
 func certified(ca *securetest.Authority, trusted string) func(*Settings) {
 	leaf := ca.Issue("node", securetest.Options{Lifetime: 24 * time.Hour})
 	return func(s *Settings) { s.TLS = TLSSettings{Cert: leaf.Cert, Key: leaf.Key, CA: trusted} }
 }
 
-// relayFiling passes a filing on to the service below.
+// relayFiling passes a filing on to the filing service.
 func relayFiling(w http.ResponseWriter, _ *http.Request, call func(string, string, string) (*http.Response, error)) {
 	resp, err := call("filing", http.MethodPost, "/file")
 	if err != nil {
@@ -66,10 +67,10 @@
 	_, _ = w.Write(body)
 }
 
-// The connection between two nodes under TLS is cut after k bytes: in the
-// handshake, in the confirmation, in the request, in the answer. Handshake
-// bytes must not count as a sent request (a filing that did not run could not
-// be tried elsewhere), nor hide one (it could run twice).
+// The TLS connection between two nodes breaks after limit bytes: in the handshake, in
+// its confirmation, in the request or in the response. Handshake bytes must not count
+// as a sent request, or a filing that did not run could not be retried elsewhere.
+// They must not hide a sent request either, or it could run twice.
 func TestCutUnderTLS(t *testing.T) {
 	seen := map[string]int{}
 	for limit := 0; limit < 6600; limit += 97 {
@@ -101,10 +102,11 @@
 	qt.New(t).Check(seen["not-run"] > 0 && seen["unknown"] > 0 && seen["complete"] > 0, qt.IsTrue, qt.Commentf("%v", seen))
 }
 
-// A node's certificate is no longer trusted by the others, as after a change
-// of key that missed it. Its caller must hear not-run, since no byte of the
-// filing was taken, so that it can be sent through another node; unknown would
-// strand it. The others tell of the stranger, and it gets no call.
+// The other nodes no longer trust a node's certificate, for example after a key
+// change that missed this node. Its caller must get not-run, because no byte of the
+// filing was accepted, so that the filing can be sent through another node; with
+// unknown it would be stuck. The other nodes must log the rejected peer and give it
+// no call.
 func TestRefusedCertificateProvesNotRun(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(filingProfiles)
@@ -118,21 +120,21 @@
 		f.c.Assert(f.ask(front, http.MethodPost, "/file", "X-Operation", "before").outcome, qt.Equals, "complete")
 		write(ca.PEM())
 		time.Sleep(6 * time.Second)
-		// Gossip goes on over what was opened under the old trust, so that the
-		// target is still known and the call has to dial.
+		// Gossip continues on connections opened under the old trust, so the target
+		// is still known and the call has to dial.
 		front.peers.CloseIdleConnections()
 		f.c.Check(told.has("tls-key-changed"), qt.IsTrue)
 		got := f.ask(front, http.MethodPost, "/file", "X-Operation", "after")
 		f.c.Check(got.outcome, qt.Equals, "not-run")
 		f.c.Check(f.runs.of("filing", "after"), qt.Equals, 0)
-		f.settle() // the other side may tell of it after the caller's answer
+		f.settle() // the other side may log it after the caller's response
 		f.c.Check(told.has("peer-refused"), qt.IsTrue)
 	})
 }
 
-// A node drains under TLS. Its keys must reach the successor through the
-// hand-over, which dials the peer listener by itself: a repeated filing then
-// gets the stored answer and does not run again.
+// A node drains under TLS. Its keys must reach the successor through the handover,
+// which dials the peer listener separately: a repeated filing must then get the
+// stored response and not run again.
 func TestHandoverUnderTLS(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(filingProfiles)
@@ -150,8 +152,8 @@
 	})
 }
 
-// Half of the TLS settings is given, or the key is wrong. The node must not
-// start without TLS, and the refusal must not show the key.
+// The TLS settings are incomplete, or the key is wrong. The node must not start
+// without TLS, and the error must not show the key.
 func TestTLSSettingsRefused(t *testing.T) {
 	c := qt.New(t)
 	leaf := securetest.NewAuthority("ours").Issue("node", securetest.Options{})
@@ -168,7 +170,8 @@
 	}
 }
 
-// writeTLS puts a certificate of ca and the trusted authorities into dir.
+// writeTLS writes a certificate of ca, its key and the trusted authorities to files
+// in dir.
 func writeTLS(c *qt.C, dir string, ca *securetest.Authority, trusted string) TLSSettings {
 	leaf := ca.Issue("node", securetest.Options{Lifetime: 24 * time.Hour})
 	tls := TLSSettings{Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), CA: filepath.Join(dir, "ca")}
--- a/node/trace.go
+++ b/node/trace.go
@@ -7,14 +7,14 @@
 	"pollengauge.dev/observe"
 )
 
-// span is a call's place in its trace at one hop.
+// span is the position of a call in its trace at one hop.
 type span struct {
 	observe.Trace
 	parent observe.SpanID
 }
 
-// startSpan opens this hop's span under the one that the header names, or a
-// new trace.
+// startSpan starts this hop's span as a child of the span that the header names, or
+// starts a new trace.
 func (n *Node) startSpan(h http.Header) span {
 	parent, err := observe.ParseTrace(h.Get(call.HeaderTraceParent))
 	if err != nil {
@@ -23,10 +23,11 @@
 	return span{Trace: parent.Child(), parent: parent.SpanID}
 }
 
-// child opens a span below s.
+// child starts a child span of s.
 func (s span) child() span { return span{Trace: s.Trace.Child(), parent: s.SpanID} }
 
-// hop starts the record of one step of req.
+// hop returns the hop record of one step of req, with the fields that are known at
+// its start.
 func (n *Node) hop(req *request, kind observe.Kind) observe.Hop {
 	return observe.Hop{
 		At:           n.now(),
@@ -52,7 +53,7 @@
 	}
 }
 
-// record keeps a finished hop for explain and for the exporter.
+// record stores a finished hop for the explain command and passes it to the exporter.
 func (n *Node) record(h observe.Hop) {
 	n.ring.Add(h)
 	if n.spoken() {
--- a/node/unsettled.go
+++ b/node/unsettled.go
@@ -11,24 +11,25 @@
 	"pollengauge.dev/observe"
 )
 
-// maxUnsettled bounds the list of unsettled fates; the oldest makes room.
+// maxUnsettled is the maximum length of the list of unsettled fates. The oldest entry
+// is evicted for a new one.
 const maxUnsettled = 1024
 
-// unsettled lists unrepeatable calls that ended unknown here although another
-// node is home of their key.
+// unsettled lists unrepeatable calls that ended unknown here although another node
+// owns their key.
 //
-// The failure: a VM is lost with filings in flight, and its key table with it.
-// The callers are told unknown or see their connection break, and the list of
-// fates that operators work through is empty: the filings die quietly. What the
-// remaining nodes saw is enough to name those that they had a part in: calls
-// whose home could not be asked, and runs whose caller's node went away.
+// It covers the loss of a VM, together with its key table, while filings are in
+// flight. The callers get unknown or a broken connection, and without this list the
+// fates that operators work through would be empty: the filings would be lost without
+// a trace. The remaining nodes can name the calls that they took part in: calls whose
+// owner could not be reached, and runs whose calling node went away.
 type unsettled struct {
 	mu    sync.Mutex
 	fates []FateView
 }
 
-// add keeps a fate unless its key is listed already: callers that ask again
-// get the same answer, and the first time counts.
+// add stores a fate unless its key is already listed. Callers that retry get the same
+// answer, and the time of the first one is retained.
 func (u *unsettled) add(f FateView) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -41,7 +42,8 @@
 	u.fates = append(u.fates, f)
 }
 
-// list returns those that have neither expired nor a home that can tell more.
+// list returns the fates that have not expired and whose owner is not among the
+// current members. A living owner can report the fate itself.
 func (u *unsettled) list(now time.Time, homeLives func(id string) bool) []FateView {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -55,7 +57,7 @@
 	return open
 }
 
-// noteUnsettled lists a call whose fate the table here does not hold.
+// noteUnsettled lists a call whose fate is not in the key table of this node.
 func (n *Node) noteUnsettled(req *request, reason call.Reason, home string) {
 	if home == "" {
 		home = n.probableHome(req)
@@ -76,9 +78,10 @@
 	})
 }
 
-// probableHome is the incarnation in a minted key. A brought key was claimed
-// by the node at which its caller presented it, whose id begins the request's;
-// it is empty if the caller named the request itself.
+// probableHome returns the id of the node that probably owns the request's key. A
+// minted key contains its owner. A key chosen by the caller was claimed by the node
+// at which the caller presented it, and the request id begins with the id of that
+// node. The result is empty if the caller chose the request id itself.
 func (n *Node) probableHome(req *request) string {
 	key, minted, err := atmostonce.ParseKey(req.key)
 	if err == nil && minted {
@@ -99,16 +102,16 @@
 	return root
 }
 
-// noteCallerGone lists an unrepeatable run whose caller's node went away before
-// it had the answer. A node keeps up such a call until its deadline, whatever
-// its own caller does.
+// noteCallerGone lists an unrepeatable run whose calling node went away before it
+// received the answer. A node keeps such a call open until its deadline even if its
+// own caller disconnects.
 func (n *Node) noteCallerGone(req *request) {
 	if req.profile.Unrepeatable && req.key != "" && req.homeHops == 0 && n.now().Before(req.deadline) {
 		n.noteUnsettled(req, call.ReasonCancelled, "")
 	}
 }
 
-// homeLives reports whether a member has the keys of that incarnation.
+// homeLives reports whether a current member has the keys of that incarnation.
 func (n *Node) homeLives(id string) bool {
 	if id == "" {
 		return false
@@ -117,9 +120,9 @@
 	return ok
 }
 
-// unsettledFates returns the unsettled fates that a query wants and the table
-// has not listed: those that this node had a part in, and those of lost homes
-// that it is witness of.
+// unsettledFates returns the unsettled fates that match a query and are not yet in
+// listed, the fates from the key table: those of calls that this node took part in,
+// and those of lost owners for which it is a witness.
 func (n *Node) unsettledFates(request string, listed []FateView) []FateView {
 	var fates []FateView
 	known := make(map[string]bool, len(listed))
--- a/node/upstream.go
+++ b/node/upstream.go
@@ -10,44 +10,45 @@
 	"pollengauge.dev/observe"
 )
 
-// Announcement is how an upstream makes itself known to its own node.
-// Announcing again is harmless and replaces what was said before.
+// Announcement is what an upstream reports about itself to its own node. Each
+// announcement replaces the previous one, so repeating it is harmless.
 type Announcement struct {
 	// Service must be the node's service.
 	Service string `json:"service"`
 	// Addr is the upstream's host:port on this VM.
 	Addr string `json:"addr"`
-	// Slots is how many calls the upstream takes at once, 1 to 100000.
+	// Slots is how many calls the upstream runs at once, 1 to 100000.
 	Slots int `json:"slots"`
-	// Connections bounds the connections to it, 1 to 100000; 0 takes the
-	// node's setting.
+	// Connections is the maximum number of connections to the upstream, 1 to 100000.
+	// 0 selects the node's setting.
 	Connections int `json:"connections,omitempty"`
-	// ShedStatus is a status code that the upstream uses only before it has
-	// done anything for a call. 0: it has none, and only the outcome header
-	// not-run counts as such an answer.
+	// ShedStatus is a status code that the upstream returns only before it has done
+	// any work for a call. 0 means that it has no such code; then only a response
+	// with the outcome header not-run counts as shed.
 	ShedStatus int `json:"shedStatus,omitempty"`
-	// Load is the upstream's own report, 1.0 being full. It lags or misleads,
-	// so it may lower the limit and never raises it.
+	// Load is the load that the upstream reports, 1.0 meaning full. The report may be
+	// late or wrong, so it can lower the concurrency limit but never raises it.
 	Load float64 `json:"load,omitempty"`
-	// Instance names the upstream. With Born it is its incarnation. "": the
-	// upstream does not tell.
+	// Instance names the upstream. Instance and Born together identify its
+	// incarnation. Empty means that the upstream doesn't report a name.
 	Instance string `json:"instance,omitempty"`
-	// Born is when the upstream started, in milliseconds of the Unix epoch, by its
-	// own clock. An upstream may start again under the Instance that it had; it
-	// then knows nothing of before, and its Sequence starts anew. 0: it does not
-	// tell.
+	// Born is when the upstream started, in milliseconds of the Unix epoch by its own
+	// clock. An upstream may restart under the same Instance; it then has no state
+	// from before, and its Sequence starts again. 0 means that it doesn't report a
+	// start time.
 	Born int64 `json:"born,omitempty"`
-	// Draining tells that the upstream is about to leave and takes no new calls.
+	// Draining reports that the upstream is about to leave and takes no new calls.
 	Draining bool `json:"draining,omitempty"`
-	// Sequence rises with each announcement of an incarnation, so that a late
-	// one is known.
+	// Sequence increases with each announcement of an incarnation, so that an
+	// announcement that arrives late can be recognized.
 	Sequence uint64 `json:"sequence,omitempty"`
 }
 
-// MaxSlots is the most slots, and connections, that an announcement can name.
+// MaxSlots is the largest number of slots, and of connections, that an announcement
+// may give.
 const MaxSlots = 100_000
 
-// check returns a *SettingsError that lists every wrong field.
+// check returns a *SettingsError that lists every invalid field.
 func (a Announcement) check(service string) error {
 	var c checker
 	if a.Service != service {
@@ -77,10 +78,10 @@
 	life      *upstreamLife
 }
 
-// Announce takes an announcement of the upstream on this VM; it is the same as
-// a POST to the admin API. It may be called at any time after Start. The
-// transport is kept while the address, the bound and the incarnation stay the
-// same, so that announcing again drops no connection.
+// Announce takes an announcement of the upstream on this VM, like a POST to the admin
+// API. It may be called at any time after Start. While the address, the connection
+// limit and the incarnation stay the same, the transport is reused, so that a
+// repeated announcement drops no connection.
 func (n *Node) Announce(a Announcement) error {
 	if n.spoken() {
 		a.Service = call.ServiceToken(a.Service)
@@ -104,9 +105,9 @@
 	return nil
 }
 
-// Leaving tells that an incarnation of the upstream takes no new calls and
-// will end. It may be repeated; another incarnation than the current one is
-// left alone. born is as in Announcement.
+// Leaving reports that an incarnation of the upstream takes no new calls and is about
+// to stop. It may be repeated. A report about an incarnation other than the current
+// one has no effect. born is as in Announcement.
 func (n *Node) Leaving(instance string, born int64) {
 	n.announceMu.Lock()
 	defer n.announceMu.Unlock()
@@ -119,9 +120,9 @@
 	}
 }
 
-// noteInstance takes the word of the upstream that answered for another
-// incarnation. A restarted upstream answers before it announces itself, and
-// until then each call to it would be refused.
+// noteInstance replaces the incarnation of the upstream by the one that the upstream
+// named when it rejected a call meant for another. A restarted upstream answers
+// before it announces itself, and until then it would reject every call to it.
 func (n *Node) noteInstance(up *upstream, instance string) {
 	n.announceMu.Lock()
 	defer n.announceMu.Unlock()
@@ -133,7 +134,7 @@
 	n.putUpstream(a)
 }
 
-// putUpstream makes a the upstream. The lock on announcements is held.
+// putUpstream makes a the current upstream. The caller holds announceMu.
 func (n *Node) putUpstream(a Announcement) {
 	old := n.upstream.Load()
 	next := &upstream{Announcement: a, since: n.now()}
@@ -166,45 +167,46 @@
 	return up.Instance == a.Instance && up.Born == a.Born
 }
 
-// maxInstances bounds the incarnations that are remembered.
+// maxInstances is the maximum number of incarnations that are remembered.
 const maxInstances = 16
 
-// lifeSilence is how long after the last word of an incarnation one with an
-// earlier start may follow it. Upstreams announce themselves every second or
-// two, and an announcement that was held up is some seconds late.
+// lifeSilence is how long after the last announcement of an incarnation an
+// incarnation with an earlier start time may replace it. Upstreams announce
+// themselves every second or two, and a delayed announcement is some seconds late.
 //
-// The failure: the clock of a VM is set back, its upstream starts again, and its
-// start seems to be before that of the one that has ended. Left out for ever, the
-// upstream would get no calls.
+// It handles a VM whose clock is set back before its upstream restarts: the start
+// time of the new incarnation then seems to precede that of the old one. If earlier
+// start times were rejected for ever, the upstream would get no calls.
 const lifeSilence = 6 * time.Second
 
-// announcedInstances remembers the latest announcement of each upstream, by the
-// name that it gives itself.
+// announcedInstances remembers the latest announcement of each upstream by its
+// Instance.
 //
-// The failure: an announcement is held up by the network, its sender crashes,
-// and a new incarnation announces itself at the same address. The late one
-// then takes the new one's place, and calls are refused until the next
-// announcement. Sequences tell a late one from a new one, and starts tell the
-// lives of an upstream that comes back under its name; an incarnation that has
-// left never comes back.
+// It guards against an announcement that is delayed by the network while its sender
+// crashes and a new incarnation announces itself at the same address. The late
+// announcement would replace the new one, and calls would be refused until the next
+// announcement. Sequences distinguish late announcements from new ones, and start
+// times distinguish the incarnations of an upstream that restarts under the same
+// name. An incarnation that has left never comes back.
 type announcedInstances struct {
 	lives map[string]life
-	// order has the names in the order of their first announcement.
+	// order lists the names in the order of their first announcement.
 	order []string
 }
 
-// life is what is known of one incarnation.
+// life is the state of the latest incarnation under one name.
 type life struct {
 	born     int64
 	sequence uint64
 	heard    time.Time
 }
 
-// leftSequence is above every sequence.
+// leftSequence is the sequence of an incarnation that has left; it is above every
+// announced sequence.
 const leftSequence = ^uint64(0)
 
-// fresh reports whether a is newer than what was announced under its name
-// before, and remembers it. Announcements without a name are always fresh.
+// fresh reports whether a is newer than the last announcement under its name, and
+// records it if so. Announcements without a name are always fresh.
 func (i *announcedInstances) fresh(a Announcement, now time.Time) bool {
 	if a.Instance == "" {
 		return true
@@ -220,15 +222,16 @@
 	return true
 }
 
-// left remembers that an incarnation has left, and reports whether that is news
-// of the latest life under its name. A born of 0 means the latest one.
+// left records that an incarnation has left, and reports whether it is the latest
+// incarnation under its name. A born of 0 means the latest one.
 func (i *announcedInstances) left(instance string, born int64, now time.Time) bool {
 	last := i.lives[instance]
 	if born != 0 && born < last.born {
 		return false
 	}
-	// The farewell is a word of this life: silence before it says nothing of it, and
-	// an earlier one that was held up must not come back.
+	// The leave report counts as an announcement of this incarnation: a silence
+	// before it is irrelevant, and a delayed announcement of an earlier incarnation
+	// must not replace it.
 	i.set(instance, life{born: max(born, last.born), sequence: leftSequence, heard: now})
 	return true
 }
--- a/node/upstreamerror_test.go
+++ b/node/upstreamerror_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// failing answers each run with an error of its own.
+// failing returns a handler that answers each run with its own error response.
 func failing(runs *atomic.Int64) handler {
 	return func(w http.ResponseWriter, r *http.Request, _ func(string, string, string) (*http.Response, error)) {
 		runs.Add(1)
@@ -21,11 +21,11 @@
 	}
 }
 
-// One of three upstreams answers every run with an error, and says that it is well.
-// Its answers come fast, so it was given more and more calls: with a third of a deep
-// service so, 32 of 100 requests failed for as long as it lasted. Reads must be served
-// by the others, with few of them repeated, since it is left out; a change that may
-// not run twice must run once, and its caller get the error that there is.
+// One of three upstreams answers every run with an error, and reports itself healthy.
+// Its responses are fast, so it used to get more and more calls: when a third of a
+// deep service failed in this way, 32 of 100 requests failed for as long as it
+// lasted. Reads must be served by the other upstreams, with few retries, because the
+// failing one is left out.
 func TestErrorsOfAnUpstreamAreMendedElsewhere(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var bad atomic.Int64
@@ -48,8 +48,8 @@
 	})
 }
 
-// The only upstreams fail. A change must run once and no more, and every caller must
-// get the upstream's own error, not one that says less.
+// All upstreams fail. A change must run exactly once, and every caller must get the
+// upstream's own error response, not a less specific one.
 func TestErrorsThatCannotBeMendedAreDelivered(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var one, two atomic.Int64
@@ -71,15 +71,15 @@
 			f.c.Check(got.status, qt.Equals, http.StatusInternalServerError, qt.Commentf("%s", got.reason))
 			f.c.Check(got.body, qt.Equals, "error of "+id)
 		}
-		// The first attempts of both kinds earn retries.
+		// First attempts of both kinds earn retries.
 		const firsts = 2 * changes
 		f.c.Check(one.Load()+two.Load() <= firsts+firsts/5+1, qt.IsTrue)
 	})
 }
 
-// A run fails because the call that it made was refused. Its upstream is well, and
-// the next one would meet the same refusal: the run must not be repeated, nor the
-// upstream be left out.
+// A run fails because a downstream call was refused. Its upstream is healthy, and
+// another one would meet the same rejection: the run must not be retried, and the
+// upstream must not be ejected.
 func TestErrorsFromBelowAreNotRepeatedAbove(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		c := newChain(f, 1)
--- a/node/upstreamlives_test.go
+++ b/node/upstreamlives_test.go
@@ -6,10 +6,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A node starts anew and hears the farewell of its upstream first. An announcement
-// of the upstream's earlier life was held up and arrives after it. No silence has
-// passed since the farewell, so that life must not come back: nothing listens any
-// more at the address, and callers would be refused until the farewell is repeated.
+// A restarted node first receives the leave report of its upstream, and then a
+// delayed announcement of the upstream's earlier incarnation. No silence has passed
+// since the leave report, so the earlier incarnation must not come back: nothing
+// listens at its address any more, and callers would be refused until the leave
+// report is repeated.
 func TestFarewellIsAWordOfItsLife(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("vm", "desk", 10, echo)
--- a/node/view.go
+++ b/node/view.go
@@ -2,8 +2,8 @@
 
 import "pollengauge.dev/membership"
 
-// GossipStats returns the counts of this node's membership exchange, zero
-// before Start.
+// GossipStats returns the counters of this node's membership exchange, zero before
+// Start.
 func (n *Node) GossipStats() membership.Stats {
 	if n.gossip == nil {
 		return membership.Stats{}
@@ -11,8 +11,8 @@
 	return n.gossip.Stats()
 }
 
-// Member returns what this node believes of an incarnation, also of one that
-// is gone. Beliefs of several nodes differ until news has spread.
+// Member returns this node's view of an incarnation, including one that is gone.
+// Views of different nodes differ until an update has spread.
 func (n *Node) Member(id string) (membership.Member, membership.State, bool) {
 	if n.gossip == nil {
 		return membership.Member{}, membership.Alive, false
@@ -20,5 +20,5 @@
 	return n.gossip.Lookup(id)
 }
 
-// ConfigVersion returns the version of the configuration in force here.
+// ConfigVersion returns the version of the configuration in force on this node.
 func (n *Node) ConfigVersion() uint64 { return n.config.Current().Version() }
--- a/node/visit.go
+++ b/node/visit.go
@@ -16,10 +16,10 @@
 	"pollengauge.dev/retry"
 )
 
-// visit is one run of a call at the local upstream. The upstream names it on
-// every call that it makes for it, and the visit keeps the account that the
-// outcome rests on: which calls below ran, what credit is left, and the worst
-// admission level seen below.
+// visit is one execution of a call at the local upstream. The upstream sends the
+// visit's id with every call that it makes on behalf of it. The visit records what
+// the outcome depends on: which downstream calls ran, the retry credit left, and the
+// highest admission level reported from downstream.
 type visit struct {
 	id       string
 	ctx      context.Context
@@ -27,7 +27,7 @@
 	deadline time.Time
 	started  time.Time
 	credit   *retry.Credit
-	// life is the incarnation of the upstream that runs it.
+	// life is the incarnation of the upstream that runs the call.
 	life    *upstreamLife
 	request *request
 	// broken is set once the connection to the upstream is found broken.
@@ -35,31 +35,32 @@
 	ticket   admission.Ticket
 	children *atmostonce.Visit
 	orphans  uint64
-	// left is the credit that goes back with the answer, settled once.
+	// left is the retry credit that is returned with the answer. It is computed once.
 	left     int
 	leftOnce sync.Once
 
 	mu     sync.Mutex
 	closed bool
 	open   int
-	// done counts the calls below that ran or may have.
+	// done counts the downstream calls that ran or may have run.
 	done int
-	// completed counts, by profile, the calls below that ended well.
+	// completed counts the downstream calls that succeeded, by profile.
 	completed map[string]int
-	// below is how long calls below were open, and openSince when the first of
-	// those that are open now began.
+	// below is the total time during which downstream calls were open, and openSince
+	// the start of the first of those that are open now.
 	below     time.Duration
 	openSince time.Time
 	worst     call.Level
-	// workBelow is the work that calls below reported, in milliseconds.
+	// workBelow is the sum of the work that downstream calls reported, in
+	// milliseconds.
 	workBelow int
-	// failedBelow is set once a call below failed.
+	// failedBelow is set once a downstream call has failed.
 	failedBelow bool
 }
 
-// begin opens a call below. It fails once the visit is closed: a call that an
-// upstream makes after its answer was judged could no longer be counted in
-// that judgement, and a not-run already told would become a lie.
+// begin opens a downstream call. It returns false once the visit is closed: a call
+// that the upstream makes after its response was judged can no longer be counted, and
+// would make a not-run that was already reported wrong.
 func (v *visit) begin(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -73,7 +74,7 @@
 	return true
 }
 
-// end accounts a call below that has its outcome.
+// end records the report of a downstream call that has its outcome.
 func (v *visit) end(r call.Report, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -88,8 +89,8 @@
 	}
 }
 
-// noteAnswer takes in the answer of a call below, before it is given to the upstream:
-// the upstream's own answer may come at once.
+// noteAnswer records the answer to a downstream call. It runs before the answer is
+// given to the upstream, whose own response may follow at once.
 func (v *visit) noteAnswer(profile string, r call.Report) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -103,8 +104,9 @@
 	v.completed[profile]++
 }
 
-// errorReason tells an error of the upstream's own from one that a call below
-// caused. Only the first may be gone at another upstream.
+// errorReason distinguishes an error of the upstream itself from an error that a
+// downstream call caused. Only the upstream's own error may disappear at another
+// upstream.
 func (v *visit) errorReason(status int) call.Reason {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -117,22 +119,22 @@
 	return call.ReasonFailedBelow
 }
 
-// completedCalls returns the calls below that ended well, by profile.
+// completedCalls returns how many downstream calls succeeded, by profile.
 func (v *visit) completedCalls() map[string]int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return maps.Clone(v.completed)
 }
 
-// completedOf is how many calls below of one profile ended well.
+// completedOf returns how many downstream calls of one profile succeeded.
 func (v *visit) completedOf(profile string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.completed[profile]
 }
 
-// close ends the visit and reports whether nothing ran below it. A call still
-// open counts as run: its outcome would come too late to be told.
+// close ends the visit and reports whether no downstream call ran. A call that is
+// still open counts as run, because its outcome would come too late to be reported.
 func (v *visit) close() (nothingRan bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -140,8 +142,8 @@
 	return v.done == 0 && v.open == 0
 }
 
-// worked is how long the upstream itself worked until now: the time in which
-// calls below were open is that of others.
+// worked returns how long the upstream itself has worked until now. The time during
+// which downstream calls were open is not counted.
 func (v *visit) worked(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -152,16 +154,18 @@
 	return now.Sub(v.started) - below
 }
 
-// creditLeft closes the credit and returns what goes back with the answer. It
-// always gives the same number: the answer and the record must agree.
+// creditLeft closes the retry credit and returns the amount that is returned with the
+// answer. It always returns the same number, so that the answer and the hop record
+// agree.
 func (v *visit) creditLeft() int {
 	v.leftOnce.Do(func() { v.left = v.credit.Left() })
 	return v.left
 }
 
-// progress is what a call made now is told of the work done for its request:
-// what was done before this visit, and its own calls that ran. Callers' own
-// figures never get here, so it can't be claimed from outside.
+// progress returns the number of calls already run for the request, for the context
+// of a downstream call made now: those before this visit, and the visit's own calls
+// that ran. Figures sent by outside callers are never used, so progress can't be
+// forged.
 func (v *visit) progress() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -182,21 +186,21 @@
 
 const visitShards = 32
 
-// visits finds the open visits by id.
+// visits is the registry of open visits by id.
 type visits struct {
 	prefix string
 	next   atomic.Uint64
 	seed   maphash.Seed
 	shards [visitShards]visitShard
-	// orphans counts calls out that named no visit. A visit that was open
-	// while one was made can't prove that nothing ran below it.
+	// orphans counts outbound calls that named no visit. A visit that was open when
+	// such a call was made can't prove that no downstream call ran.
 	orphans atomic.Uint64
 }
 
 type visitShard struct {
 	mu   sync.Mutex
 	byID map[string]*visit
-	_    [40]byte // keeps neighbouring locks off one cache line
+	_    [40]byte // avoids false sharing of neighbouring locks
 }
 
 func newVisits(prefix string) *visits {
@@ -211,7 +215,7 @@
 	return &vs.shards[maphash.String(vs.seed, id)%visitShards]
 }
 
-// add registers v under a fresh id.
+// add registers v under a new id.
 func (vs *visits) add(v *visit) {
 	v.id = vs.prefix + strconv.FormatUint(vs.next.Add(1), 36)
 	v.orphans = vs.orphans.Load()
@@ -221,8 +225,8 @@
 	s.mu.Unlock()
 }
 
-// addAs registers v under the id of its request. Should the request run twice
-// here, the later run is found.
+// addAs registers v under the id of its request. If the request runs twice here, find
+// returns the later run.
 func (vs *visits) addAs(v *visit, id string) {
 	v.id = id
 	v.orphans = vs.orphans.Load()
@@ -241,7 +245,8 @@
 }
 
 // under returns the open visits at one incarnation of the upstream whose connections
-// broke, and how many of those that began before a time have whole ones.
+// broke, and counts those with an unbroken connection that began before the given
+// time.
 func (vs *visits) under(life *upstreamLife, before time.Time) (broken []*visit, whole int) {
 	for i := range vs.shards {
 		s := &vs.shards[i]
@@ -269,8 +274,8 @@
 	s.mu.Unlock()
 }
 
-// closeProved closes v and reports whether it is proved that no call below
-// ran, counting calls that named no visit against the proof.
+// closeProved closes v and reports whether it is proved that no downstream call ran.
+// Calls that named no visit invalidate the proof.
 func (vs *visits) closeProved(v *visit) bool {
 	nothingRan := v.close()
 	return nothingRan && vs.orphans.Load() == v.orphans
--- a/node/worktime_test.go
+++ b/node/worktime_test.go
@@ -8,9 +8,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The upstream works 50 ms on a call and waits 400 ms for one of its own. Were
-// the wait counted, an overload below would make every upstream above look slow,
-// and calls would cross zones for nothing. The members hear of the work alone.
+// The upstream works 50 ms on a call and waits 400 ms for a downstream call. If the
+// wait counted as work, a downstream overload would make every calling upstream look
+// slow, and calls would cross zones needlessly. Members must learn the work time
+// alone.
 func TestWaitsForCallsBelowAreNotWork(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.add("b", "registry", 10, func(w http.ResponseWriter, _ *http.Request, _ func(string, string, string) (*http.Response, error)) {
