--- a/node/adjust_test.go
+++ b/node/adjust_test.go
@@ -11,7 +11,7 @@
 // were read only at the start, the old values would hold until a restart: a node
 // would cut work off too early, or go on retrying beyond the new ratio. A value out
 // of range must change nothing.
-func TestAdjustedSettingsHoldAtOnce(t *testing.T) {
+func TestAdjustAppliesSettingsAtOnce(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, echo, func(s *Settings) { s.RetryRatio = 0.2 })
 		f.settle()
--- a/node/bounds_test.go
+++ b/node/bounds_test.go
@@ -32,7 +32,7 @@
 // id, a long host. The node used to accept it and add the context for other nodes,
 // and the next node refused it, or the node itself refused it for a limit that no
 // operator had set. The caller was told permanently that its request is invalid.
-func TestHeadsWithinTheOperatorsBoundPassEveryHop(t *testing.T) {
+func TestHeadsWithinTheConfiguredLimitPassEveryHop(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		widest := func(s *Settings) { s.MaxHeaderBytes = config.MaxHeaderBytes }
 		front := f.addRouted("front", strings.Repeat("f", maxName), 10, echo, widest)
@@ -61,7 +61,7 @@
 
 // The header space that each node reserves for the headers added by other nodes must
 // hold the longest possible context.
-func TestRoomForContextsHoldsTheLongest(t *testing.T) {
+func TestReservedHeaderSpaceFitsTheLongestContext(t *testing.T) {
 	c := qt.New(t)
 	h := http.Header{}
 	call.Context{
--- a/node/brownout.go
+++ b/node/brownout.go
@@ -14,48 +14,48 @@
 	"pollengauge.dev/observe"
 )
 
-// negotiated lists the headers that select the representation of a response.
-var negotiated = []string{"Accept", "Accept-Encoding", "Accept-Language", "Range"}
+// negotiationHeaders lists the headers that select the representation of a response.
+var negotiationHeaders = []string{"Accept", "Accept-Encoding", "Accept-Language", "Range"}
 
 // customPrefix is the prefix of headers that services define for themselves.
 const customPrefix = "X-"
 
-// neutralCustom lists common X- headers that identify neither a caller nor a
+// ignoredCustom lists common X- headers that identify neither a caller nor a
 // representation of the response.
-var neutralCustom = map[string]bool{
+var ignoredCustom = map[string]bool{
 	headerRequestID: true, "X-Forwarded-For": true, "X-Forwarded-Proto": true,
 	"X-Forwarded-Host": true, "X-Real-Ip": true, "X-Requested-With": true,
 }
 
-// storedKey returns the key of the stored response to this request of this caller.
+// brownoutKey returns the key of the stored response to this request of this caller.
 //
 // A service may tell callers apart by a header that no profile names; with a key that
 // lacks it one caller would get another caller's data. The key therefore contains the
 // profile's vary headers (always including credentials and cookies), its caller
 // header, the caller's address if there are no credentials, and every header that a
 // service may have defined for itself.
-func (n *Node) storedKey(req *request) admission.BrownoutKey {
+func (n *Node) brownoutKey(req *request) admission.BrownoutKey {
 	if n.settings.Ablate.SharedAnswers {
 		return admission.BrownoutKey{Method: req.method, URL: req.service + req.url.RequestURI()}
 	}
 	key := make(http.Header)
-	keep := func(name string) {
+	include := func(name string) {
 		if values := req.header.Values(name); len(values) > 0 {
 			key[http.CanonicalHeaderKey(name)] = values
 		}
 	}
 	for _, name := range req.profile.Brownout.Vary {
-		keep(name)
+		include(name)
 	}
-	for _, name := range negotiated {
-		keep(name)
+	for _, name := range negotiationHeaders {
+		include(name)
 	}
 	if name := req.profile.CallerHeader; name != "" {
-		keep(name)
+		include(name)
 	}
 	for name := range req.header {
-		if strings.HasPrefix(name, customPrefix) && !neutralCustom[name] {
-			keep(name)
+		if strings.HasPrefix(name, customPrefix) && !ignoredCustom[name] {
+			include(name)
 		}
 	}
 	return admission.BrownoutKey{
@@ -73,7 +73,7 @@
 		for name := range strings.SplitSeq(field, ",") {
 			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
 			_, inKey := key.Header[name]
-			if name == "" || inKey || slices.Contains(negotiated, name) {
+			if name == "" || inKey || slices.Contains(negotiationHeaders, name) {
 				continue
 			}
 			return false
@@ -90,7 +90,7 @@
 	if maxAge == 0 {
 		return nil
 	}
-	stored, age, ok := n.stored.Get(n.storedKey(req), n.now())
+	stored, age, ok := n.stored.Get(n.brownoutKey(req), n.now())
 	if !ok || age > maxAge {
 		return nil
 	}
@@ -110,14 +110,14 @@
 	if req.profile.Brownout.MaxAge == 0 || !fresh {
 		return a.body
 	}
-	return &rememberBody{readCloser: a.body, node: n, req: req, answer: a}
+	return &storingBody{readCloser: a.body, node: n, req: req, answer: a}
 }
 
-// maxRemembered is the maximum size of a stored response body, in bytes.
-const maxRemembered = 256 << 10
+// maxStoredBody is the maximum size of a stored response body, in bytes.
+const maxStoredBody = 256 << 10
 
-// rememberBody stores the response once it has been read completely.
-type rememberBody struct {
+// storingBody stores the response once it has been read completely.
+type storingBody struct {
 	readCloser
 	node     *Node
 	req      *request
@@ -127,21 +127,21 @@
 }
 
 // Read implements io.Reader.
-func (b *rememberBody) Read(p []byte) (int, error) {
+func (b *storingBody) Read(p []byte) (int, error) {
 	count, err := b.readCloser.Read(p)
-	b.overflow = b.overflow || b.copy.Len()+count > maxRemembered
+	b.overflow = b.overflow || b.copy.Len()+count > maxStoredBody
 	if !b.overflow {
 		b.copy.Write(p[:count])
 	}
 	if err == io.EOF && !b.overflow && len(b.answer.trailers()) == 0 {
-		b.node.keepStored(b.req, b.answer, b.copy.Bytes())
+		b.node.storeAnswer(b.req, b.answer, b.copy.Bytes())
 	}
 	return count, err
 }
 
-// keepStored stores a complete response for a later brownout.
-func (n *Node) keepStored(req *request, a *answer, body []byte) {
-	key := n.storedKey(req)
+// storeAnswer stores a complete response for a later brownout.
+func (n *Node) storeAnswer(req *request, a *answer, body []byte) {
+	key := n.brownoutKey(req)
 	if !storable(key, a.header) {
 		return
 	}
--- a/node/brownout_test.go
+++ b/node/brownout_test.go
@@ -21,7 +21,7 @@
 // get the last response given to it, marked with its age, whatever browser it uses.
 // No tenant may get another's response, and once the response is older than the
 // profile allows, the request is refused.
-func TestStatusDoesNotGoBlank(t *testing.T) {
+func TestBrownoutServesTheCallersOwnStoredAnswer(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(statusProfiles)
 		sheds := false
--- a/node/callerlimits.go
+++ b/node/callerlimits.go
@@ -9,10 +9,10 @@
 	"pollengauge.dev/config"
 )
 
-// spokenIdleTimeout is how long an idle connection of a caller is kept open where a
+// dialectIdleTimeout is how long an idle connection of a caller is kept open where a
 // dialect is used and the configuration gives no time. Such callers open connections
 // by the hundred, and abandoned ones hold file descriptors.
-const spokenIdleTimeout = 15 * time.Second
+const dialectIdleTimeout = 15 * time.Second
 
 // forCallers reports whether callers from outside use l.
 func (n *Node) forCallers(l Listener) bool {
@@ -49,7 +49,7 @@
 	case limit > 0:
 		return limit
 	case n.spoken():
-		return spokenIdleTimeout
+		return dialectIdleTimeout
 	}
 	return keepAliveTimeout
 }
@@ -63,8 +63,8 @@
 	return keepAliveTimeout
 }
 
-// longAgo is a deadline in the past, which ends a read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline in the past, which ends a read at once.
+var pastDeadline = time.Unix(1, 0)
 
 // watchIdle closes a caller's connection that has been idle for the time given by the
 // configuration. net/http can't, because its idle timeout is fixed when the server is
@@ -79,7 +79,7 @@
 		return
 	}
 	if state == http.StateIdle {
-		c.idle.start(n.idleTimeout(), func() { _ = conn.SetReadDeadline(longAgo) })
+		c.idle.start(n.idleTimeout(), func() { _ = conn.SetReadDeadline(pastDeadline) })
 		return
 	}
 	c.idle.stop()
@@ -89,20 +89,20 @@
 type idleTimer struct {
 	mu    sync.Mutex
 	timer *time.Timer
-	// turn counts starts and stops. A timer that has fired but lost the race for mu
-	// to the next request must not touch that request's connection.
-	turn uint64
+	// generation counts starts and stops. A timer that has fired but lost the race
+	// for mu to the next request must not touch that request's connection.
+	generation uint64
 }
 
 func (t *idleTimer) start(after time.Duration, expire func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn++
-	turn := t.turn
+	t.generation++
+	generation := t.generation
 	t.timer = time.AfterFunc(after, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		if t.turn == turn {
+		if t.generation == generation {
 			expire()
 		}
 	})
@@ -111,7 +111,7 @@
 func (t *idleTimer) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn++
+	t.generation++
 	if t.timer != nil {
 		t.timer.Stop()
 		t.timer = nil
--- a/node/callers_test.go
+++ b/node/callers_test.go
@@ -18,7 +18,7 @@
 // clients do. The first may use the chain's retry credit of two. Its repeats are
 // recognized by their idempotency key or request id and get no credit, or each of
 // them would multiply downstream. Repeats that carry neither can't be recognized.
-func TestCallersOwnRetriesBringNoCredit(t *testing.T) {
+func TestCallerRetriesGetNoCredit(t *testing.T) {
 	const asked, credit = 6, 2
 	cases := []struct {
 		name, method string
@@ -56,7 +56,7 @@
 // A thousand callers arrive within a second at a service that takes a few, and each
 // retries when it was told to. If the hints were equal, the callers would return as
 // one burst and be refused together again.
-func TestRefusedCrowdComesBackSpread(t *testing.T) {
+func TestRetryHintsSpreadRefusedCallers(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.apply(filingProfiles)
 		n := f.add("a", "portal", 2, func(http.ResponseWriter, *http.Request, func(string, string, string) (*http.Response, error)) {
--- a/node/guard.go
+++ b/node/guard.go
@@ -73,7 +73,7 @@
 func (n *Node) guard(listener Listener, next http.Handler) http.Handler {
 	limit := n.headLimitOf(listener)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		defer n.recovered(listener, w, r)
+		defer n.recoverPanic(listener, w, r)
 		if conn := connOf(r); conn != nil {
 			conn.Serve(r)
 			defer conn.Done()
@@ -95,10 +95,10 @@
 	})
 }
 
-// recovered recovers a panic and closes the connection, so that the receiver doesn't
-// take a partial response for a complete one. It logs every panic other than
+// recoverPanic recovers a panic and closes the connection, so that the receiver
+// doesn't take a partial response for a complete one. It logs every panic other than
 // http.ErrAbortHandler, which closes a connection on purpose.
-func (n *Node) recovered(listener Listener, w http.ResponseWriter, r *http.Request) {
+func (n *Node) recoverPanic(listener Listener, w http.ResponseWriter, r *http.Request) {
 	fault := recover()
 	if fault == nil {
 		return
@@ -160,16 +160,16 @@
 	_ = http.NewResponseController(w).SetWriteDeadline(deadline)
 }
 
-const ownPrefix = "pollengauge"
+const nodeHeaderPrefix = "pollengauge"
 
 // isOwn reports whether a header name is reserved for nodes. Upstreams that read
 // headers through CGI-like variables can't tell _ from -, so names with either
 // separator are reserved.
 func isOwn(name string) bool {
-	if len(name) <= len(ownPrefix) || !strings.EqualFold(name[:len(ownPrefix)], ownPrefix) {
+	if len(name) <= len(nodeHeaderPrefix) || !strings.EqualFold(name[:len(nodeHeaderPrefix)], nodeHeaderPrefix) {
 		return false
 	}
-	separator := name[len(ownPrefix)]
+	separator := name[len(nodeHeaderPrefix)]
 	return separator == '-' || separator == '_'
 }
 
--- a/node/lag.go
+++ b/node/lag.go
@@ -11,18 +11,18 @@
 // lagTick is how often the lag is measured. Each tick costs a wake-up of the process.
 const lagTick = 50 * time.Millisecond
 
-// lagSlots is the number of ticks for which a measured lag counts.
-const lagSlots = 6
+// lagTicks is the number of ticks for which a measured lag counts.
+const lagTicks = 6
 
 // lagMeter measures the scheduling delay of the node: how long after its due time a
-// timer's goroutine runs. The reported lag is the highest of the last lagSlots ticks.
+// timer's goroutine runs. The reported lag is the highest of the last lagTicks ticks.
 type lagMeter struct{ nanos atomic.Int64 }
 
 func (m *lagMeter) lag() time.Duration { return time.Duration(m.nanos.Load()) }
 
 // run measures the lag until ctx ends.
 func (m *lagMeter) run(ctx context.Context) {
-	var recent [lagSlots]time.Duration
+	var recent [lagTicks]time.Duration
 	timer := time.NewTimer(lagTick)
 	defer timer.Stop()
 	for i := 0; ; i++ {
@@ -33,12 +33,12 @@
 			return
 		case <-timer.C:
 		}
-		recent[i%lagSlots] = time.Since(due)
-		most := time.Duration(0)
+		recent[i%lagTicks] = time.Since(due)
+		highest := time.Duration(0)
 		for _, lag := range recent {
-			most = max(most, lag)
+			highest = max(highest, lag)
 		}
-		m.nanos.Store(int64(most))
+		m.nanos.Store(int64(highest))
 	}
 }
 
--- a/node/local.go
+++ b/node/local.go
@@ -149,7 +149,7 @@
 	if claim == call.Complete {
 		return l.complete(resp, header)
 	}
-	return l.gaveUp(resp, header, claim, reason, hop)
+	return l.upstreamRejected(resp, header, claim, reason, hop)
 }
 
 // claimOf returns the outcome that the upstream reports for its own call, complete if
@@ -176,12 +176,12 @@
 // fillReport adds the admission level, retry credit and load that every answer
 // reports to the calling hop.
 func (n *Node) fillReport(r *call.Report, v *visit) {
-	r.Worst = max(n.gate.AdmitLevel(), v.worstBelow())
+	r.Worst = max(n.gate.AdmitLevel(), v.worstDownstream())
 	r.CreditLeft = v.creditLeft()
 	r.Load = n.gate.Load()
 	if n.spoken() {
 		r.Pressure = n.pressureOf(v.call.Profile)
-		r.Work = n.workOf(v)
+		r.Work = n.slotTimeOf(v)
 	}
 }
 
--- a/node/local_dialect.go
+++ b/node/local_dialect.go
@@ -12,37 +12,37 @@
 // is trusted, because the dialect allows it only before the upstream has done any
 // work.
 func (l *localCall) answeredInDialect(up *upstream, resp *http.Response) *answer {
-	told := l.node.settings.Dialect.ReadUpstream(resp, l.node.upstreamTold(up, l.request))
+	reported := l.node.settings.Dialect.ReadUpstream(resp, l.node.upstreamTold(up, l.request))
 	stripHop(resp.Header)
 	l.node.strip(resp.Header)
-	switch told.Outcome {
+	switch reported.Outcome {
 	case call.Complete:
-		return l.completeHeld(resp)
+		return l.completeBuffered(resp)
 	case call.NotRun:
-		if told.Reason == call.ReasonOtherInstance {
-			l.node.noteInstance(up, told.Instance)
+		if reported.Reason == call.ReasonOtherInstance {
+			l.node.adoptInstance(up, reported.Instance)
 		}
-		return l.gaveUp(resp, resp.Header, call.NotRun, l.refusedReason(told.Reason), "")
+		return l.upstreamRejected(resp, resp.Header, call.NotRun, l.refusedReason(reported.Reason), "")
 	}
 	// The connection is not reused: the next response on it may belong to any
 	// request.
 	_ = resp.Body.Close()
-	return l.notBelieved(told.Reason)
+	return l.failMismatched(reported.Reason)
 }
 
 // refusedReason distinguishes a rejection under load from any other rejection by the
 // upstream. The latter may be retried at other upstreams, however many of them reject
 // the request.
-func (l *localCall) refusedReason(told call.Reason) call.Reason {
-	if told == call.ReasonUpstreamShed && l.node.gate.HasRoom() {
+func (l *localCall) refusedReason(reported call.Reason) call.Reason {
+	if reported == call.ReasonUpstreamShed && l.node.gate.HasRoom() {
 		return call.ReasonUpstreamRefused
 	}
-	return told
+	return reported
 }
 
-// completeHeld passes on the upstream's response after it has been received
+// completeBuffered passes on the upstream's response after it has been received
 // completely.
-func (l *localCall) completeHeld(resp *http.Response) *answer {
+func (l *localCall) completeBuffered(resp *http.Response) *answer {
 	if l.request.method == http.MethodHead {
 		// The Content-Length of a response to HEAD announces a body that is not sent.
 		return l.complete(resp, resp.Header)
@@ -50,7 +50,7 @@
 	body, whole, err := heldBody(resp)
 	if err != nil {
 		_ = resp.Body.Close()
-		return l.notBelieved(call.ReasonTruncated)
+		return l.failMismatched(call.ReasonTruncated)
 	}
 	if !whole {
 		return l.complete(resp, resp.Header)
@@ -64,8 +64,8 @@
 	return a
 }
 
-// notBelieved finishes a call whose response can't be the one to its request.
-func (l *localCall) notBelieved(reason call.Reason) *answer {
+// failMismatched finishes a call whose response can't be the one to its request.
+func (l *localCall) failMismatched(reason call.Reason) *answer {
 	if l.visit.ctx.Err() != nil {
 		reason = lossReason(l.visit.ctx, l.visit.ctx.Err())
 	}
--- a/node/local_finish.go
+++ b/node/local_finish.go
@@ -15,7 +15,7 @@
 		return
 	}
 	l.finished = true
-	l.noteWork(outcome, reason, status)
+	l.recordWorkTime(outcome, reason, status)
 	l.visit.close()
 	l.node.visits.remove(l.visit)
 	if outcome == call.Complete && status < http.StatusInternalServerError {
@@ -58,10 +58,10 @@
 	l.node.record(hop)
 }
 
-// noteWork records how long the upstream worked on the call. A fast failure says
-// nothing about its speed, so it is ignored. A call that ran into its deadline took
-// at least that long.
-func (l *localCall) noteWork(outcome call.Outcome, reason call.Reason, status int) {
+// recordWorkTime records how long the upstream worked on the call. A fast failure
+// says nothing about its speed, so it is ignored. A call that ran into its deadline
+// took at least that long.
+func (l *localCall) recordWorkTime(outcome call.Outcome, reason call.Reason, status int) {
 	answered := outcome == call.Complete && status < http.StatusInternalServerError
 	late := outcome == call.Unknown && reason == call.ReasonTimeout
 	if answered || late {
--- a/node/local_giveup.go
+++ b/node/local_giveup.go
@@ -8,19 +8,20 @@
 	"pollengauge.dev/observe"
 )
 
-// maxGaveUpBody is the maximum size, in bytes, of a response body that is passed on
-// with a shed or abandoned call.
-const maxGaveUpBody = 16 << 10
+// maxRejectionBody is the maximum size, in bytes, of a response body that is passed
+// on with a shed or abandoned call.
+const maxRejectionBody = 16 << 10
 
-// gaveUp handles a response in which the upstream reports that it did not complete
-// its own call, because it shed the call or because a downstream call was refused.
+// upstreamRejected handles a response in which the upstream reports that it did not
+// complete its own call, because it shed the call or because a downstream call was
+// refused.
 //
 // The upstream's report alone does not prove not-run. An upstream may shed after it
 // has already made downstream calls; if the calling hop were told not-run, it would
 // run the call again elsewhere and the downstream work would be done twice. The
 // outcome is not-run only if the visit shows that no downstream call ran, else
 // unknown.
-func (l *localCall) gaveUp(resp *http.Response, header http.Header, claim call.Outcome, reason call.Reason, hop string) *answer {
+func (l *localCall) upstreamRejected(resp *http.Response, header http.Header, claim call.Outcome, reason call.Reason, hop string) *answer {
 	nothingRan := l.node.visits.closeProved(l.visit) || l.node.settings.Ablate.NoVisitProof
 	outcome := call.Unknown
 	if claim == call.NotRun && nothingRan {
@@ -29,7 +30,7 @@
 	if reason == call.ReasonNone {
 		reason = call.ReasonUpstreamShed
 	}
-	body, err := readBounded(resp.Body, maxGaveUpBody)
+	body, err := readBounded(resp.Body, maxRejectionBody)
 	if err != nil {
 		body = nil
 	}
--- a/node/offered.go
+++ b/node/offered.go
@@ -14,9 +14,9 @@
 // offered counts root requests and rejections by priority. The counts are approximate
 // at the change of a window, which is precise enough for a hint.
 type offered struct {
-	began   atomic.Int64
-	now     offeredCounts
-	earlier offeredCounts
+	began    atomic.Int64
+	current  offeredCounts
+	previous offeredCounts
 }
 
 type offeredCounts [call.MaxPriority + 1]struct{ total, refused atomic.Int64 }
@@ -26,9 +26,9 @@
 // note counts one request.
 func (o *offered) note(p call.Priority, refused bool, now time.Time) {
 	o.roll(now)
-	o.now[p].total.Add(1)
+	o.current[p].total.Add(1)
 	if refused {
-		o.now[p].refused.Add(1)
+		o.current[p].refused.Add(1)
 	}
 }
 
@@ -43,9 +43,9 @@
 func (o *offered) recent(p call.Priority, now time.Time) offeredReading {
 	o.roll(now)
 	var r offeredReading
-	for i := int(p); i < len(o.now); i++ {
-		r.total += o.now[i].total.Load() + o.earlier[i].total.Load()
-		r.refused += o.now[i].refused.Load() + o.earlier[i].refused.Load()
+	for i := int(p); i < len(o.current); i++ {
+		r.total += o.current[i].total.Load() + o.previous[i].total.Load()
+		r.refused += o.current[i].refused.Load() + o.previous[i].refused.Load()
 	}
 	return r
 }
@@ -56,12 +56,12 @@
 	if age < int64(offeredWindow) || !o.began.CompareAndSwap(began, now.UnixNano()) {
 		return
 	}
-	for i := range o.now {
-		total, refused := o.now[i].total.Swap(0), o.now[i].refused.Swap(0)
+	for i := range o.current {
+		total, refused := o.current[i].total.Swap(0), o.current[i].refused.Swap(0)
 		if age >= 2*int64(offeredWindow) {
 			total, refused = 0, 0
 		}
-		o.earlier[i].total.Store(total)
-		o.earlier[i].refused.Store(refused)
+		o.previous[i].total.Store(total)
+		o.previous[i].refused.Store(refused)
 	}
 }
--- a/node/offered_test.go
+++ b/node/offered_test.go
@@ -13,7 +13,7 @@
 // them are refused every other time. The hint for filings must follow their own
 // rejection rate. With the rate of all requests they were told to stay away for
 // twenty seconds, and were not there when capacity was free for them.
-func TestHintFollowsOnesOwnImportance(t *testing.T) {
+func TestRetryHintFollowsOwnPriority(t *testing.T) {
 	c := qt.New(t)
 	const reads, filings = 3, 15
 	var o offered
--- a/node/pipelining/conn_test.go
+++ b/node/pipelining/conn_test.go
@@ -68,7 +68,7 @@
 // A limit is lowered while a search that was started early runs. Its handler refuses
 // it and never takes the answer. If the answer were not dropped, the run would count
 // as in flight for as long as the node runs.
-func TestAnswerThatNobodyTakesIsDropped(t *testing.T) {
+func TestUntakenAnswerIsDropped(t *testing.T) {
 	inTurns(t, 3, func(c *qt.C, turns *turns) {
 		turns.conn.Done()
 		turns.conn.Serve(turns.next(c))
@@ -86,7 +86,7 @@
 // answer that is ready, a caller would get the response to another request. All
 // requests that were started early must be dropped, and no more may be started early
 // on the connection.
-func TestNothingIsBegunOnceTheReadingsDiffer(t *testing.T) {
+func TestNoEarlyStartAfterParseMismatch(t *testing.T) {
 	inTurns(t, 3, func(c *qt.C, turns *turns) {
 		turns.conn.Done()
 		other := turns.next(c)
@@ -106,7 +106,7 @@
 // behind it have been started: their caller would take them for unread and send them
 // again, and their work would be lost. Only the last response may close the
 // connection.
-func TestConnectionClosesOnlyBehindWhatWasBegun(t *testing.T) {
+func TestConnectionClosesOnlyAfterEarlyRequests(t *testing.T) {
 	inTurns(t, 2, func(c *qt.C, turns *turns) {
 		c.Check(turns.conn.Last(), qt.IsFalse)
 		turns.conn.Done()
@@ -131,7 +131,7 @@
 
 // A caller disconnects while its pipelined searches run. Nobody waits for them any
 // more, so all must stop.
-func TestCallerThatLeavesStopsWhatWasBegun(t *testing.T) {
+func TestCallerDisconnectStopsEarlyRequests(t *testing.T) {
 	inTurns(t, 3, func(c *qt.C, turns *turns) {
 		c.Assert(turns.left.Err(), qt.IsNil)
 		c.Assert(turns.caller.Close(), qt.IsNil)
--- a/node/pipelining/fuzz_test.go
+++ b/node/pipelining/fuzz_test.go
@@ -201,7 +201,7 @@
 // Callers pipeline requests of all forms, split into packets anywhere. If the bytes
 // were parsed differently than by net/http, part of a body would run as a request
 // that nobody sent, or a caller would get the response to another request.
-func TestReadingAheadReadsAsNetHTTP(t *testing.T) {
+func TestReadAheadMatchesNetHTTP(t *testing.T) {
 	for _, stream := range streams {
 		for _, size := range []int{1, 2, 3, 7, 19, 64, 255} {
 			checkSameReading(t, []byte(stream), bytes.Repeat([]byte{byte(size - 1)}, len(stream)/size))
--- a/node/pressed.go
+++ b/node/pressed.go
@@ -46,24 +46,24 @@
 	if !n.spoken() || a.target == "" {
 		return
 	}
-	told := float64(a.report.Pressure) / pressureUnit
+	reported := float64(a.report.Pressure) / pressureUnit
 	if req.call.Depth > 0 {
-		n.below.Heard(req.call.Profile, told, n.now())
+		n.below.Heard(req.call.Profile, reported, n.now())
 		return
 	}
-	n.shedder.Heard(req.call.Profile, told, n.now())
+	n.shedder.Heard(req.call.Profile, reported, n.now())
 	if a.report.Outcome == call.Complete && a.status < http.StatusInternalServerError {
 		n.shedder.HeardWork(req.call.Profile, a.report.Work)
 	}
 }
 
-// workOf returns how long, in milliseconds, a visit occupied slots of the upstream
-// that its pressure comes from: the visit's own time if that is the upstream here,
-// else the work that its downstream calls reported. It returns 0 if there is no
+// slotTimeOf returns how long, in milliseconds, a visit occupied slots of the
+// upstream that its pressure comes from: the visit's own time if that is the upstream
+// here, else the work that its downstream calls reported. It returns 0 if there is no
 // pressure.
-func (n *Node) workOf(v *visit) int {
-	if below := v.workedBelow(); below > 0 && n.gate.Pressure() < n.pressureOf(v.call.Profile) {
-		return below
+func (n *Node) slotTimeOf(v *visit) int {
+	if downstream := v.downstreamWork(); downstream > 0 && n.gate.Pressure() < n.pressureOf(v.call.Profile) {
+		return downstream
 	}
 	if n.gate.Pressure() == 0 {
 		return 0
@@ -82,10 +82,10 @@
 // 185 thousandths reported 397 to the roots, which then refused twice as many
 // requests as necessary.
 func (n *Node) pressureOf(profile string) int {
-	most := n.gate.Pressure()
+	highest := n.gate.Pressure()
 	now := n.now()
 	for _, called := range n.graph.Linked(profile) {
-		most = max(most, int(n.below.Pressure(called, now)*pressureUnit))
+		highest = max(highest, int(n.below.Pressure(called, now)*pressureUnit))
 	}
-	return most
+	return highest
 }
--- a/node/pressed_test.go
+++ b/node/pressed_test.go
@@ -15,7 +15,7 @@
 // seemed to meet the overloaded upstream, and roots refused six in ten although one
 // in eight was too many. The reported pressure must be what the calls meet on
 // average.
-func TestOneHotUpstreamOfManyDoesNotSpeakForAll(t *testing.T) {
+func TestPressureIsAveragedOverUpstreams(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, echo)
 		f.settle()
--- a/node/step_record.go
+++ b/node/step_record.go
@@ -12,8 +12,8 @@
 	took := n.recordStep(req, a, observe.Root, start)
 	// A quarantined request is not refused because of the load, so it doesn't count
 	// for retry hints.
-	crowded := a.report.Outcome == call.NotRun && a.report.Reason != call.ReasonHeld
-	n.offered.note(req.call.Level.Priority(), crowded, n.now())
+	overloaded := a.report.Outcome == call.NotRun && a.report.Reason != call.ReasonHeld
+	n.offered.note(req.call.Level.Priority(), overloaded, n.now())
 	profile := n.metrics.Profile(req.call.Profile)
 	profile.Call(a.report.Outcome, a.report.Reason)
 	profile.Total.Observe(took)
--- a/node/tls.go
+++ b/node/tls.go
@@ -45,13 +45,13 @@
 	var unusable *secure.MaterialError
 	if errors.As(err, &unusable) {
 		value := map[string]string{"cert": t.Cert, "key": t.Key, "ca": t.CA}[unusable.Part]
-		c.add("tls-"+unusable.Part, shownPEM(value), unusable.Error())
+		c.add("tls-"+unusable.Part, redactPEM(value), unusable.Error())
 	}
 }
 
-// shownPEM returns value for an error message: a path as it is, and a placeholder for
-// PEM text, which may be a private key.
-func shownPEM(value string) string {
+// redactPEM returns value for an error message: a path as it is, and a placeholder
+// for PEM text, which may be a private key.
+func redactPEM(value string) string {
 	if strings.ContainsAny(value, "\r\n") || strings.Contains(value, "-----") {
 		return "(PEM text)"
 	}
@@ -62,9 +62,10 @@
 	// noConnLimit disables the transport's own connection limit. peerRoom limits the
 	// connections instead: it refuses a call where the transport would wait.
 	noConnLimit = 0
-	// idlePeerPart divides the maximum number of concurrent calls to other nodes into
-	// the number of idle connections kept: calls reuse connections one after another.
-	idlePeerPart = 4
+	// idlePeerDivisor divides the maximum number of concurrent calls to other nodes
+	// into the number of idle connections kept: calls reuse connections one after
+	// another.
+	idlePeerDivisor = 4
 )
 
 // buildNetworks sets up the networks: one for callers, upstream and operator, and one
@@ -76,7 +77,7 @@
 	n.peerRoom = newPeerRoom(n.settings.PeerConns, n.settings.PeerCalls)
 	n.peers = newTransport(n.between, noConnLimit)
 	n.peers.MaxIdleConnsPerHost = n.settings.PeerConns
-	n.peers.MaxIdleConns = max(n.settings.PeerCalls/idlePeerPart, 1)
+	n.peers.MaxIdleConns = max(n.settings.PeerCalls/idlePeerDivisor, 1)
 	// A node adds its report to the headers that its upstream may send.
 	n.peers.MaxResponseHeaderBytes = maxResponseHeader + nodeHeaderBytes
 	return nil
--- a/node/tls_test.go
+++ b/node/tls_test.go
@@ -71,7 +71,7 @@
 // its confirmation, in the request or in the response. Handshake bytes must not count
 // as a sent request, or a filing that did not run could not be retried elsewhere.
 // They must not hide a sent request either, or it could run twice.
-func TestCutUnderTLS(t *testing.T) {
+func TestBrokenConnectionUnderTLS(t *testing.T) {
 	seen := map[string]int{}
 	for limit := 0; limit < 6600; limit += 97 {
 		inFleet(t, func(f *fleet) {
--- a/node/unsettled.go
+++ b/node/unsettled.go
@@ -44,13 +44,13 @@
 
 // list returns the fates that have not expired and whose owner is not among the
 // current members. A living owner can report the fate itself.
-func (u *unsettled) list(now time.Time, homeLives func(id string) bool) []FateView {
+func (u *unsettled) list(now time.Time, ownerAlive func(id string) bool) []FateView {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.fates = slices.DeleteFunc(u.fates, func(f FateView) bool { return !now.Before(f.Expires) })
 	var open []FateView
 	for _, f := range u.fates {
-		if !homeLives(f.Home) {
+		if !ownerAlive(f.Home) {
 			open = append(open, f)
 		}
 	}
@@ -58,11 +58,11 @@
 }
 
 // noteUnsettled lists a call whose fate is not in the key table of this node.
-func (n *Node) noteUnsettled(req *request, reason call.Reason, home string) {
-	if home == "" {
-		home = n.probableHome(req)
+func (n *Node) noteUnsettled(req *request, reason call.Reason, owner string) {
+	if owner == "" {
+		owner = n.probableOwner(req)
 	}
-	if home == n.id {
+	if owner == n.id {
 		return
 	}
 	now := n.now()
@@ -72,17 +72,17 @@
 		Reason:  string(reason),
 		Request: call.KeptID(req.call.RequestID),
 		Profile: req.call.Profile,
-		Home:    home,
+		Home:    owner,
 		Since:   now,
 		Expires: now.Add(n.settings.KeyWindow),
 	})
 }
 
-// probableHome returns the id of the node that probably owns the request's key. A
+// probableOwner returns the id of the node that probably owns the request's key. A
 // minted key contains its owner. A key chosen by the caller was claimed by the node
 // at which the caller presented it, and the request id begins with the id of that
 // node. The result is empty if the caller chose the request id itself.
-func (n *Node) probableHome(req *request) string {
+func (n *Node) probableOwner(req *request) string {
 	key, minted, err := atmostonce.ParseKey(req.key)
 	if err == nil && minted {
 		return string(key.Home)
--- a/node/upstream.go
+++ b/node/upstream.go
@@ -98,7 +98,7 @@
 		n.log.Emit(observe.AnnouncementStale, observe.Str("instance", a.Instance), observe.Int64("sequence", int64(a.Sequence)))
 		return nil
 	}
-	n.putUpstream(a)
+	n.replaceUpstream(a)
 	if a.Instance != "" && !n.ending.Load() {
 		n.SetDraining(a.Draining)
 	}
@@ -120,10 +120,10 @@
 	}
 }
 
-// noteInstance replaces the incarnation of the upstream by the one that the upstream
+// adoptInstance replaces the incarnation of the upstream by the one that the upstream
 // named when it rejected a call meant for another. A restarted upstream answers
 // before it announces itself, and until then it would reject every call to it.
-func (n *Node) noteInstance(up *upstream, instance string) {
+func (n *Node) adoptInstance(up *upstream, instance string) {
 	n.announceMu.Lock()
 	defer n.announceMu.Unlock()
 	if instance == "" || n.upstream.Load() != up {
@@ -131,11 +131,11 @@
 	}
 	a := up.Announcement
 	a.Instance, a.Born = instance, 0
-	n.putUpstream(a)
+	n.replaceUpstream(a)
 }
 
-// putUpstream makes a the current upstream. The caller holds announceMu.
-func (n *Node) putUpstream(a Announcement) {
+// replaceUpstream makes a the current upstream. The caller holds announceMu.
+func (n *Node) replaceUpstream(a Announcement) {
 	old := n.upstream.Load()
 	next := &upstream{Announcement: a, since: n.now()}
 	if old != nil && old.Addr == a.Addr && old.Connections == a.Connections && old.sameIncarnation(a) {
@@ -189,7 +189,7 @@
 // times distinguish the incarnations of an upstream that restarts under the same
 // name. An incarnation that has left never comes back.
 type announcedInstances struct {
-	lives map[string]life
+	incarnations map[string]life
 	// order lists the names in the order of their first announcement.
 	order []string
 }
@@ -198,12 +198,12 @@
 type life struct {
 	born     int64
 	sequence uint64
-	heard    time.Time
+	lastSeen time.Time
 }
 
-// leftSequence is the sequence of an incarnation that has left; it is above every
+// departedSequence is the sequence of an incarnation that has left; it is above every
 // announced sequence.
-const leftSequence = ^uint64(0)
+const departedSequence = ^uint64(0)
 
 // fresh reports whether a is newer than the last announcement under its name, and
 // records it if so. Announcements without a name are always fresh.
@@ -211,41 +211,41 @@
 	if a.Instance == "" {
 		return true
 	}
-	last, known := i.lives[a.Instance]
-	if known && a.Born < last.born && now.Sub(last.heard) < lifeSilence {
+	last, known := i.incarnations[a.Instance]
+	if known && a.Born < last.born && now.Sub(last.lastSeen) < lifeSilence {
 		return false
 	}
 	if known && a.Born == last.born && a.Sequence <= last.sequence {
 		return false
 	}
-	i.set(a.Instance, life{born: a.Born, sequence: a.Sequence, heard: now})
+	i.set(a.Instance, life{born: a.Born, sequence: a.Sequence, lastSeen: now})
 	return true
 }
 
 // left records that an incarnation has left, and reports whether it is the latest
 // incarnation under its name. A born of 0 means the latest one.
 func (i *announcedInstances) left(instance string, born int64, now time.Time) bool {
-	last := i.lives[instance]
+	last := i.incarnations[instance]
 	if born != 0 && born < last.born {
 		return false
 	}
 	// The leave report counts as an announcement of this incarnation: a silence
 	// before it is irrelevant, and a delayed announcement of an earlier incarnation
 	// must not replace it.
-	i.set(instance, life{born: max(born, last.born), sequence: leftSequence, heard: now})
+	i.set(instance, life{born: max(born, last.born), sequence: departedSequence, lastSeen: now})
 	return true
 }
 
 func (i *announcedInstances) set(instance string, l life) {
-	if i.lives == nil {
-		i.lives = make(map[string]life)
+	if i.incarnations == nil {
+		i.incarnations = make(map[string]life)
 	}
-	if _, known := i.lives[instance]; !known {
+	if _, known := i.incarnations[instance]; !known {
 		i.order = append(i.order, instance)
 		if len(i.order) > maxInstances {
-			delete(i.lives, i.order[0])
+			delete(i.incarnations, i.order[0])
 			i.order = i.order[1:]
 		}
 	}
-	i.lives[instance] = l
+	i.incarnations[instance] = l
 }
--- a/node/upstreamerror_test.go
+++ b/node/upstreamerror_test.go
@@ -26,7 +26,7 @@
 // deep service failed in this way, 32 of 100 requests failed for as long as it
 // lasted. Reads must be served by the other upstreams, with few retries, because the
 // failing one is left out.
-func TestErrorsOfAnUpstreamAreMendedElsewhere(t *testing.T) {
+func TestUpstreamErrorsAreRetriedElsewhere(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var bad atomic.Int64
 		front := f.addRouted("front", "front", 10, echo, func(s *Settings) { s.RetryRatio = 0.2 })
@@ -50,7 +50,7 @@
 
 // All upstreams fail. A change must run exactly once, and every caller must get the
 // upstream's own error response, not a less specific one.
-func TestErrorsThatCannotBeMendedAreDelivered(t *testing.T) {
+func TestUnavoidableUpstreamErrorsAreDelivered(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		var one, two atomic.Int64
 		front := f.addRouted("front", "front", 10, echo, func(s *Settings) { s.RetryRatio = 0.2 })
@@ -80,7 +80,7 @@
 // A run fails because a downstream call was refused. Its upstream is healthy, and
 // another one would meet the same rejection: the run must not be retried, and the
 // upstream must not be ejected.
-func TestErrorsFromBelowAreNotRepeatedAbove(t *testing.T) {
+func TestDownstreamErrorsAreNotRetried(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		c := newChain(f, 1)
 		c.refused = 1
--- a/node/upstreamlives_test.go
+++ b/node/upstreamlives_test.go
@@ -11,7 +11,7 @@
 // since the leave report, so the earlier incarnation must not come back: nothing
 // listens at its address any more, and callers would be refused until the leave
 // report is repeated.
-func TestFarewellIsAWordOfItsLife(t *testing.T) {
+func TestLeaveReportBlocksDelayedAnnouncements(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("vm", "desk", 10, echo)
 		late := n.upstream.Load().Announcement
--- a/node/visit.go
+++ b/node/visit.go
@@ -31,13 +31,14 @@
 	life    *upstreamLife
 	request *request
 	// broken is set once the connection to the upstream is found broken.
-	broken   atomic.Bool
-	ticket   admission.Ticket
-	children *atmostonce.Visit
-	orphans  uint64
-	// left is the retry credit that is returned with the answer. It is computed once.
-	left     int
-	leftOnce sync.Once
+	broken         atomic.Bool
+	ticket         admission.Ticket
+	children       *atmostonce.Visit
+	orphansAtStart uint64
+	// finalCredit is the retry credit that is returned with the answer. It is
+	// computed once.
+	finalCredit     int
+	finalCreditOnce sync.Once
 
 	mu     sync.Mutex
 	closed bool
@@ -46,16 +47,16 @@
 	done int
 	// completed counts the downstream calls that succeeded, by profile.
 	completed map[string]int
-	// below is the total time during which downstream calls were open, and openSince
-	// the start of the first of those that are open now.
-	below     time.Duration
-	openSince time.Time
-	worst     call.Level
-	// workBelow is the sum of the work that downstream calls reported, in
+	// downstreamTime is the total time during which downstream calls were open, and
+	// openSince the start of the first of those that are open now.
+	downstreamTime time.Duration
+	openSince      time.Time
+	worst          call.Level
+	// reportedWork is the sum of the work that downstream calls reported, in
 	// milliseconds.
-	workBelow int
-	// failedBelow is set once a downstream call has failed.
-	failedBelow bool
+	reportedWork int
+	// downstreamFailed is set once a downstream call has failed.
+	downstreamFailed bool
 }
 
 // begin opens a downstream call. It returns false once the visit is closed: a call
@@ -80,10 +81,10 @@
 	defer v.mu.Unlock()
 	v.open--
 	if v.open == 0 {
-		v.below += now.Sub(v.openSince)
+		v.downstreamTime += now.Sub(v.openSince)
 	}
 	v.worst = max(v.worst, r.Worst)
-	v.workBelow += r.Work
+	v.reportedWork += r.Work
 	if r.Outcome != call.NotRun {
 		v.done++
 	}
@@ -95,7 +96,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if r.Outcome != call.Complete || r.Reason != call.ReasonNone {
-		v.failedBelow = true
+		v.downstreamFailed = true
 		return
 	}
 	if v.completed == nil {
@@ -113,7 +114,7 @@
 	switch {
 	case status < http.StatusInternalServerError:
 		return call.ReasonNone
-	case status == http.StatusInternalServerError && !v.failedBelow:
+	case status == http.StatusInternalServerError && !v.downstreamFailed:
 		return call.ReasonUpstreamFailed
 	}
 	return call.ReasonFailedBelow
@@ -147,19 +148,19 @@
 func (v *visit) worked(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	below := v.below
+	downstream := v.downstreamTime
 	if v.open > 0 {
-		below += now.Sub(v.openSince)
+		downstream += now.Sub(v.openSince)
 	}
-	return now.Sub(v.started) - below
+	return now.Sub(v.started) - downstream
 }
 
 // creditLeft closes the retry credit and returns the amount that is returned with the
 // answer. It always returns the same number, so that the answer and the hop record
 // agree.
 func (v *visit) creditLeft() int {
-	v.leftOnce.Do(func() { v.left = v.credit.Left() })
-	return v.left
+	v.finalCreditOnce.Do(func() { v.finalCredit = v.credit.Left() })
+	return v.finalCredit
 }
 
 // progress returns the number of calls already run for the request, for the context
@@ -172,13 +173,13 @@
 	return min(v.call.Progress+v.done, call.MaxProgress)
 }
 
-func (v *visit) workedBelow() int {
+func (v *visit) downstreamWork() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.workBelow
+	return v.reportedWork
 }
 
-func (v *visit) worstBelow() call.Level {
+func (v *visit) worstDownstream() call.Level {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.worst
@@ -218,7 +219,7 @@
 // add registers v under a new id.
 func (vs *visits) add(v *visit) {
 	v.id = vs.prefix + strconv.FormatUint(vs.next.Add(1), 36)
-	v.orphans = vs.orphans.Load()
+	v.orphansAtStart = vs.orphans.Load()
 	s := vs.shard(v.id)
 	s.mu.Lock()
 	s.byID[v.id] = v
@@ -229,7 +230,7 @@
 // returns the later run.
 func (vs *visits) addAs(v *visit, id string) {
 	v.id = id
-	v.orphans = vs.orphans.Load()
+	v.orphansAtStart = vs.orphans.Load()
 	s := vs.shard(id)
 	s.mu.Lock()
 	s.byID[id] = v
@@ -278,5 +279,5 @@
 // Calls that named no visit invalidate the proof.
 func (vs *visits) closeProved(v *visit) bool {
 	nothingRan := v.close()
-	return nothingRan && vs.orphans.Load() == v.orphans
+	return nothingRan && vs.orphans.Load() == v.orphansAtStart
 }
--- a/node/worktime_test.go
+++ b/node/worktime_test.go
@@ -12,7 +12,7 @@
 // wait counted as work, a downstream overload would make every calling upstream look
 // slow, and calls would cross zones needlessly. Members must learn the work time
 // alone.
-func TestWaitsForCallsBelowAreNotWork(t *testing.T) {
+func TestDownstreamWaitsAreNotWorkTime(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.add("b", "registry", 10, func(w http.ResponseWriter, _ *http.Request, _ func(string, string, string) (*http.Response, error)) {
 			time.Sleep(400 * time.Millisecond)
