--- a/node/mortal_test.go
+++ b/node/mortal_test.go
@@ -53,7 +53,7 @@
 	// under holds, by path, the times at which upstreams crashed while running it.
 	under map[string][]time.Time
 	// upstreams holds the upstream beside each node, in the order of nodes.
-	upstreams []*mortal
+	upstreams []*crashingUpstream
 }
 
 // addMortals starts count nodes of the service desk, each with its upstream.
@@ -77,18 +77,18 @@
 }
 
 func (m *mortals) addMortal(name string, adjust ...func(*Settings)) *Node {
-	u := &mortal{mortals: m, name: name, host: m.net.Host(name), adjust: adjust}
+	u := &crashingUpstream{mortals: m, name: name, host: m.net.Host(name), adjust: adjust}
 	m.upstreams = append(m.upstreams, u)
 	u.startNode()
 	if m.forwarded {
 		u.forward()
 	}
-	u.live()
+	u.startIncarnation()
 	return u.node
 }
 
 // forward starts the proxy in front of the upstream.
-func (u *mortal) forward() {
+func (u *crashingUpstream) forward() {
 	listener, err := u.host.Listen("x:7100")
 	u.c.Assert(err, qt.IsNil)
 	u.t.Cleanup(func() { _ = listener.Close() })
@@ -115,7 +115,7 @@
 }
 
 // startNode starts the node beside the upstream.
-func (u *mortal) startNode() {
+func (u *crashingUpstream) startNode() {
 	settings := DefaultSettings()
 	settings.Service = "desk"
 	settings.Network = u.host
@@ -166,8 +166,8 @@
 // name returns the host of a node.
 func (m *mortals) name(i int) string { return m.upstreams[i].name }
 
-// mortal is one upstream across all its incarnations.
-type mortal struct {
+// crashingUpstream is one upstream across all its incarnations.
+type crashingUpstream struct {
 	*mortals
 	name   string
 	host   *memnet.Host
@@ -179,8 +179,8 @@
 	end  func()
 }
 
-// live starts a new incarnation of the upstream.
-func (u *mortal) live() {
+// startIncarnation starts a new incarnation of the upstream.
+func (u *crashingUpstream) startIncarnation() {
 	listener, err := u.host.Listen("x:7000")
 	u.c.Assert(err, qt.IsNil)
 	server := &http.Server{}
@@ -196,7 +196,7 @@
 			u.mu.Unlock()
 			go func() {
 				if objects.Pause(u.t.Context(), u.away) {
-					u.live()
+					u.startIncarnation()
 				}
 			}()
 		})
@@ -231,7 +231,7 @@
 }
 
 // announce announces the upstream to its node.
-func (u *mortal) announce() {
+func (u *crashingUpstream) announce() {
 	u.mu.Lock()
 	a := Announcement{Service: "desk", Addr: u.name + ":7000", Slots: 50}
 	if u.forwarded {
--- a/node/pipelining/ahead.go
+++ b/node/pipelining/ahead.go
@@ -20,8 +20,8 @@
 // turn. ctx ends when the caller disconnects. Begin must not block.
 type Begin func(ctx context.Context, r *http.Request) Answer
 
-// begun is a request that was started early. end is its end offset in the stream.
-type begun struct {
+// earlyRequest is a request that was started early. end is its end offset in the stream.
+type earlyRequest struct {
 	request *http.Request
 	answer  Answer
 	end     int64
@@ -35,17 +35,17 @@
 	if len(c.queue) == 0 {
 		// Requests queued behind one that may change something may depend on it (RFC
 		// 9112, 9.3.2: in parallel only if all methods are safe).
-		c.waiting = !safeMethod(r.Method)
-		c.end = c.split.serve(r)
+		c.nextWaits = !safeMethod(r.Method)
+		c.requestEnd = c.split.serve(r)
 		c.lookAhead()
 		return
 	}
-	c.serveBegun(r)
+	c.serveEarly(r)
 }
 
-// serveBegun removes r, which was started early, from the queue. The caller holds
+// serveEarly removes r, which was started early, from the queue. The caller holds
 // c.mu.
-func (c *Conn) serveBegun(r *http.Request) {
+func (c *Conn) serveEarly(r *http.Request) {
 	first := c.queue[0]
 	c.queue = c.queue[1:]
 	if !sameRequest(first.request, r) {
@@ -53,12 +53,12 @@
 		// request boundary can be trusted. Dropping the answers is safe, because only
 		// requests that may run more than once are started early.
 		first.answer.Drop()
-		c.dropAll()
-		c.end = -1
+		c.dropEarly()
+		c.requestEnd = -1
 		return
 	}
-	c.current = first.answer
-	c.end = first.end
+	c.currentAnswer = first.answer
+	c.requestEnd = first.end
 	c.lookAhead()
 }
 
@@ -67,8 +67,8 @@
 func (c *Conn) Take() Answer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	taken := c.current
-	c.current = nil
+	taken := c.currentAnswer
+	c.currentAnswer = nil
 	return taken
 }
 
@@ -93,9 +93,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serving = false
-	if c.current != nil {
-		c.current.Drop()
-		c.current = nil
+	if c.currentAnswer != nil {
+		c.currentAnswer.Drop()
+		c.currentAnswer = nil
 	}
 	c.changed.Broadcast()
 }
@@ -119,45 +119,45 @@
 	if !c.serving {
 		return
 	}
-	if c.end < 0 && !c.split.lost && c.split.settleChunked() {
-		c.end = c.split.base
+	if c.requestEnd < 0 && !c.split.gaveUp && c.split.finishChunked() {
+		c.requestEnd = c.split.base
 	}
-	c.beginNext()
-	if (len(c.queue) > 0 || c.split.behind()) && !c.pumping && !c.reading {
+	c.startNext()
+	if (len(c.queue) > 0 || c.split.hasUnaccounted()) && !c.pumping && !c.reading {
 		c.startPump()
 	}
 }
 
-// beginNext starts the received requests in order, up to the first that has to wait
+// startNext starts the received requests in order, up to the first that has to wait
 // for its turn. The caller holds c.mu.
-func (c *Conn) beginNext() {
-	for len(c.queue) < MaxAhead && !c.waiting {
+func (c *Conn) startNext() {
+	for len(c.queue) < MaxAhead && !c.nextWaits {
 		r, length := c.split.next()
 		if r == nil {
 			return
 		}
-		if c.left == nil {
-			c.left, c.cancel = context.WithCancel(context.Background())
+		if c.earlyCtx == nil {
+			c.earlyCtx, c.cancelEarly = context.WithCancel(context.Background())
 		}
 		r.RemoteAddr = c.RemoteAddr().String()
-		answer := c.begin(c.left, r)
+		answer := c.begin(c.earlyCtx, r)
 		if answer == nil {
-			c.waiting = true // and so must all requests queued behind it
+			c.nextWaits = true // and so must all requests queued behind it
 			return
 		}
-		c.split.drop(length)
-		c.queue = append(c.queue, begun{request: r, answer: answer, end: c.split.base})
+		c.split.consume(length)
+		c.queue = append(c.queue, earlyRequest{request: r, answer: answer, end: c.split.base})
 	}
 }
 
-// dropAll drops all requests that were started early. The caller holds c.mu.
-func (c *Conn) dropAll() {
+// dropEarly drops all requests that were started early. The caller holds c.mu.
+func (c *Conn) dropEarly() {
 	for _, b := range c.queue {
 		b.answer.Drop()
 	}
 	c.queue = nil
 	c.split.giveUp()
-	if c.cancel != nil {
-		c.cancel()
+	if c.cancelEarly != nil {
+		c.cancelEarly()
 	}
 }
--- a/node/pipelining/conn.go
+++ b/node/pipelining/conn.go
@@ -20,34 +20,35 @@
 	// changed is signalled on every change of state that a waiting Read depends on.
 	changed *sync.Cond
 	split   splitter
-	queue   []begun
-	// waiting is set while the next request after the queue has to wait for its turn.
-	waiting bool
-	// serving is set while a handler runs. end is the stream offset at which its
-	// request ends, -1 if unknown.
-	serving bool
-	end     int64
-	// current is the answer to the request being served, nil unless the request was
-	// started early.
-	current Answer
+	queue   []earlyRequest
+	// nextWaits is set while the next request after the queue has to wait for its
+	// turn.
+	nextWaits bool
+	// serving is set while a handler runs. requestEnd is the stream offset at which
+	// its request ends, -1 if unknown.
+	serving    bool
+	requestEnd int64
+	// currentAnswer is the answer to the request being served, nil unless the request
+	// was started early.
+	currentAnswer Answer
 	// reading is set while Read itself reads the socket.
 	reading bool
-	// taken counts the bytes that net/http has read.
-	taken int64
+	// delivered counts the bytes that net/http has read.
+	delivered int64
 	// pumping is set once a goroutine reads the socket. unread holds the bytes that
-	// were received but not yet read by net/http, and failed the error that ended the
-	// reading.
+	// were received but not yet read by net/http, and readErr the error that ended
+	// the reading.
 	pumping  bool
 	unread   []byte
-	failed   error
+	readErr  error
 	closed   bool
 	deadline time.Time
 	timer    *time.Timer
-	// left is the context of the requests that were started early. It is created with
-	// the first of them and cancelled when the connection ends or the read-ahead is
-	// given up.
-	left   context.Context
-	cancel context.CancelFunc
+	// earlyCtx is the context of the requests that were started early. It is created
+	// with the first of them and cancelled when the connection ends or the read-ahead
+	// is given up.
+	earlyCtx    context.Context
+	cancelEarly context.CancelFunc
 }
 
 // New returns a Conn that wraps conn.
@@ -97,7 +98,7 @@
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	c.closed = true
-	c.dropAll()
+	c.dropEarly()
 	if c.timer != nil {
 		c.timer.Stop()
 	}
--- a/node/pipelining/conn_test.go
+++ b/node/pipelining/conn_test.go
@@ -24,27 +24,27 @@
 
 func (e *early) Drop() { e.dropped = true }
 
-// turns is a connection on which a caller has pipelined searches.
-type turns struct {
+// pipelinedSearches is a connection on which a caller has pipelined searches.
+type pipelinedSearches struct {
 	conn   *Conn
 	caller net.Conn
 	read   *bufio.Reader
 	begun  []*early
-	// left is the context of the requests that were started early.
-	left context.Context
+	// earlyCtx is the context of the requests that were started early.
+	earlyCtx context.Context
 }
 
-// inTurns runs f on a connection with count searches, the first of which is being
-// served.
-func inTurns(t *testing.T, count int, f func(c *qt.C, turns *turns)) {
+// withPipelinedSearches runs f on a connection with count searches, the first of
+// which is being served.
+func withPipelinedSearches(t *testing.T, count int, f func(c *qt.C, turns *pipelinedSearches)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		caller, socket := net.Pipe()
-		turns := &turns{caller: caller}
+		turns := &pipelinedSearches{caller: caller}
 		turns.conn = New(socket, func(ctx context.Context, _ *http.Request) Answer {
 			one := &early{}
 			turns.begun = append(turns.begun, one)
-			turns.left = ctx
+			turns.earlyCtx = ctx
 			return one
 		})
 		defer turns.conn.Close()
@@ -59,7 +59,7 @@
 }
 
 // next reads a request as net/http does.
-func (turns *turns) next(c *qt.C) *http.Request {
+func (turns *pipelinedSearches) next(c *qt.C) *http.Request {
 	r, err := http.ReadRequest(turns.read)
 	c.Assert(err, qt.IsNil)
 	return r
@@ -69,7 +69,7 @@
 // it and never takes the answer. If the answer were not dropped, the run would count
 // as in flight for as long as the node runs.
 func TestUntakenAnswerIsDropped(t *testing.T) {
-	inTurns(t, 3, func(c *qt.C, turns *turns) {
+	withPipelinedSearches(t, 3, func(c *qt.C, turns *pipelinedSearches) {
 		turns.conn.Done()
 		turns.conn.Serve(turns.next(c))
 		turns.conn.Done()
@@ -87,14 +87,14 @@
 // requests that were started early must be dropped, and no more may be started early
 // on the connection.
 func TestNoEarlyStartAfterParseMismatch(t *testing.T) {
-	inTurns(t, 3, func(c *qt.C, turns *turns) {
+	withPipelinedSearches(t, 3, func(c *qt.C, turns *pipelinedSearches) {
 		turns.conn.Done()
 		other := turns.next(c)
 		other.RequestURI = "/other"
 		turns.conn.Serve(other)
 		c.Check(turns.conn.Take(), qt.IsNil)
 		c.Check(turns.begun[0].dropped && turns.begun[1].dropped, qt.IsTrue)
-		c.Check(turns.left.Err(), qt.IsNotNil)
+		c.Check(turns.earlyCtx.Err(), qt.IsNotNil)
 		go func() { _, _ = io.WriteString(turns.caller, search) }()
 		turns.next(c)
 		synctest.Wait()
@@ -107,7 +107,7 @@
 // again, and their work would be lost. Only the last response may close the
 // connection.
 func TestConnectionClosesOnlyAfterEarlyRequests(t *testing.T) {
-	inTurns(t, 2, func(c *qt.C, turns *turns) {
+	withPipelinedSearches(t, 2, func(c *qt.C, turns *pipelinedSearches) {
 		c.Check(turns.conn.Last(), qt.IsFalse)
 		turns.conn.Done()
 		turns.conn.Serve(turns.next(c))
@@ -119,7 +119,7 @@
 // its idle timeout. While a goroutine reads the socket, the socket's own deadline is
 // not in force; if Read were not woken, the connection would stay open for ever.
 func TestReadEndsAtItsDeadline(t *testing.T) {
-	inTurns(t, 2, func(c *qt.C, turns *turns) {
+	withPipelinedSearches(t, 2, func(c *qt.C, turns *pipelinedSearches) {
 		turns.conn.Done()
 		turns.conn.Serve(turns.next(c))
 		turns.conn.Done()
@@ -132,11 +132,11 @@
 // A caller disconnects while its pipelined searches run. Nobody waits for them any
 // more, so all must stop.
 func TestCallerDisconnectStopsEarlyRequests(t *testing.T) {
-	inTurns(t, 3, func(c *qt.C, turns *turns) {
-		c.Assert(turns.left.Err(), qt.IsNil)
+	withPipelinedSearches(t, 3, func(c *qt.C, turns *pipelinedSearches) {
+		c.Assert(turns.earlyCtx.Err(), qt.IsNil)
 		c.Assert(turns.caller.Close(), qt.IsNil)
 		synctest.Wait()
-		c.Check(turns.left.Err(), qt.IsNotNil)
+		c.Check(turns.earlyCtx.Err(), qt.IsNotNil)
 		c.Check(turns.begun[0].dropped && turns.begun[1].dropped, qt.IsTrue)
 	})
 }
--- a/node/pipelining/fuzz_test.go
+++ b/node/pipelining/fuzz_test.go
@@ -152,7 +152,7 @@
 		want := play(t, &plainly, false, pieces)
 		got := play(t, &ahead, true, pieces)
 		c.Assert(ahead.served, qt.DeepEquals, plainly.served)
-		c.Assert(undated(got), qt.Equals, undated(want))
+		c.Assert(withoutDates(got), qt.Equals, withoutDates(want))
 		rest := plainly.served
 		for _, one := range ahead.begun {
 			for len(rest) > 0 && rest[0] != one.told {
@@ -164,8 +164,8 @@
 	})
 }
 
-// undated removes the Date fields from responses.
-func undated(answers []byte) string {
+// withoutDates removes the Date fields from responses.
+func withoutDates(answers []byte) string {
 	lines := strings.Split(string(answers), "\r\n")
 	kept := lines[:0]
 	for _, line := range lines {
--- a/node/pipelining/read.go
+++ b/node/pipelining/read.go
@@ -30,10 +30,10 @@
 	withheld := count > 0 && c.withheld()
 	c.split.add(p[:count])
 	if err != nil && !isTimeout(err) {
-		c.dropAll()
+		c.dropEarly()
 	}
 	if !withheld {
-		c.taken += int64(count)
+		c.delivered += int64(count)
 		c.lookAhead()
 		return count, err
 	}
@@ -51,7 +51,7 @@
 func (c *Conn) withhold(p []byte, err error) {
 	c.unread = append(c.unread, p...)
 	if err != nil && !isTimeout(err) {
-		c.failed = err
+		c.readErr = err
 	}
 	c.lookAhead()
 	if !c.pumping {
@@ -68,11 +68,11 @@
 // c.mu.
 func (c *Conn) startPump() {
 	c.pumping = true
-	if err := c.Conn.SetReadDeadline(time.Time{}); err != nil && c.failed == nil {
-		c.failed = err
+	if err := c.Conn.SetReadDeadline(time.Time{}); err != nil && c.readErr == nil {
+		c.readErr = err
 	}
 	c.armTimer()
-	if c.failed == nil {
+	if c.readErr == nil {
 		go c.pump()
 	}
 }
@@ -97,8 +97,8 @@
 	c.split.add(p)
 	c.lookAhead()
 	if err != nil {
-		c.failed = err
-		c.dropAll()
+		c.readErr = err
+		c.dropEarly()
 	}
 	c.changed.Broadcast()
 	for len(c.unread) >= maxUnread && !c.closed {
@@ -118,11 +118,11 @@
 		case len(c.unread) > 0 && !c.withheld():
 			count := copy(p, c.unread)
 			c.unread = append(c.unread[:0], c.unread[count:]...)
-			c.taken += int64(count)
+			c.delivered += int64(count)
 			c.changed.Broadcast()
 			return count, nil
-		case c.failed != nil:
-			return 0, c.failed
+		case c.readErr != nil:
+			return 0, c.readErr
 		}
 		c.changed.Wait()
 	}
@@ -130,4 +130,4 @@
 
 // withheld reports whether the next received bytes belong to requests queued behind
 // the one being served. The caller holds c.mu.
-func (c *Conn) withheld() bool { return c.serving && c.end >= 0 && c.taken >= c.end }
+func (c *Conn) withheld() bool { return c.serving && c.requestEnd >= 0 && c.delivered >= c.requestEnd }
--- a/node/pipelining/splitter.go
+++ b/node/pipelining/splitter.go
@@ -32,12 +32,12 @@
 	// chunked is set while the request being served has a chunked body whose end has
 	// not been found.
 	chunked bool
-	lost    bool
+	gaveUp  bool
 }
 
 // add appends received bytes.
 func (s *splitter) add(p []byte) {
-	if s.lost {
+	if s.gaveUp {
 		return
 	}
 	if s.skip > 0 {
@@ -54,31 +54,31 @@
 
 // giveUp stops the search for boundaries for the rest of the connection.
 func (s *splitter) giveUp() {
-	s.lost = true
+	s.gaveUp = true
 	s.pending = nil
 }
 
-// behind reports whether unaccounted bytes were received.
-func (s *splitter) behind() bool { return !s.lost && !s.chunked && len(s.pending) > 0 }
+// hasUnaccounted reports whether unaccounted bytes were received.
+func (s *splitter) hasUnaccounted() bool { return !s.gaveUp && !s.chunked && len(s.pending) > 0 }
 
 // serve accounts for r, which net/http has just read from the start of pending. It
 // returns the stream offset of the end of r, -1 if that is not known, or not yet.
 func (s *splitter) serve(r *http.Request) int64 {
 	// After a request that ends the connection, net/http reads nothing more.
-	if !s.lost && (endsConnection(r) || !s.settleChunked() || s.skip > 0 || !s.startsWith(r)) {
+	if !s.gaveUp && (endsConnection(r) || !s.finishChunked() || s.skip > 0 || !s.startsWith(r)) {
 		s.giveUp()
 	}
-	if s.lost {
+	if s.gaveUp {
 		return -1
 	}
 	if r.ContentLength < 0 {
 		s.chunked = true
-		if !s.settleChunked() {
+		if !s.finishChunked() {
 			return -1
 		}
 		return s.base
 	}
-	s.drop(int64(headEnd(s.pending)) + r.ContentLength)
+	s.consume(int64(headEnd(s.pending)) + r.ContentLength)
 	return s.base
 }
 
@@ -89,17 +89,17 @@
 	return headEnd(s.pending) > 0 && bytes.HasPrefix(s.pending, []byte(line))
 }
 
-// drop accounts for the next n bytes of the stream, whether received or not.
-func (s *splitter) drop(n int64) {
+// consume accounts for the next n bytes of the stream, whether received or not.
+func (s *splitter) consume(n int64) {
 	here := min(n, int64(len(s.pending)))
 	s.skip = n - here
 	s.base += n
 	s.pending = append(s.pending[:0], s.pending[here:]...)
 }
 
-// settleChunked searches for the end of an open chunked body, and reports whether no
+// finishChunked searches for the end of an open chunked body, and reports whether no
 // chunked body is open any more.
-func (s *splitter) settleChunked() bool {
+func (s *splitter) finishChunked() bool {
 	if !s.chunked {
 		return true
 	}
@@ -117,23 +117,23 @@
 		return false
 	}
 	s.chunked = false
-	s.drop(int64(len(s.pending) - source.Len() - buffered.Buffered()))
+	s.consume(int64(len(s.pending) - source.Len() - buffered.Buffered()))
 	return true
 }
 
 // next returns the request at the start of pending, and its length, if it may start
 // early. It returns nil if there is no complete request or the request has to wait
-// for its turn. drop removes it from pending.
+// for its turn. consume removes it from pending.
 func (s *splitter) next() (*http.Request, int64) {
-	if s.lost || s.skip > 0 || !s.settleChunked() {
+	if s.gaveUp || s.skip > 0 || !s.finishChunked() {
 		return nil, 0
 	}
 	end := headEnd(s.pending)
-	if end <= 0 || !plain(s.pending[:end]) {
+	if end <= 0 || !isPlainHead(s.pending[:end]) {
 		return nil, 0
 	}
 	r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(s.pending[:end])))
-	if err != nil || !mayBegin(r) {
+	if err != nil || !mayStartEarly(r) {
 		return nil, 0
 	}
 	return r, int64(end)
@@ -151,9 +151,9 @@
 	return end
 }
 
-// plain reports whether net/http is certain to accept a head: it has exactly one Host
-// field and only printable ASCII characters.
-func plain(head []byte) bool {
+// isPlainHead reports whether net/http is certain to accept a head: it has exactly
+// one Host field and only printable ASCII characters.
+func isPlainHead(head []byte) bool {
 	for _, b := range head {
 		if (b < ' ' && b != '\r' && b != '\n' && b != '\t') || b >= 0x7f {
 			return false
@@ -163,9 +163,9 @@
 	return bytes.Count(bytes.ToLower(head), []byte(host)) == 1
 }
 
-// mayBegin reports whether a request can be started from its head alone and leaves
-// the connection open.
-func mayBegin(r *http.Request) bool {
+// mayStartEarly reports whether a request can be started from its head alone and
+// leaves the connection open.
+func mayStartEarly(r *http.Request) bool {
 	if !safeMethod(r.Method) || endsConnection(r) || !plainHost(r.Host) {
 		return false
 	}
@@ -199,14 +199,14 @@
 
 // plainHost reports whether net/http is certain to accept a Host: it refuses some
 // characters.
-func plainHost(host string) bool { return only(host, ".-_:[]") }
+func plainHost(host string) bool { return containsOnly(host, ".-_:[]") }
 
 // plainName reports whether net/http is certain to accept a field name.
-func plainName(name string) bool { return only(name, "-_") }
+func plainName(name string) bool { return containsOnly(name, "-_") }
 
-// only reports whether s is not empty and contains only letters, digits and
-// characters of others.
-func only(s, others string) bool {
+// containsOnly reports whether s is not empty and all its characters are letters,
+// digits or in others.
+func containsOnly(s, others string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && !strings.ContainsRune(others, r)
 	})
--- a/node/testing/memnet/conn.go
+++ b/node/testing/memnet/conn.go
@@ -11,19 +11,19 @@
 // budget is the number of bytes that a connection may still carry. A negative value
 // means unlimited.
 type budget struct {
-	mu   sync.Mutex
-	left int
+	mu        sync.Mutex
+	remaining int
 }
 
 // take consumes up to n bytes of the budget and returns how many may pass.
 func (b *budget) take(n int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 0 {
+	if b.remaining < 0 {
 		return n
 	}
-	n = min(n, b.left)
-	b.left -= n
+	n = min(n, b.remaining)
+	b.remaining -= n
 	return n
 }
 
@@ -49,15 +49,15 @@
 }
 
 func newPair(n *Network, from, to string, limit int) (near, far *conn) {
-	shared := &budget{left: limit}
+	shared := &budget{remaining: limit}
 	near = newConn(n, shared, from, to)
 	far = newConn(n, shared, to, from)
 	near.peer, far.peer = far, near
 	n.mu.Lock()
 	n.conns[near] = struct{}{}
 	n.conns[far] = struct{}{}
-	near.quota.left = n.takeQuota(from, to)
-	far.quota.left = n.takeQuota(to, from)
+	near.quota.remaining = n.takeQuota(from, to)
+	far.quota.remaining = n.takeQuota(to, from)
 	n.mu.Unlock()
 	return near, far
 }
@@ -84,7 +84,7 @@
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
-		count, wait, err := c.in.read(p, c.net.held(c.from, c.to))
+		count, wait, err := c.in.read(p, c.net.thawSignal(c.from, c.to))
 		if wait == nil {
 			return count, err
 		}
@@ -153,12 +153,12 @@
 		c.net.mu.Lock()
 		delete(c.net.conns, c)
 		c.net.mu.Unlock()
-		c.in.leave()
+		c.in.closeRead()
 		if c.abortive.Load() {
 			c.peer.in.reset()
 			return
 		}
-		c.peer.in.end(time.Now().Add(c.net.delayOf(c.from, c.to)))
+		c.peer.in.closeWrite(time.Now().Add(c.net.delayOf(c.from, c.to)))
 	})
 	return nil
 }
--- a/node/testing/memnet/faults.go
+++ b/node/testing/memnet/faults.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// held returns a channel that closes when one of the hosts thaws, nil if none is
-// frozen.
-func (n *Network) held(hosts ...string) <-chan struct{} {
+// thawSignal returns a channel that closes when one of the hosts thaws, nil if none
+// is frozen.
+func (n *Network) thawSignal(hosts ...string) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, host := range hosts {
@@ -85,7 +85,7 @@
 // thawed before stop closed.
 func (n *Network) awaitThaw(stop <-chan struct{}, from, to string) bool {
 	for {
-		thawed := n.held(from, to)
+		thawed := n.thawSignal(from, to)
 		if thawed == nil {
 			return true
 		}
@@ -111,5 +111,5 @@
 func (b *budget) set(left int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = left
+	b.remaining = left
 }
--- a/node/testing/memnet/stream.go
+++ b/node/testing/memnet/stream.go
@@ -35,15 +35,15 @@
 	s.changed = make(chan struct{})
 }
 
-// waiting describes the events that a blocked reader waits for.
-type waiting struct {
+// readWait describes the events that a blocked reader waits for.
+type readWait struct {
 	changed <-chan struct{}
 	thawed  <-chan struct{}
 	arrives time.Time
 }
 
 // timer returns a channel that fires when the next piece arrives.
-func (w *waiting) timer() (fires <-chan time.Time, stop func()) {
+func (w *readWait) timer() (fires <-chan time.Time, stop func()) {
 	if w.arrives.IsZero() {
 		return nil, func() {}
 	}
@@ -54,18 +54,18 @@
 
 // read returns bytes that have arrived, or what to wait for. thawed is not nil while
 // one of the hosts is frozen.
-func (s *stream) read(p []byte, thawed <-chan struct{}) (int, *waiting, error) {
+func (s *stream) read(p []byte, thawed <-chan struct{}) (int, *readWait, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.broken:
 		return 0, nil, opError("read", errReset)
 	case thawed != nil, len(s.pieces) == 0:
-		return 0, &waiting{changed: s.changed, thawed: thawed}, nil
+		return 0, &readWait{changed: s.changed, thawed: thawed}, nil
 	}
 	first := &s.pieces[0]
 	if time.Now().Before(first.arrives) {
-		return 0, &waiting{changed: s.changed, arrives: first.arrives}, nil
+		return 0, &readWait{changed: s.changed, arrives: first.arrives}, nil
 	}
 	if len(first.data) == 0 {
 		return 0, nil, io.EOF
@@ -102,8 +102,8 @@
 	return count, nil, nil
 }
 
-// end makes the reader receive io.EOF after all bytes.
-func (s *stream) end(arrives time.Time) {
+// closeWrite makes the reader receive io.EOF after all bytes.
+func (s *stream) closeWrite(arrives time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended {
@@ -117,8 +117,8 @@
 	s.notify()
 }
 
-// leave makes further writes fail, because the reader has closed.
-func (s *stream) leave() {
+// closeRead makes further writes fail, because the reader has closed.
+func (s *stream) closeRead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.left = true
