--- a/node/callerlimits_test.go
+++ b/node/callerlimits_test.go
@@ -66,14 +66,14 @@
 // can't be judged from its head and must not run if it exceeds the limit.
 func TestCallersKeepToTheLimitsOfTheConfiguration(t *testing.T) {
 	inFleet(t, func(f *fleet) {
-		told := &events{}
+		eventLog := &events{}
 		n := f.addRouted("a", "desk", 10, func(w http.ResponseWriter, r *http.Request, next func(string, string, string) (*http.Response, error)) {
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
 			}
 			f.runs.add("desk", r.Header.Get("X-Id"))
 			echo(w, r, next)
-		}, logged(f.c, told))
+		}, logged(f.c, eventLog))
 		f.settle()
 		f.offerLimits(n, 2, config.Limits{RetryRatio: config.DefaultRetryRatio, HeaderBytes: 2048, BodyBytes: 1000})
 		post := func(id, rest string) *http.Response {
@@ -98,7 +98,7 @@
 			f.c.Check(resp.Header.Get("X-Reason"), qt.Equals, one.reason, qt.Commentf(one.id))
 			f.c.Check(f.runs.of("desk", one.id), qt.Equals, one.runs, qt.Commentf(one.id))
 		}
-		f.c.Check(told.has("too-large"), qt.IsTrue)
+		f.c.Check(eventLog.has("too-large"), qt.IsTrue)
 		// Nodes use the project's own headers among each other.
 		resp := f.raw(n, PeerListener, "GET /browse/x HTTP/1.1\r\nHost: desk\r\nConnection: close\r\nA: "+strings.Repeat("a", 40<<10)+"\r\n\r\n")
 		f.c.Assert(resp, qt.IsNotNil)
--- a/node/downstream_pressure_test.go
+++ b/node/downstream_pressure_test.go
@@ -19,7 +19,7 @@
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, echo)
 		f.settle()
-		told := 0
+		total := 0
 		const runs, each, hot = 200, 5, 600
 		for range runs {
 			v := &visit{call: call.Context{Profile: "read"}, started: n.now(), credit: retry.NewCredit(0)}
@@ -37,9 +37,9 @@
 			}
 			var r call.Report
 			n.fillReport(&r, v)
-			told += r.Pressure
+			total += r.Pressure
 		}
-		mean := told / runs
-		f.c.Check(mean >= hot/each/2 && mean <= hot/each*2, qt.IsTrue, qt.Commentf("told %d", mean))
+		mean := total / runs
+		f.c.Check(mean >= hot/each/2 && mean <= hot/each*2, qt.IsTrue, qt.Commentf("mean reported pressure %d", mean))
 	})
 }
--- a/node/pipelining/fuzz_test.go
+++ b/node/pipelining/fuzz_test.go
@@ -28,7 +28,7 @@
 }
 
 // ready is the answer to a request that was started early.
-type ready struct{ told string }
+type ready struct{ description string }
 
 func (*ready) Drop() {}
 
@@ -39,7 +39,7 @@
 func (rec *recorder) begin(_ context.Context, r *http.Request) Answer {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	one := &ready{told: describe(r, "")}
+	one := &ready{description: describe(r, "")}
 	rec.begun = append(rec.begun, one)
 	return one
 }
@@ -52,15 +52,15 @@
 			conn.Serve(r)
 			defer conn.Done()
 			if early, ok := conn.Take().(*ready); ok {
-				note = early.told
+				note = early.description
 			}
 		}
 		time.Sleep(time.Millisecond) // let the rest of the stream arrive
 		body, _ := io.ReadAll(r.Body)
-		told := describe(r, string(body))
+		description := describe(r, string(body))
 		rec.mu.Lock()
-		rec.served = append(rec.served, told)
-		if note != "" && note != told {
+		rec.served = append(rec.served, description)
+		if note != "" && note != description {
 			rec.served = append(rec.served, "answered with the response to "+note)
 		}
 		rec.mu.Unlock()
@@ -148,17 +148,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		pieces := cut(stream, cuts)
-		var plainly, ahead recorder
-		want := play(t, &plainly, false, pieces)
+		var plain, ahead recorder
+		want := play(t, &plain, false, pieces)
 		got := play(t, &ahead, true, pieces)
-		c.Assert(ahead.served, qt.DeepEquals, plainly.served)
+		c.Assert(ahead.served, qt.DeepEquals, plain.served)
 		c.Assert(withoutDates(got), qt.Equals, withoutDates(want))
-		rest := plainly.served
+		rest := plain.served
 		for _, one := range ahead.begun {
-			for len(rest) > 0 && rest[0] != one.told {
+			for len(rest) > 0 && rest[0] != one.description {
 				rest = rest[1:]
 			}
-			c.Assert(len(rest) > 0, qt.IsTrue, qt.Commentf("started early and never served: %s", one.told))
+			c.Assert(len(rest) > 0, qt.IsTrue, qt.Commentf("started early and never served: %s", one.description))
 			rest = rest[1:]
 		}
 	})
--- a/node/testing/memnet/errors.go
+++ b/node/testing/memnet/errors.go
@@ -9,13 +9,13 @@
 	What string
 }
 
-// refused is the error of a dial to an address without a listener.
-const refused = "connection refused"
+// connRefused is the error of a dial to an address without a listener.
+const connRefused = "connection refused"
 
 // Error implements error.
 func (e *ConnError) Error() string { return e.What }
 
 // Is makes errors.Is match the corresponding system errors.
 func (e *ConnError) Is(target error) bool {
-	return e.What == refused && target == syscall.ECONNREFUSED
+	return e.What == connRefused && target == syscall.ECONNREFUSED
 }
--- a/node/testing/memnet/memnet.go
+++ b/node/testing/memnet/memnet.go
@@ -161,7 +161,7 @@
 		return nil, &net.OpError{Op: "dial", Net: "mem", Err: ctx.Err()}
 	}
 	if !ok || cut {
-		return nil, &net.OpError{Op: "dial", Net: "mem", Err: &ConnError{What: refused}}
+		return nil, &net.OpError{Op: "dial", Net: "mem", Err: &ConnError{What: connRefused}}
 	}
 	limit := -1
 	if filter != nil {
@@ -175,7 +175,7 @@
 	case <-ctx.Done():
 	}
 	near.reset()
-	return nil, &net.OpError{Op: "dial", Net: "mem", Err: &ConnError{What: refused}}
+	return nil, &net.OpError{Op: "dial", Net: "mem", Err: &ConnError{What: connRefused}}
 }
 
 type memAddr string
--- a/node/tls_test.go
+++ b/node/tls_test.go
@@ -113,9 +113,9 @@
 		ca, old := securetest.NewAuthority("ours"), securetest.NewAuthority("old")
 		dir := f.t.TempDir()
 		write := func(trusted string) TLSSettings { return writeTLS(f.c, dir, ca, trusted) }
-		told := &events{}
+		eventLog := &events{}
 		front := f.add("front", "portal", 10, relayFiling, certified(old, ca.PEM()+old.PEM()))
-		f.add("deep", "filing", 10, answerOK, logged(f.c, told), func(s *Settings) { s.TLS = write(ca.PEM() + old.PEM()) })
+		f.add("deep", "filing", 10, answerOK, logged(f.c, eventLog), func(s *Settings) { s.TLS = write(ca.PEM() + old.PEM()) })
 		f.settle()
 		f.c.Assert(f.ask(front, http.MethodPost, "/file", "X-Operation", "before").outcome, qt.Equals, "complete")
 		write(ca.PEM())
@@ -123,12 +123,12 @@
 		// Gossip continues on connections opened under the old trust, so the target
 		// is still known and the call has to dial.
 		front.peers.CloseIdleConnections()
-		f.c.Check(told.has("tls-key-changed"), qt.IsTrue)
+		f.c.Check(eventLog.has("tls-key-changed"), qt.IsTrue)
 		got := f.ask(front, http.MethodPost, "/file", "X-Operation", "after")
 		f.c.Check(got.outcome, qt.Equals, "not-run")
 		f.c.Check(f.runs.of("filing", "after"), qt.Equals, 0)
 		f.settle() // the other side may log it after the caller's response
-		f.c.Check(told.has("peer-refused"), qt.IsTrue)
+		f.c.Check(eventLog.has("peer-refused"), qt.IsTrue)
 	})
 }
 
--- a/node/visit.go
+++ b/node/visit.go
@@ -248,7 +248,7 @@
 // under returns the open visits at one incarnation of the upstream whose connections
 // broke, and counts those with an unbroken connection that began before the given
 // time.
-func (vs *visits) under(life *upstreamLife, before time.Time) (broken []*visit, whole int) {
+func (vs *visits) under(life *upstreamLife, before time.Time) (broken []*visit, unbroken int) {
 	for i := range vs.shards {
 		s := &vs.shards[i]
 		s.mu.Lock()
@@ -258,12 +258,12 @@
 			case v.broken.Load():
 				broken = append(broken, v)
 			case v.started.Before(before):
-				whole++
+				unbroken++
 			}
 		}
 		s.mu.Unlock()
 	}
-	return broken, whole
+	return broken, unbroken
 }
 
 func (vs *visits) remove(v *visit) {
--- a/node/worktime_test.go
+++ b/node/worktime_test.go
@@ -32,10 +32,10 @@
 			f.c.Assert(f.ask(front, http.MethodGet, "/x").outcome, qt.Equals, "complete")
 		}
 		time.Sleep(2 * time.Second)
-		told, _, known := f.nodes["b"].gossip.Lookup(front.id)
+		member, _, known := f.nodes["b"].gossip.Lookup(front.id)
 		f.c.Assert(known, qt.IsTrue)
-		f.c.Assert(told.WorkTimes, qt.HasLen, 1)
-		micros := told.WorkTimes[0].Micros
+		f.c.Assert(member.WorkTimes, qt.HasLen, 1)
+		micros := member.WorkTimes[0].Micros
 		f.c.Check(micros >= 50_000 && micros < 60_000, qt.IsTrue, qt.Commentf("%d", micros))
 	})
 }
