--- a/node/guard.go
+++ b/node/guard.go
@@ -97,7 +97,7 @@
 
 // recoverPanic recovers a panic and closes the connection, so that the receiver
 // doesn't take a partial response for a complete one. It logs every panic other than
-// http.ErrAbortHandler, which closes a connection on purpose.
+// http.ErrAbortHandler, which handlers use to close a connection.
 func (n *Node) recoverPanic(listener Listener, w http.ResponseWriter, r *http.Request) {
 	fault := recover()
 	if fault == nil {
