--- a/node/callerlimits.go
+++ b/node/callerlimits.go
@@ -9,17 +9,17 @@
 	"pollengauge.dev/config"
 )
 
-// spokenIdleTimeout is how long a caller's connection is kept without a request
-// where a dialect is spoken and the configuration gives no time. Callers there
-// open connections by the hundred, and what they leave holds descriptors.
-const spokenIdleTimeout = 15 * time.Second
+// dialectIdleTimeout is how long an idle connection of a caller is kept open where a
+// dialect is used and the configuration gives no time. Such callers open connections
+// by the hundred, and abandoned ones hold file descriptors.
+const dialectIdleTimeout = 15 * time.Second
 
-// forCallers tells whether callers from outside use l.
+// forCallers reports whether callers from outside use l.
 func (n *Node) forCallers(l Listener) bool {
 	return l == EdgeListener || (l == OutboundListener && n.spoken())
 }
 
-// limitCaller holds a caller's request to the configuration in force.
+// limitCaller enforces the limits of the current configuration on a caller's request.
 func (n *Node) limitCaller(w http.ResponseWriter, r *http.Request) error {
 	limits := n.config.Current().Limits()
 	if limits.HeaderBytes > 0 {
@@ -42,20 +42,20 @@
 	return nil
 }
 
-// idleTimeout is how long a caller's connection is kept without a request.
+// idleTimeout returns how long an idle connection of a caller is kept open.
 func (n *Node) idleTimeout() time.Duration {
 	limit := time.Duration(n.config.Current().Limits().IdleTimeout)
 	switch {
 	case limit > 0:
 		return limit
 	case n.spoken():
-		return spokenIdleTimeout
+		return dialectIdleTimeout
 	}
 	return keepAliveTimeout
 }
 
-// longestIdle is what net/http itself allows a connection of l. Those of callers
-// are ended by watchIdle.
+// longestIdle returns the idle timeout that net/http enforces on connections of l.
+// Those of callers are closed earlier, by watchIdle.
 func (n *Node) longestIdle(l Listener) time.Duration {
 	if n.forCallers(l) {
 		return time.Duration(config.MaxIdleTimeout)
@@ -63,45 +63,46 @@
 	return keepAliveTimeout
 }
 
-// longAgo is a deadline that ends a read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline in the past, which ends a read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// watchIdle ends a caller's connection that has been idle for as long as the
-// configuration allows. net/http can't: its time is fixed with the server.
+// watchIdle closes a caller's connection that has been idle for the time given by the
+// configuration. net/http can't, because its idle timeout is fixed when the server is
+// created.
 //
-// The failure: callers used connections again that had been idle for longer than
-// the node's fixed time, as their configuration allowed. The node had closed
-// them, and each such request ended without an answer.
+// With a fixed timeout, callers reused connections that had been idle longer than the
+// node's timeout, as their configuration allowed. The node had already closed these
+// connections, and each such request ended without a response.
 func (n *Node) watchIdle(conn net.Conn, state http.ConnState) {
 	c, ok := resetConnOf(conn)
 	if !ok {
 		return
 	}
 	if state == http.StateIdle {
-		c.idle.start(n.idleTimeout(), func() { _ = conn.SetReadDeadline(longAgo) })
+		c.idle.start(n.idleTimeout(), func() { _ = conn.SetReadDeadline(pastDeadline) })
 		return
 	}
 	c.idle.stop()
 }
 
-// idleTimer runs from the end of one request to the begin of the next.
+// idleTimer runs from the end of one request to the start of the next.
 type idleTimer struct {
 	mu    sync.Mutex
 	timer *time.Timer
-	// turn counts starts and stops: a timer that has fired but lost the race for
-	// mu to the next request must not touch that request's connection.
-	turn uint64
+	// generation counts starts and stops. A timer that has fired but lost the race
+	// for mu to the next request must not touch that request's connection.
+	generation uint64
 }
 
 func (t *idleTimer) start(after time.Duration, expire func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn++
-	turn := t.turn
+	t.generation++
+	generation := t.generation
 	t.timer = time.AfterFunc(after, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		if t.turn == turn {
+		if t.generation == generation {
 			expire()
 		}
 	})
@@ -110,7 +111,7 @@
 func (t *idleTimer) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn++
+	t.generation++
 	if t.timer != nil {
 		t.timer.Stop()
 		t.timer = nil
--- a/node/pressed_test.go
+++ b/node/downstream_pressure_test.go
@@ -11,14 +11,15 @@
 )
 
 // A run makes five calls to a service of many upstreams, one in five of which is
-// hot. The highest pressure of the five was told upwards, so every request seemed
-// to meet the hot one, and roots refused six in ten although one in eight was too
-// many. What is told has to be what the calls meet on average.
-func TestOneHotUpstreamOfManyDoesNotSpeakForAll(t *testing.T) {
+// overloaded. The highest pressure of the five used to be reported, so every request
+// seemed to meet the overloaded upstream, and roots refused six in ten although one
+// in eight was too many. The reported pressure must be what the calls meet on
+// average.
+func TestPressureIsAveragedOverUpstreams(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		n := f.addRouted("a", "desk", 10, echo)
 		f.settle()
-		told := 0
+		total := 0
 		const runs, each, hot = 200, 5, 600
 		for range runs {
 			v := &visit{call: call.Context{Profile: "read"}, started: n.now(), credit: retry.NewCredit(0)}
@@ -36,9 +37,9 @@
 			}
 			var r call.Report
 			n.fillReport(&r, v)
-			told += r.Pressure
+			total += r.Pressure
 		}
-		mean := told / runs
-		f.c.Check(mean >= hot/each/2 && mean <= hot/each*2, qt.IsTrue, qt.Commentf("told %d", mean))
+		mean := total / runs
+		f.c.Check(mean >= hot/each/2 && mean <= hot/each*2, qt.IsTrue, qt.Commentf("mean reported pressure %d", mean))
 	})
 }
--- a/node/pipelining/conn_test.go
+++ b/node/pipelining/conn_test.go
@@ -16,35 +16,35 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// search is a request that may be begun before its turn.
+// search is a request that may be started early.
 const search = "GET /search HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// early is an answer that tells whether it was let go of.
+// early is an answer that records whether it was dropped.
 type early struct{ dropped bool }
 
 func (e *early) Drop() { e.dropped = true }
 
-// turns is a connection on which a caller has sent searches behind one another.
-type turns struct {
+// pipelinedSearches is a connection on which a caller has pipelined searches.
+type pipelinedSearches struct {
 	conn   *Conn
 	caller net.Conn
 	read   *bufio.Reader
 	begun  []*early
-	// left ends when the requests that were begun are to stop.
-	left context.Context
+	// earlyCtx is the context of the requests that were started early.
+	earlyCtx context.Context
 }
 
-// inTurns runs f on a connection with count searches, the first of which is
-// being served.
-func inTurns(t *testing.T, count int, f func(c *qt.C, turns *turns)) {
+// withPipelinedSearches runs f on a connection with count searches, the first of
+// which is being served.
+func withPipelinedSearches(t *testing.T, count int, f func(c *qt.C, turns *pipelinedSearches)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		caller, socket := net.Pipe()
-		turns := &turns{caller: caller}
+		turns := &pipelinedSearches{caller: caller}
 		turns.conn = New(socket, func(ctx context.Context, _ *http.Request) Answer {
 			one := &early{}
 			turns.begun = append(turns.begun, one)
-			turns.left = ctx
+			turns.earlyCtx = ctx
 			return one
 		})
 		defer turns.conn.Close()
@@ -59,17 +59,17 @@
 }
 
 // next reads a request as net/http does.
-func (turns *turns) next(c *qt.C) *http.Request {
+func (turns *pipelinedSearches) next(c *qt.C) *http.Request {
 	r, err := http.ReadRequest(turns.read)
 	c.Assert(err, qt.IsNil)
 	return r
 }
 
-// A limit comes down while a search runs that was begun before its turn. Its
-// handler refuses it and never asks for the answer. Not let go of, the run would
-// count as under way for as long as the node lives.
-func TestAnswerThatNobodyTakesIsDropped(t *testing.T) {
-	inTurns(t, 3, func(c *qt.C, turns *turns) {
+// A limit is lowered while a search that was started early runs. Its handler refuses
+// it and never takes the answer. If the answer were not dropped, the run would count
+// as in flight for as long as the node runs.
+func TestUntakenAnswerIsDropped(t *testing.T) {
+	withPipelinedSearches(t, 3, func(c *qt.C, turns *pipelinedSearches) {
 		turns.conn.Done()
 		turns.conn.Serve(turns.next(c))
 		turns.conn.Done()
@@ -78,22 +78,23 @@
 		turns.conn.Serve(turns.next(c))
 		c.Check(turns.conn.Take(), qt.Equals, Answer(turns.begun[1]))
 		turns.conn.Done()
-		c.Check(turns.begun[1].dropped, qt.IsFalse, qt.Commentf("whoever took it lets go of it"))
+		c.Check(turns.begun[1].dropped, qt.IsFalse, qt.Commentf("the caller of Take releases the answer"))
 	})
 }
 
-// net/http reads another request than the one that was begun. Given the answer
-// that is ready, a caller would get what another request had asked for. All that
-// was begun is let go of, and nothing is begun on the connection any more.
-func TestNothingIsBegunOnceTheReadingsDiffer(t *testing.T) {
-	inTurns(t, 3, func(c *qt.C, turns *turns) {
+// net/http reads a different request than the one that was started early. With the
+// answer that is ready, a caller would get the response to another request. All
+// requests that were started early must be dropped, and no more may be started early
+// on the connection.
+func TestNoEarlyStartAfterParseMismatch(t *testing.T) {
+	withPipelinedSearches(t, 3, func(c *qt.C, turns *pipelinedSearches) {
 		turns.conn.Done()
 		other := turns.next(c)
 		other.RequestURI = "/other"
 		turns.conn.Serve(other)
 		c.Check(turns.conn.Take(), qt.IsNil)
 		c.Check(turns.begun[0].dropped && turns.begun[1].dropped, qt.IsTrue)
-		c.Check(turns.left.Err(), qt.IsNotNil)
+		c.Check(turns.earlyCtx.Err(), qt.IsNotNil)
 		go func() { _, _ = io.WriteString(turns.caller, search) }()
 		turns.next(c)
 		synctest.Wait()
@@ -101,11 +102,12 @@
 	})
 }
 
-// A node that ends closes a connection with its next answer. Searches behind it
-// were begun: their caller would take them for unread and send them again, and
-// their work would be lost. Only the last answer may close the connection.
-func TestConnectionClosesOnlyBehindWhatWasBegun(t *testing.T) {
-	inTurns(t, 2, func(c *qt.C, turns *turns) {
+// A node that shuts down closes a connection with its next response. Searches queued
+// behind it have been started: their caller would take them for unread and send them
+// again, and their work would be lost. Only the last response may close the
+// connection.
+func TestConnectionClosesOnlyAfterEarlyRequests(t *testing.T) {
+	withPipelinedSearches(t, 2, func(c *qt.C, turns *pipelinedSearches) {
 		c.Check(turns.conn.Last(), qt.IsFalse)
 		turns.conn.Done()
 		turns.conn.Serve(turns.next(c))
@@ -113,12 +115,11 @@
 	})
 }
 
-// A caller sends nothing behind its last request, and net/http waits for the
-// next one under its idle timeout. With a goroutine at the socket, the socket's
-// own deadline is not in force; were Read not woken, the connection would be
-// held for ever.
+// A caller sends no request after its last one, and net/http waits for the next under
+// its idle timeout. While a goroutine reads the socket, the socket's own deadline is
+// not in force; if Read were not woken, the connection would stay open for ever.
 func TestReadEndsAtItsDeadline(t *testing.T) {
-	inTurns(t, 2, func(c *qt.C, turns *turns) {
+	withPipelinedSearches(t, 2, func(c *qt.C, turns *pipelinedSearches) {
 		turns.conn.Done()
 		turns.conn.Serve(turns.next(c))
 		turns.conn.Done()
@@ -128,14 +129,14 @@
 	})
 }
 
-// A caller leaves while searches run that it sent behind one another. Nobody
-// waits for them any more: all have to stop.
-func TestCallerThatLeavesStopsWhatWasBegun(t *testing.T) {
-	inTurns(t, 3, func(c *qt.C, turns *turns) {
-		c.Assert(turns.left.Err(), qt.IsNil)
+// A caller disconnects while its pipelined searches run. Nobody waits for them any
+// more, so all must stop.
+func TestCallerDisconnectStopsEarlyRequests(t *testing.T) {
+	withPipelinedSearches(t, 3, func(c *qt.C, turns *pipelinedSearches) {
+		c.Assert(turns.earlyCtx.Err(), qt.IsNil)
 		c.Assert(turns.caller.Close(), qt.IsNil)
 		synctest.Wait()
-		c.Check(turns.left.Err(), qt.IsNotNil)
+		c.Check(turns.earlyCtx.Err(), qt.IsNotNil)
 		c.Check(turns.begun[0].dropped && turns.begun[1].dropped, qt.IsTrue)
 	})
 }
--- a/node/pipelining/read.go
+++ b/node/pipelining/read.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Bounds of what a goroutine reads.
+// Limits of the reading goroutine.
 const (
-	// maxUnread is how many received bytes wait for net/http before no more are
-	// read, in bytes.
+	// maxUnread is how many received bytes may wait for net/http, in bytes. At this
+	// limit the goroutine stops reading.
 	maxUnread = 32 << 10
-	// readSize is the size of one read, in bytes: that of net/http's buffer.
+	// readSize is the size of one read, in bytes. It equals net/http's buffer.
 	readSize = 4 << 10
 )
 
@@ -30,10 +30,10 @@
 	withheld := count > 0 && c.withheld()
 	c.split.add(p[:count])
 	if err != nil && !isTimeout(err) {
-		c.dropAll()
+		c.dropEarly()
 	}
 	if !withheld {
-		c.taken += int64(count)
+		c.delivered += int64(count)
 		c.lookAhead()
 		return count, err
 	}
@@ -41,15 +41,17 @@
 	return c.readUnread(p)
 }
 
-// withhold keeps what Read itself has read of requests behind the one being
-// served, and lets a goroutine read from here on. The lock is held.
+// withhold stores the bytes that Read itself has received of requests queued behind
+// the one being served, and starts the reading goroutine. net/http gets them when
+// their turn comes. The caller holds c.mu.
 //
-// The failure: net/http waits for the caller to leave while a request is served,
-// and would stop at this byte of the next one. It gets it when its turn comes.
+// net/http reads in the background while a request is served, to notice that the
+// caller disconnects. If Read returned the first byte of the next request, net/http
+// would stop watching the connection.
 func (c *Conn) withhold(p []byte, err error) {
 	c.unread = append(c.unread, p...)
 	if err != nil && !isTimeout(err) {
-		c.failed = err
+		c.readErr = err
 	}
 	c.lookAhead()
 	if !c.pumping {
@@ -62,19 +64,20 @@
 	return ok && timeout.Timeout()
 }
 
-// startPump reads the socket from here on. The lock is held.
+// startPump starts the goroutine that reads the socket from now on. The caller holds
+// c.mu.
 func (c *Conn) startPump() {
 	c.pumping = true
-	if err := c.Conn.SetReadDeadline(time.Time{}); err != nil && c.failed == nil {
-		c.failed = err
+	if err := c.Conn.SetReadDeadline(time.Time{}); err != nil && c.readErr == nil {
+		c.readErr = err
 	}
 	c.armTimer()
-	if c.failed == nil {
+	if c.readErr == nil {
 		go c.pump()
 	}
 }
 
-// pump reads the socket until it ends.
+// pump reads the socket until a read fails or the connection is closed.
 func (c *Conn) pump() {
 	buf := make([]byte, readSize)
 	for {
@@ -85,7 +88,8 @@
 	}
 }
 
-// received takes what the pump has read, and reports whether it is to go on.
+// received stores the bytes that pump has read, and reports whether pump should
+// continue.
 func (c *Conn) received(p []byte, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,8 +97,8 @@
 	c.split.add(p)
 	c.lookAhead()
 	if err != nil {
-		c.failed = err
-		c.dropAll()
+		c.readErr = err
+		c.dropEarly()
 	}
 	c.changed.Broadcast()
 	for len(c.unread) >= maxUnread && !c.closed {
@@ -103,7 +107,7 @@
 	return err == nil && !c.closed
 }
 
-// readUnread is Read where a goroutine reads the socket. The lock is held.
+// readUnread is Read once a goroutine reads the socket. The caller holds c.mu.
 func (c *Conn) readUnread(p []byte) (int, error) {
 	for {
 		switch {
@@ -114,16 +118,16 @@
 		case len(c.unread) > 0 && !c.withheld():
 			count := copy(p, c.unread)
 			c.unread = append(c.unread[:0], c.unread[count:]...)
-			c.taken += int64(count)
+			c.delivered += int64(count)
 			c.changed.Broadcast()
 			return count, nil
-		case c.failed != nil:
-			return 0, c.failed
+		case c.readErr != nil:
+			return 0, c.readErr
 		}
 		c.changed.Wait()
 	}
 }
 
-// withheld tells whether what was received belongs to requests behind the one
-// being served. The lock is held.
-func (c *Conn) withheld() bool { return c.serving && c.end >= 0 && c.taken >= c.end }
+// withheld reports whether the next received bytes belong to requests queued behind
+// the one being served. The caller holds c.mu.
+func (c *Conn) withheld() bool { return c.serving && c.requestEnd >= 0 && c.delivered >= c.requestEnd }
--- a/node/worktime_test.go
+++ b/node/worktime_test.go
@@ -8,10 +8,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The upstream works 50 ms on a call and waits 400 ms for one of its own. Were
-// the wait counted, an overload below would make every upstream above look slow,
-// and calls would cross zones for nothing. The members hear of the work alone.
-func TestWaitsForCallsBelowAreNotWork(t *testing.T) {
+// The upstream works 50 ms on a call and waits 400 ms for a downstream call. If the
+// wait counted as work, a downstream overload would make every calling upstream look
+// slow, and calls would cross zones needlessly. Members must learn the work time
+// alone.
+func TestDownstreamWaitsAreNotWorkTime(t *testing.T) {
 	inFleet(t, func(f *fleet) {
 		f.add("b", "registry", 10, func(w http.ResponseWriter, _ *http.Request, _ func(string, string, string) (*http.Response, error)) {
 			time.Sleep(400 * time.Millisecond)
@@ -31,10 +32,10 @@
 			f.c.Assert(f.ask(front, http.MethodGet, "/x").outcome, qt.Equals, "complete")
 		}
 		time.Sleep(2 * time.Second)
-		told, _, known := f.nodes["b"].gossip.Lookup(front.id)
+		member, _, known := f.nodes["b"].gossip.Lookup(front.id)
 		f.c.Assert(known, qt.IsTrue)
-		f.c.Assert(told.WorkTimes, qt.HasLen, 1)
-		micros := told.WorkTimes[0].Micros
+		f.c.Assert(member.WorkTimes, qt.HasLen, 1)
+		micros := member.WorkTimes[0].Micros
 		f.c.Check(micros >= 50_000 && micros < 60_000, qt.IsTrue, qt.Commentf("%d", micros))
 	})
 }
