--- a/node/keyed.go
+++ b/node/keyed.go
@@ -197,11 +197,11 @@
 		n.logKeyError(run.Unknown(a.report.Reason))
 		return a
 	}
-	return n.storeAnswer(run, a)
+	return n.storeKeyedAnswer(run, a)
 }
 
-// storeAnswer reads the answer, up to MaxAnswerBytes, and stores it in the key table.
-func (n *Node) storeAnswer(run *atmostonce.Run, a *answer) *answer {
+// storeKeyedAnswer reads the answer, up to MaxAnswerBytes, and stores it in the key table.
+func (n *Node) storeKeyedAnswer(run *atmostonce.Run, a *answer) *answer {
 	held, err := readBody(a.body, -1, n.settings.MaxAnswerBytes)
 	if err != nil {
 		n.logKeyError(run.Unknown(call.ReasonTruncated))
