--- a/observe/bench_test.go
+++ b/observe/bench_test.go
@@ -18,7 +18,7 @@
 // the ring.
 func BenchmarkHop(b *testing.B) {
 	r := NewRing(DefaultRingSize)
-	h := refusedDeep()[0]
+	h := refusedDownstream()[0]
 	b.ReportAllocs()
 	for b.Loop() {
 		h.SpanID = NewSpanID()
@@ -31,7 +31,7 @@
 	ids := [8]string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
-		h := refusedDeep()[0]
+		h := refusedDownstream()[0]
 		for i := 0; pb.Next(); i++ {
 			h.RequestID = ids[i%len(ids)]
 			r.Add(h)
@@ -61,7 +61,7 @@
 func BenchmarkSDKSpan(b *testing.B) {
 	e := newExporter(ExporterConfig{}, sdktrace.WithSpanProcessor(&ringProcessor{}))
 	defer func() { _ = e.Shutdown(context.Background()) }()
-	h := refusedDeep()[0]
+	h := refusedDownstream()[0]
 	b.ReportAllocs()
 	for b.Loop() {
 		e.record(h)
--- a/observe/chain.go
+++ b/observe/chain.go
@@ -72,30 +72,30 @@
 	}
 }
 
-// deciding returns the index of the step that explains the request's outcome,
+// decidingStep returns the index of the step that explains the request's outcome,
 // or -1 if there is none: the last of the most downstream steps with the outcome
 // and reason of the response. For a complete response it is the last of the most
 // downstream steps without complete outcome if the status is a server error, and
 // otherwise the step with the longest wait.
-func deciding(steps []step) int {
+func decidingStep(steps []step) int {
 	if len(steps) == 0 {
 		return -1
 	}
 	top := steps[0]
 	if top.Outcome != call.Complete {
-		return deepest(steps, func(s step) bool { return s.Outcome == top.Outcome && s.Reason == top.Reason })
+		return lastAtGreatestDepth(steps, func(s step) bool { return s.Outcome == top.Outcome && s.Reason == top.Reason })
 	}
 	if top.Status >= http.StatusInternalServerError {
-		if i := deepest(steps, func(s step) bool { return s.Outcome != call.Complete }); i >= 0 {
+		if i := lastAtGreatestDepth(steps, func(s step) bool { return s.Outcome != call.Complete }); i >= 0 {
 			return i
 		}
 	}
 	return longestWait(steps)
 }
 
-// deepest returns the index of the last matching step at the greatest depth, or
-// -1.
-func deepest(steps []step, match func(step) bool) int {
+// lastAtGreatestDepth returns the index of the last matching step at the greatest
+// depth, or -1.
+func lastAtGreatestDepth(steps []step, match func(step) bool) int {
 	found := -1
 	for i, s := range steps {
 		if match(s) && (found < 0 || s.Depth >= steps[found].Depth) {
@@ -119,8 +119,8 @@
 	return found
 }
 
-// firstStored returns the index of the first step that returned a stored answer,
-// or -1.
-func firstStored(steps []step) int {
+// firstStoredAnswer returns the index of the first step that returned a stored
+// answer, or -1.
+func firstStoredAnswer(steps []step) int {
 	return slices.IndexFunc(steps, func(s step) bool { return s.Decision == Stale || s.Decision == Replayed })
 }
--- a/observe/decision.go
+++ b/observe/decision.go
@@ -6,13 +6,13 @@
 // one request in 64 has them logged.
 const DefaultDecisionSample = 64
 
-// Rate limits of the log lines on decisions, in lines per second on each node, and
-// the factor decisionMost from rate to burst. Refused and lost requests have the
-// higher limit, because they are the ones that operators are asked about.
+// Rate limits of the log lines on decisions, per node and event. The burst of each
+// is the number of lines of decisionBurstSeconds. Refused and lost requests have
+// the higher limit, because they are the ones that operators are asked about.
 const (
-	routineLines = 20
-	refusalLines = 40
-	decisionMost = 5
+	routineLinesPerSecond = 20
+	refusalLinesPerSecond = 40
+	decisionBurstSeconds  = 5
 )
 
 // Decide logs the decision recorded in a hop. Routine decisions are logged for one
@@ -21,10 +21,10 @@
 func (l *Logger) Decide(h *Hop, sample uint32) {
 	e := decisionEvent(h)
 	routine := e.ID == DecisionAdmitted.ID || e.ID == DecisionDelayed.ID
-	if routine && !sampled(h.RequestID, sample) {
+	if routine && !inSample(h.RequestID, sample) {
 		return
 	}
-	if !l.wants(e) {
+	if !l.allows(e) {
 		return
 	}
 	l.write(e, l.events[e.ID], h.fields())
@@ -42,7 +42,7 @@
 	return DecisionAdmitted
 }
 
-func sampled(id string, sample uint32) bool {
+func inSample(id string, sample uint32) bool {
 	if sample <= 1 {
 		return true
 	}
--- a/observe/endings.go
+++ b/observe/endings.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// endings explains to operators why a call was not tried again, by the verdict
-// of the retry module. The verdict "deeper" has no entry: the downstream step
-// that failed has a verdict of its own.
-var endings = map[string]string{
+// noRetryTexts explains to operators why a call was not tried again, by the
+// verdict of the retry module. The verdict "deeper" has no entry: the downstream
+// step that failed has a verdict of its own.
+var noRetryTexts = map[string]string{
 	"may-have-run": "the attempt may have run, and the call is not idempotent",
 	"hopeless":     "no other target would have answered differently",
 	"overload":     "most members of the service refused at that time, so that a retry would only have added load",
@@ -18,12 +18,12 @@
 
 // Ending returns the explanation of a verdict that ruled out a further attempt.
 // It returns "" for other verdicts and for those that this version doesn't know.
-func Ending(why string) string { return endings[why] }
+func Ending(why string) string { return noRetryTexts[why] }
 
-// notTriedAgain reports the number of extra attempts over the request's whole
+// noRetryReason reports the number of extra attempts over the request's whole
 // chain, and why the most downstream step with such a verdict was not tried again.
-func notTriedAgain(steps []step) []string {
-	i := deepest(steps, func(s step) bool { return endings[s.Ended] != "" })
+func noRetryReason(steps []step) []string {
+	i := lastAtGreatestDepth(steps, func(s step) bool { return noRetryTexts[s.Ended] != "" })
 	if i < 0 {
 		return nil
 	}
@@ -33,5 +33,5 @@
 			extra++
 		}
 	}
-	return []string{"Not tried again, after " + strconv.Itoa(extra) + " extra attempts in the whole chain: " + endings[steps[i].Ended] + "."}
+	return []string{"Not tried again, after " + strconv.Itoa(extra) + " extra attempts in the whole chain: " + noRetryTexts[steps[i].Ended] + "."}
 }
--- a/observe/errors.go
+++ b/observe/errors.go
@@ -62,12 +62,12 @@
 // Unwrap returns the cause.
 func (e *ProcessError) Unwrap() error { return e.Err }
 
-const maxShown = 200
+const maxShownBytes = 200
 
-// clip truncates s to maxShown bytes, since hostile input can be of any length.
+// clip truncates s to maxShownBytes, since hostile input can be of any length.
 func clip(s string) string {
-	if len(s) <= maxShown {
+	if len(s) <= maxShownBytes {
 		return s
 	}
-	return s[:maxShown] + "..."
+	return s[:maxShownBytes] + "..."
 }
--- a/observe/event.go
+++ b/observe/event.go
@@ -51,26 +51,26 @@
 	Rate, Burst float64
 }
 
-// catalogue holds every event in the order of definition. It is written only
+// eventCatalogue holds every event in the order of definition. It is written only
 // during the initialisation of package variables.
-var catalogue []Event
+var eventCatalogue []Event
 
-func event(id int, name string, severity Severity, meaning, action string) Event {
+func defineEvent(id int, name string, severity Severity, meaning, action string) Event {
 	e := Event{ID: id, Name: name, Level: severity, Meaning: meaning, Action: action}
-	catalogue = append(catalogue, e)
+	eventCatalogue = append(eventCatalogue, e)
 	return e
 }
 
-// decision defines an event with its own rate limit, in lines per second.
-func decision(id int, name string, severity Severity, rate float64, meaning, action string) Event {
-	e := Event{ID: id, Name: name, Level: severity, Meaning: meaning, Action: action, Rate: rate, Burst: rate * decisionMost}
-	catalogue = append(catalogue, e)
+// defineDecision defines an event with its own rate limit, in lines per second.
+func defineDecision(id int, name string, severity Severity, rate float64, meaning, action string) Event {
+	e := Event{ID: id, Name: name, Level: severity, Meaning: meaning, Action: action, Rate: rate, Burst: rate * decisionBurstSeconds}
+	eventCatalogue = append(eventCatalogue, e)
 	return e
 }
 
 // Catalogue returns all events, ordered by number.
 func Catalogue() []Event {
-	events := slices.Clone(catalogue)
+	events := slices.Clone(eventCatalogue)
 	slices.SortFunc(events, func(a, b Event) int { return a.ID - b.ID })
 	return events
 }
--- a/observe/events_answers.go
+++ b/observe/events_answers.go
@@ -3,11 +3,11 @@
 // Events on aborted responses, malformed or delayed requests, key states, and
 // leave notices without acknowledgement.
 var (
-	AnswerAborted   = event(4015, "answer-aborted", Warn, "An answer could not be finished; the connection was torn down so that it can't pass for complete.", "None, if callers go away; otherwise look at the upstream named by explain.")
-	KeyState        = event(5013, "key-state", Error, "A visit of a keyed call ended with a change of state that the key's current state does not allow; the recorded fate stands.", "Report it as a fault of pollengauge.")
-	KeyUnwitnessed  = event(5014, "key-unwitnessed", Warn, "No other member confirmed the notes of unrepeatable calls before their dispatch; the calls were dispatched all the same.", "Check the members of this region. If this VM is lost before the calls end, look them up at the upstream.")
-	LeaveUnheard    = event(3011, "leave-unheard", Warn, "The node left and no member confirmed its leave notice; the members will suspect it instead.", "None.")
-	BadRequest      = event(7013, "bad-request", Warn, "A request could not be understood and was refused as not run.", "Correct the caller.")
-	TurnAwaited     = event(7015, "turn-awaited", Info, "A request was queued behind earlier requests on its caller's connection for at least half of its profile's target latency; HTTP/1.1 sends responses in the order of the requests.", "Have the caller use more connections, or find out why the earlier responses were late.")
-	ServerComplaint = event(7014, "server-complaint", Debug, "The HTTP server complains about a connection.", noAction)
+	AnswerAborted   = defineEvent(4015, "answer-aborted", Warn, "An answer could not be finished; the connection was torn down so that it can't pass for complete.", "None, if callers go away; otherwise look at the upstream named by explain.")
+	KeyState        = defineEvent(5013, "key-state", Error, "A visit of a keyed call ended with a change of state that the key's current state does not allow; the recorded fate stands.", "Report it as a fault of pollengauge.")
+	KeyUnwitnessed  = defineEvent(5014, "key-unwitnessed", Warn, "No other member confirmed the notes of unrepeatable calls before their dispatch; the calls were dispatched all the same.", "Check the members of this region. If this VM is lost before the calls end, look them up at the upstream.")
+	LeaveUnheard    = defineEvent(3011, "leave-unheard", Warn, "The node left and no member confirmed its leave notice; the members will suspect it instead.", "None.")
+	BadRequest      = defineEvent(7013, "bad-request", Warn, "A request could not be understood and was refused as not run.", "Correct the caller.")
+	TurnAwaited     = defineEvent(7015, "turn-awaited", Info, "A request was queued behind earlier requests on its caller's connection for at least half of its profile's target latency; HTTP/1.1 sends responses in the order of the requests.", "Have the caller use more connections, or find out why the earlier responses were late.")
+	ServerComplaint = defineEvent(7014, "server-complaint", Debug, "The HTTP server complains about a connection.", noAction)
 )
--- a/observe/events_test.go
+++ b/observe/events_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestCatalogueIsWhole(t *testing.T) {
+func TestCatalogueIsComplete(t *testing.T) {
 	c := qt.New(t)
 	ids := make(map[int]bool)
 	names := make(map[string]bool)
--- a/observe/explain.go
+++ b/observe/explain.go
@@ -31,7 +31,7 @@
 		options.Width = DefaultWidth
 	}
 	if len(hops) == 0 {
-		return strings.Join(append([]string{"No hop of this request is held any more."}, unreachable(options)...), "\n") + "\n"
+		return strings.Join(append([]string{"No hop of this request is held any more."}, unreachableNote(options)...), "\n") + "\n"
 	}
 	steps := chain(hops)
 	lines := heading(steps)
@@ -41,11 +41,11 @@
 	lines = append(lines, "")
 	lines = append(lines, renderTable(explainColumns, explainRows(steps), options.Width)...)
 	lines = append(lines, "")
-	for _, sentence := range reasoning(steps, options.Refusals) {
+	for _, sentence := range explanation(steps, options.Refusals) {
 		lines = append(lines, wrap(sentence, "  ", options.Width)...)
 	}
-	lines = append(lines, gaps(steps)...)
-	lines = append(lines, unreachable(options)...)
+	lines = append(lines, orphanNote(steps)...)
+	lines = append(lines, unreachableNote(options)...)
 	return strings.Join(lines, "\n") + "\n"
 }
 
@@ -80,7 +80,7 @@
 	return "Decided under different configurations: version " + strings.Join(parts, ", ") + "."
 }
 
-func gaps(steps []step) []string {
+func orphanNote(steps []step) []string {
 	for _, s := range steps {
 		if s.orphan {
 			return []string{"Hops marked ? have a parent that no node holds any more: the chain is not whole."}
@@ -89,7 +89,7 @@
 	return nil
 }
 
-func unreachable(options ExplainOptions) []string {
+func unreachableNote(options ExplainOptions) []string {
 	if len(options.Unreachable) == 0 {
 		return nil
 	}
--- a/observe/explain_table.go
+++ b/observe/explain_table.go
@@ -27,7 +27,7 @@
 
 func explainRows(steps []step) [][]string {
 	rows := make([][]string, 0, len(steps))
-	mark := deciding(steps)
+	mark := decidingStep(steps)
 	for i, s := range steps {
 		rows = append(rows, explainRow(s, i == mark))
 	}
--- a/observe/exposition.go
+++ b/observe/exposition.go
@@ -46,7 +46,7 @@
 func (m *Metrics) counters(metric Metric) Counters {
 	f := newFamily(m.registry, metric, metrics.NewCounter)
 	m.expose(metric, func(add func([]string, *dto.Metric)) {
-		f.each(func(values []string, c metrics.Counter) { add(values, number(metric.Kind, float64(c.Count()))) })
+		f.each(func(values []string, c metrics.Counter) { add(values, numberMetric(metric.Kind, float64(c.Count()))) })
 	})
 	return Counters{f}
 }
@@ -58,7 +58,7 @@
 	m.expose(metric, func(add func([]string, *dto.Metric)) {
 		f.each(func(values []string, c metrics.Counter) {
 			if n := c.Count(); n != 0 {
-				add(values, number(metric.Kind, float64(n)))
+				add(values, numberMetric(metric.Kind, float64(n)))
 			}
 		})
 	})
@@ -68,7 +68,7 @@
 func (m *Metrics) gauges(metric Metric) Gauges {
 	f := newFamily(m.registry, metric, metrics.NewGauge)
 	m.expose(metric, func(add func([]string, *dto.Metric)) {
-		f.each(func(values []string, g metrics.Gauge) { add(values, number(metric.Kind, float64(g.Value()))) })
+		f.each(func(values []string, g metrics.Gauge) { add(values, numberMetric(metric.Kind, float64(g.Value()))) })
 	})
 	return Gauges{f}
 }
@@ -76,7 +76,7 @@
 func (m *Metrics) floatGauges(metric Metric) FloatGauges {
 	f := newFamily(m.registry, metric, metrics.NewGaugeFloat64)
 	m.expose(metric, func(add func([]string, *dto.Metric)) {
-		f.each(func(values []string, g metrics.GaugeFloat64) { add(values, number(metric.Kind, g.Value())) })
+		f.each(func(values []string, g metrics.GaugeFloat64) { add(values, numberMetric(metric.Kind, g.Value())) })
 	})
 	return FloatGauges{f}
 }
@@ -84,7 +84,7 @@
 func (m *Metrics) histograms(metric Metric) Histograms {
 	f := newFamily(m.registry, metric, NewHistogram)
 	m.expose(metric, func(add func([]string, *dto.Metric)) {
-		f.each(func(values []string, h *Histogram) { add(values, buckets(h)) })
+		f.each(func(values []string, h *Histogram) { add(values, histogramMetric(h)) })
 	})
 	return Histograms{f}
 }
@@ -112,15 +112,15 @@
 	})
 }
 
-func number(kind MetricKind, value float64) *dto.Metric {
+func numberMetric(kind MetricKind, value float64) *dto.Metric {
 	if kind == CounterKind {
 		return &dto.Metric{Counter: &dto.Counter{Value: &value}}
 	}
 	return &dto.Metric{Gauge: &dto.Gauge{Value: &value}}
 }
 
-func buckets(h *Histogram) *dto.Metric {
-	all, micros := h.all()
+func histogramMetric(h *Histogram) *dto.Metric {
+	all, micros := h.totals()
 	count := uint64(all.TotalCount())
 	seconds := float64(micros) / microsPerSecond
 	exported := &dto.Histogram{SampleCount: &count, SampleSum: &seconds}
--- a/observe/histogram.go
+++ b/observe/histogram.go
@@ -77,8 +77,8 @@
 	return time.Duration(recent.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// all returns the counts and the sum since the process started.
-func (h *Histogram) all() (*hdrhistogram.Histogram, int64) {
+// totals returns the counts and the sum since the process started.
+func (h *Histogram) totals() (*hdrhistogram.Histogram, int64) {
 	merged := newWindow()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -116,31 +116,31 @@
 
 // Max implements metrics.Histogram.
 func (h *Histogram) Max() int64 {
-	all, _ := h.all()
+	all, _ := h.totals()
 	return all.Max()
 }
 
 // Min implements metrics.Histogram.
 func (h *Histogram) Min() int64 {
-	all, _ := h.all()
+	all, _ := h.totals()
 	return all.Min()
 }
 
 // Mean implements metrics.Histogram.
 func (h *Histogram) Mean() float64 {
-	all, _ := h.all()
+	all, _ := h.totals()
 	return all.Mean()
 }
 
 // Percentile implements metrics.Histogram; p is from 0 to 1.
 func (h *Histogram) Percentile(p float64) float64 {
-	all, _ := h.all()
+	all, _ := h.totals()
 	return float64(all.ValueAtQuantile(p * percent))
 }
 
 // Percentiles implements metrics.Histogram.
 func (h *Histogram) Percentiles(ps []float64) []float64 {
-	all, _ := h.all()
+	all, _ := h.totals()
 	values := make([]float64, len(ps))
 	for i, p := range ps {
 		values[i] = float64(all.ValueAtQuantile(p * percent))
@@ -150,7 +150,7 @@
 
 // StdDev implements metrics.Histogram.
 func (h *Histogram) StdDev() float64 {
-	all, _ := h.all()
+	all, _ := h.totals()
 	return all.StdDev()
 }
 
@@ -166,6 +166,6 @@
 
 // Snapshot implements metrics.Histogram.
 func (h *Histogram) Snapshot() metrics.Histogram {
-	total, sum := h.all()
+	total, sum := h.totals()
 	return &Histogram{current: newWindow(), previous: newWindow(), total: total, sum: sum}
 }
--- a/observe/linewriter.go
+++ b/observe/linewriter.go
@@ -29,14 +29,15 @@
 	pause  time.Duration
 	limit  int
 
-	mu      sync.Mutex
-	pending []byte
-	dropped int64
-	// total counts all drops; dropped counts those not reported yet.
-	total  int64
-	wake   chan struct{}
-	closed bool
-	done   chan struct{}
+	mu         sync.Mutex
+	pending    []byte
+	unreported int64
+	// totalDropped counts all dropped lines; unreported counts the ones that no
+	// line has reported yet.
+	totalDropped int64
+	wake         chan struct{}
+	closed       bool
+	done         chan struct{}
 }
 
 // NewLineWriter starts a LineWriter with a buffer of limit bytes
@@ -58,8 +59,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed || len(w.pending)+len(line) > w.limit {
-		w.dropped++
-		w.total++
+		w.unreported++
+		w.totalDropped++
 		return len(line), nil
 	}
 	w.pending = append(w.pending, line...)
@@ -74,12 +75,12 @@
 func (w *LineWriter) Dropped() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.total
+	return w.totalDropped
 }
 
-// Close writes out the pending lines. It returns after patience at the latest,
+// Close writes out the pending lines. It returns after timeout at the latest,
 // even if the output has not accepted them.
-func (w *LineWriter) Close(patience time.Duration) {
+func (w *LineWriter) Close(timeout time.Duration) {
 	w.mu.Lock()
 	w.closed = true
 	w.mu.Unlock()
@@ -87,7 +88,7 @@
 	case w.wake <- struct{}{}:
 	default:
 	}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-w.done:
@@ -104,7 +105,7 @@
 			// An error of the log output can't be reported anywhere, so it is ignored.
 			_, _ = w.output.Write(batch)
 		}
-		if w.ended() {
+		if w.finished() {
 			return
 		}
 		time.Sleep(w.pause)
@@ -116,16 +117,16 @@
 func (w *LineWriter) take(batch []byte) []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.dropped > 0 {
-		batch = append(batch, "level=warn event="+strconv.Itoa(LinesDropped.ID)+" name="+LinesDropped.Name+" count="+strconv.FormatInt(w.dropped, 10)+"\n"...)
-		w.dropped = 0
+	if w.unreported > 0 {
+		batch = append(batch, "level=warn event="+strconv.Itoa(LinesDropped.ID)+" name="+LinesDropped.Name+" count="+strconv.FormatInt(w.unreported, 10)+"\n"...)
+		w.unreported = 0
 	}
 	batch = append(batch, w.pending...)
 	w.pending = w.pending[:0]
 	return batch
 }
 
-func (w *LineWriter) ended() bool {
+func (w *LineWriter) finished() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.closed && len(w.pending) == 0
--- a/observe/logger.go
+++ b/observe/logger.go
@@ -63,9 +63,9 @@
 type eventState struct {
 	limiter *rate.Limiter
 	leftOut atomic.Int64
-	// total is the number of lines left out since the start; leftOut is the part
-	// that was not reported yet.
-	total atomic.Int64
+	// totalLeftOut is the number of lines left out since the start; leftOut is the
+	// part that no line has reported yet.
+	totalLeftOut atomic.Int64
 }
 
 // NewLogger returns a Logger. It fails with a *SettingError if the format is
@@ -91,7 +91,7 @@
 	if output, ok := config.Output.(interface{ Dropped() int64 }); ok {
 		l.dropped = output.Dropped
 	}
-	for _, e := range catalogue {
+	for _, e := range eventCatalogue {
 		limit, burst := config.EventRate, config.EventBurst
 		if e.Rate > 0 {
 			limit, burst = e.Rate, int(e.Burst)
@@ -108,7 +108,7 @@
 // a LineWriter.
 func (l *Logger) LinesLost() (leftOut, dropped int64) {
 	for _, state := range l.events {
-		leftOut += state.total.Load()
+		leftOut += state.totalLeftOut.Load()
 	}
 	return leftOut, l.dropped()
 }
@@ -145,21 +145,21 @@
 // Emit writes one event. Lines over the event's rate are counted instead of
 // written; the next written line reports their number in the field left_out.
 func (l *Logger) Emit(e Event, fields ...Field) {
-	if l.wants(e) {
+	if l.allows(e) {
 		l.write(e, l.events[e.ID], fields)
 	}
 }
 
-// wants reports whether a line of e may be written now. It counts the line as
+// allows reports whether a line of e may be written now. It counts the line as
 // left out if the event's rate is used up.
-func (l *Logger) wants(e Event) bool {
+func (l *Logger) allows(e Event) bool {
 	if e.Level < l.level {
 		return false
 	}
 	state := l.events[e.ID]
 	if state != nil && !state.limiter.AllowN(l.now(), 1) {
 		state.leftOut.Add(1)
-		state.total.Add(1)
+		state.totalLeftOut.Add(1)
 		return false
 	}
 	return true
--- a/observe/metrics.go
+++ b/observe/metrics.go
@@ -111,8 +111,8 @@
 func (m *Metrics) addAdmission() {
 	m.Limit = m.gauges(limitMetric).With()
 	m.Quarantine = m.counters(quarantineMetric)
-	m.Quarantined = m.gauges(heldMetric)
-	m.UpstreamsEnded = m.counters(endedMetric).With()
+	m.Quarantined = m.gauges(quarantinedMetric)
+	m.UpstreamsEnded = m.counters(crashesMetric).With()
 	m.InFlight = m.gauges(inFlightMetric).With()
 	m.Blocked = m.gauges(blockedMetric).With()
 	m.QueueLength = m.gauges(queueMetric).With()
@@ -149,10 +149,10 @@
 	m.ForgedHeaders = m.counters(forgedMetric).With()
 	m.Malformed = m.counters(malformedMetric)
 	m.Unrouted = m.counters(unroutedMetric)
-	m.Strangers = m.counters(strangersMetric)
+	m.Strangers = m.counters(unauthenticatedMetric)
 	m.Quotas = m.counters(quotasMetric)
 	m.Panics = m.counters(panicsMetric).With()
-	m.Begun = m.counters(begunMetric).With()
+	m.Begun = m.counters(pipelinedMetric).With()
 	m.Spans = m.counters(spansMetric)
 }
 
--- a/observe/metrics_catalogue.go
+++ b/observe/metrics_catalogue.go
@@ -12,7 +12,7 @@
 // only during the initialisation of package variables.
 var metricCatalogue []Metric
 
-func define(name string, kind MetricKind, unit, meaning string, labels ...string) Metric {
+func defineMetric(name string, kind MetricKind, unit, meaning string, labels ...string) Metric {
 	m := Metric{Name: name, Kind: kind, Unit: unit, Labels: labels, Meaning: meaning}
 	metricCatalogue = append(metricCatalogue, m)
 	return m
@@ -23,81 +23,81 @@
 
 // Calls and their outcomes.
 var (
-	callsMetric      = define("pollengauge_calls_total", CounterKind, unitCount, "Calls answered by this node as the root or for its upstream, by the outcome and reason given to the caller. Combinations that never occurred are left out.", "profile", "outcome", "reason")
-	refusedMetric    = define("pollengauge_refused_total", CounterKind, unitCount, "Calls that this node itself refused before dispatch. Combinations that never occurred are left out.", "profile", "reason")
-	attemptsMetric   = define("pollengauge_attempts_total", CounterKind, unitCount, "Attempts taken in from peers (inbound) and sent to peers (outbound).", "profile", "direction")
-	retriesMetric    = define("pollengauge_retries_total", CounterKind, unitCount, "Decisions on a further attempt after a failed one, by verdict.", "profile", "verdict")
-	creditsMetric    = define("pollengauge_credits_total", CounterKind, unitCount, "Retry credits granted at the root, handed down, spent here and returned by answers.", "profile", "movement")
-	brownoutsMetric  = define("pollengauge_brownout_answers_total", CounterKind, unitCount, "Stored answers given in place of fresh ones.", "profile")
-	queueWaitMetric  = define("pollengauge_queue_wait_seconds", HistogramKind, unitSeconds, "Time from arrival to dispatch or refusal.", "profile")
-	callTimeMetric   = define("pollengauge_call_seconds", HistogramKind, unitSeconds, "Time from arrival to the whole answer.", "profile")
-	levelBelowMetric = define("pollengauge_level_below", GaugeKind, unitCount, "Highest admission level known of the hops below, as one number (priority times 128 plus tie-break).", "profile")
+	callsMetric      = defineMetric("pollengauge_calls_total", CounterKind, unitCount, "Calls answered by this node as the root or for its upstream, by the outcome and reason given to the caller. Combinations that never occurred are left out.", "profile", "outcome", "reason")
+	refusedMetric    = defineMetric("pollengauge_refused_total", CounterKind, unitCount, "Calls that this node itself refused before dispatch. Combinations that never occurred are left out.", "profile", "reason")
+	attemptsMetric   = defineMetric("pollengauge_attempts_total", CounterKind, unitCount, "Attempts taken in from peers (inbound) and sent to peers (outbound).", "profile", "direction")
+	retriesMetric    = defineMetric("pollengauge_retries_total", CounterKind, unitCount, "Decisions on a further attempt after a failed one, by verdict.", "profile", "verdict")
+	creditsMetric    = defineMetric("pollengauge_credits_total", CounterKind, unitCount, "Retry credits granted at the root, handed down, spent here and returned by answers.", "profile", "movement")
+	brownoutsMetric  = defineMetric("pollengauge_brownout_answers_total", CounterKind, unitCount, "Stored answers given in place of fresh ones.", "profile")
+	queueWaitMetric  = defineMetric("pollengauge_queue_wait_seconds", HistogramKind, unitSeconds, "Time from arrival to dispatch or refusal.", "profile")
+	callTimeMetric   = defineMetric("pollengauge_call_seconds", HistogramKind, unitSeconds, "Time from arrival to the whole answer.", "profile")
+	levelBelowMetric = defineMetric("pollengauge_level_below", GaugeKind, unitCount, "Highest admission level known of the hops below, as one number (priority times 128 plus tie-break).", "profile")
 )
 
 // Admission.
 var (
-	limitMetric      = define("pollengauge_limit", GaugeKind, unitCount, "Concurrency limit in force for the upstream.")
-	inFlightMetric   = define("pollengauge_in_flight", GaugeKind, unitCount, "Calls dispatched to the upstream and not yet answered.")
-	blockedMetric    = define("pollengauge_blocked", GaugeKind, unitCount, "Calls in flight that wait for calls they made below.")
-	queueMetric      = define("pollengauge_queue_length", GaugeKind, unitCount, "Calls waiting for dispatch.")
-	admitLevelMetric = define("pollengauge_admission_level", GaugeKind, unitCount, "Admission level in force; requests below it are refused. 0 refuses none.")
-	loadMetric       = define("pollengauge_load_ratio", GaugeKind, unitRatio, "Calls in flight and waiting as a share of the limit.")
-	endedMetric      = define("pollengauge_upstreams_ended_total", CounterKind, unitCount, "Crashes of the upstream beside this node while it was running calls.")
-	quarantineMetric = define("pollengauge_quarantine_total", CounterKind, unitCount, "Changes of the quarantine of requests under which upstreams crash, by kind: suspected after one crash, quarantined, tried again once, cleared.", "change")
-	heldMetric       = define("pollengauge_quarantine_requests", GaugeKind, unitCount, "Requests known to this node under which upstreams have crashed, by state.", "state")
-	drainingMetric   = define("pollengauge_draining", GaugeKind, unitCount, "1 while the node takes no new work.")
+	limitMetric       = defineMetric("pollengauge_limit", GaugeKind, unitCount, "Concurrency limit in force for the upstream.")
+	inFlightMetric    = defineMetric("pollengauge_in_flight", GaugeKind, unitCount, "Calls dispatched to the upstream and not yet answered.")
+	blockedMetric     = defineMetric("pollengauge_blocked", GaugeKind, unitCount, "Calls in flight that wait for calls they made below.")
+	queueMetric       = defineMetric("pollengauge_queue_length", GaugeKind, unitCount, "Calls waiting for dispatch.")
+	admitLevelMetric  = defineMetric("pollengauge_admission_level", GaugeKind, unitCount, "Admission level in force; requests below it are refused. 0 refuses none.")
+	loadMetric        = defineMetric("pollengauge_load_ratio", GaugeKind, unitRatio, "Calls in flight and waiting as a share of the limit.")
+	crashesMetric     = defineMetric("pollengauge_upstreams_ended_total", CounterKind, unitCount, "Crashes of the upstream beside this node while it was running calls.")
+	quarantineMetric  = defineMetric("pollengauge_quarantine_total", CounterKind, unitCount, "Changes of the quarantine of requests under which upstreams crash, by kind: suspected after one crash, quarantined, tried again once, cleared.", "change")
+	quarantinedMetric = defineMetric("pollengauge_quarantine_requests", GaugeKind, unitCount, "Requests known to this node under which upstreams have crashed, by state.", "state")
+	drainingMetric    = defineMetric("pollengauge_draining", GaugeKind, unitCount, "1 while the node takes no new work.")
 )
 
 // Keys and fates.
 var (
-	keysMetric    = define("pollengauge_keys", GaugeKind, unitCount, "Idempotency keys held, by state.", "state")
-	claimsMetric  = define("pollengauge_claims_total", CounterKind, unitCount, "Claims on keys that callers brought, by result.", "result")
-	witnessMetric = define("pollengauge_witness_notes_total", CounterKind, unitCount, "Notes of unrepeatable calls sent to another member, by result.", "result")
-	unknownMetric = define("pollengauge_unknown_fates_total", CounterKind, unitCount, "Keyed calls whose fate is not known, by reason.", "reason")
+	keysMetric    = defineMetric("pollengauge_keys", GaugeKind, unitCount, "Idempotency keys held, by state.", "state")
+	claimsMetric  = defineMetric("pollengauge_claims_total", CounterKind, unitCount, "Claims on keys that callers brought, by result.", "result")
+	witnessMetric = defineMetric("pollengauge_witness_notes_total", CounterKind, unitCount, "Notes of unrepeatable calls sent to another member, by result.", "result")
+	unknownMetric = defineMetric("pollengauge_unknown_fates_total", CounterKind, unitCount, "Keyed calls whose fate is not known, by reason.", "reason")
 )
 
 // Services, connections and the log.
 var (
-	retryLeftMetric    = define("pollengauge_retry_budget_left", GaugeKind, unitCount, "Retries that this node may still make now on a service that has its own bound. 0 while the service fails means that the bound withholds retries.", "service")
-	serviceLevelMetric = define("pollengauge_service_level", GaugeKind, unitCount, "Highest admission level reported recently for a service's upstreams, as one number (priority times 128 plus tie-break). Requests below it are likely to be refused there.", "service")
-	serviceLoadMetric  = define("pollengauge_service_load_ratio", GaugeKind, unitRatio, "Mean load reported recently for a service's upstreams, as a share of their limits.", "service")
-	connectionsMetric  = define("pollengauge_connections", GaugeKind, unitCount, "Open connections, by listener.", "listener")
-	logLinesMetric     = define("pollengauge_log_lines_lost_total", CounterKind, unitCount, "Log lines that were not written: over the rate of their event (left-out), or because the reader of the log was too slow (dropped).", "cause")
+	retryLeftMetric    = defineMetric("pollengauge_retry_budget_left", GaugeKind, unitCount, "Retries that this node may still make now on a service that has its own bound. 0 while the service fails means that the bound withholds retries.", "service")
+	serviceLevelMetric = defineMetric("pollengauge_service_level", GaugeKind, unitCount, "Highest admission level reported recently for a service's upstreams, as one number (priority times 128 plus tie-break). Requests below it are likely to be refused there.", "service")
+	serviceLoadMetric  = defineMetric("pollengauge_service_load_ratio", GaugeKind, unitRatio, "Mean load reported recently for a service's upstreams, as a share of their limits.", "service")
+	connectionsMetric  = defineMetric("pollengauge_connections", GaugeKind, unitCount, "Open connections, by listener.", "listener")
+	logLinesMetric     = defineMetric("pollengauge_log_lines_lost_total", CounterKind, unitCount, "Log lines that were not written: over the rate of their event (left-out), or because the reader of the log was too slow (dropped).", "cause")
 )
 
 // Membership.
 var (
-	membersMetric        = define("pollengauge_members", GaugeKind, unitCount, "Nodes known, by state.", "state")
-	gossipBytesMetric    = define("pollengauge_gossip_bytes_total", CounterKind, unitBytes, "Bytes of gossip sent and received.", "direction")
-	gossipMessagesMetric = define("pollengauge_gossip_messages_total", CounterKind, unitCount, "Gossip messages sent and received.", "direction")
+	membersMetric        = defineMetric("pollengauge_members", GaugeKind, unitCount, "Nodes known, by state.", "state")
+	gossipBytesMetric    = defineMetric("pollengauge_gossip_bytes_total", CounterKind, unitBytes, "Bytes of gossip sent and received.", "direction")
+	gossipMessagesMetric = defineMetric("pollengauge_gossip_messages_total", CounterKind, unitCount, "Gossip messages sent and received.", "direction")
 )
 
 // Configuration and platform.
 var (
-	configVersionMetric = define("pollengauge_config_version", GaugeKind, unitCount, "Configuration version in force.")
-	configNewestMetric  = define("pollengauge_config_newest_version", GaugeKind, unitCount, "Highest configuration version known to exist; above the version in force while the newest one is refused or has not arrived yet.")
-	configAgeMetric     = define("pollengauge_config_age_seconds", GaugeKind, unitSeconds, "Time since the version in force was accepted on this node.")
-	platformCallsMetric = define("pollengauge_platform_calls_total", CounterKind, unitCount, "Calls to the platform; a waiting watch counts as one call.", "op", "result")
-	platformTimeMetric  = define("pollengauge_platform_call_seconds", HistogramKind, unitSeconds, "Time that calls to the platform took, watches left out.", "op")
+	configVersionMetric = defineMetric("pollengauge_config_version", GaugeKind, unitCount, "Configuration version in force.")
+	configNewestMetric  = defineMetric("pollengauge_config_newest_version", GaugeKind, unitCount, "Highest configuration version known to exist; above the version in force while the newest one is refused or has not arrived yet.")
+	configAgeMetric     = defineMetric("pollengauge_config_age_seconds", GaugeKind, unitSeconds, "Time since the version in force was accepted on this node.")
+	platformCallsMetric = defineMetric("pollengauge_platform_calls_total", CounterKind, unitCount, "Calls to the platform; a waiting watch counts as one call.", "op", "result")
+	platformTimeMetric  = defineMetric("pollengauge_platform_call_seconds", HistogramKind, unitSeconds, "Time that calls to the platform took, watches left out.", "op")
 )
 
 // Edges.
 var (
-	rootsMetric     = define("pollengauge_roots_without_context_total", CounterKind, unitCount, "Calls out of the upstream that lacked the headers of the request it serves.")
-	forgedMetric    = define("pollengauge_forged_headers_total", CounterKind, unitCount, "Requests from outside that carried headers only nodes may set.")
-	malformedMetric = define("pollengauge_malformed_total", CounterKind, unitCount, "Messages, headers and answers that could not be read, by source.", "source")
-	strangersMetric = define("pollengauge_strangers_total", CounterKind, unitCount, "Requests without the key of a customer, by the reason given to their callers.", "reason")
-	quotasMetric    = define("pollengauge_quota_requests_total", CounterKind, unitCount, "Requests of customers with a limit: taken within it, refused beyond it, or unknown if no member that counts the customer's requests could be queried.", "result")
-	unroutedMetric  = define("pollengauge_unrouted_total", CounterKind, unitCount, "Requests for which the configuration in force has no route, by the reason given to their callers.", "reason")
-	panicsMetric    = define("pollengauge_panics_total", CounterKind, unitCount, "Panics recovered while serving.")
-	begunMetric     = define("pollengauge_requests_begun_early_total", CounterKind, unitCount, "Pipelined requests that were begun before an earlier request on their caller's connection was answered.")
-	spansMetric     = define("pollengauge_spans_total", CounterKind, unitCount, "Spans handed to the exporter, by result.", "result")
+	rootsMetric           = defineMetric("pollengauge_roots_without_context_total", CounterKind, unitCount, "Calls out of the upstream that lacked the headers of the request it serves.")
+	forgedMetric          = defineMetric("pollengauge_forged_headers_total", CounterKind, unitCount, "Requests from outside that carried headers only nodes may set.")
+	malformedMetric       = defineMetric("pollengauge_malformed_total", CounterKind, unitCount, "Messages, headers and answers that could not be read, by source.", "source")
+	unauthenticatedMetric = defineMetric("pollengauge_strangers_total", CounterKind, unitCount, "Requests without the key of a customer, by the reason given to their callers.", "reason")
+	quotasMetric          = defineMetric("pollengauge_quota_requests_total", CounterKind, unitCount, "Requests of customers with a limit: taken within it, refused beyond it, or unknown if no member that counts the customer's requests could be queried.", "result")
+	unroutedMetric        = defineMetric("pollengauge_unrouted_total", CounterKind, unitCount, "Requests for which the configuration in force has no route, by the reason given to their callers.", "reason")
+	panicsMetric          = defineMetric("pollengauge_panics_total", CounterKind, unitCount, "Panics recovered while serving.")
+	pipelinedMetric       = defineMetric("pollengauge_requests_begun_early_total", CounterKind, unitCount, "Pipelined requests that were begun before an earlier request on their caller's connection was answered.")
+	spansMetric           = defineMetric("pollengauge_spans_total", CounterKind, unitCount, "Spans handed to the exporter, by result.", "result")
 )
 
 // Process.
 var (
-	infoMetric       = define("pollengauge_node_info", GaugeKind, unitCount, "Always 1; its labels name the node.", "node", "service", "zone")
-	cpuMetric        = define("process_cpu_seconds_total", CounterKind, unitSeconds, "CPU time used by the process, user and system.")
-	memoryMetric     = define("process_resident_memory_bytes", GaugeKind, unitBytes, "Resident memory of the process.")
-	goroutinesMetric = define("go_goroutines", GaugeKind, unitCount, "Goroutines that exist.")
+	infoMetric       = defineMetric("pollengauge_node_info", GaugeKind, unitCount, "Always 1; its labels name the node.", "node", "service", "zone")
+	cpuMetric        = defineMetric("process_cpu_seconds_total", CounterKind, unitSeconds, "CPU time used by the process, user and system.")
+	memoryMetric     = defineMetric("process_resident_memory_bytes", GaugeKind, unitBytes, "Resident memory of the process.")
+	goroutinesMetric = defineMetric("go_goroutines", GaugeKind, unitCount, "Goroutines that exist.")
 )
--- a/observe/profile_metrics.go
+++ b/observe/profile_metrics.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	outcomes = int(call.Complete) + 1
+	outcomeCount = int(call.Complete) + 1
 	// noReason is the label value of a complete answer.
 	noReason = "none"
 )
@@ -36,7 +36,7 @@
 	LevelBelow                           metrics.Gauge
 
 	name    string
-	calls   [outcomes][]metrics.Counter
+	calls   [outcomeCount][]metrics.Counter
 	refused []metrics.Counter
 
 	retries Counters
@@ -62,17 +62,18 @@
 		retries:    m.retries,
 		verdicts:   make(map[string]metrics.Counter),
 	}
-	for o := range outcomes {
-		p.calls[o] = byReason(func(reason string) metrics.Counter {
+	for o := range outcomeCount {
+		p.calls[o] = countersByReason(func(reason string) metrics.Counter {
 			return m.calls.With(name, call.Outcome(o).String(), reason)
 		})
 	}
-	p.refused = byReason(func(reason string) metrics.Counter { return m.refused.With(name, reason) })
+	p.refused = countersByReason(func(reason string) metrics.Counter { return m.refused.With(name, reason) })
 	return p
 }
 
-// byReason creates one counter for each index of reasonIndex, and one for index 0.
-func byReason(counter func(reason string) metrics.Counter) []metrics.Counter {
+// countersByReason creates one counter for each index of reasonIndex, and one for
+// index 0.
+func countersByReason(counter func(reason string) metrics.Counter) []metrics.Counter {
 	counters := make([]metrics.Counter, len(reasonIndex)+1)
 	counters[0] = counter(other)
 	for reason, i := range reasonIndex {
@@ -89,7 +90,7 @@
 
 // Call counts a call that was answered.
 func (p *ProfileMetrics) Call(outcome call.Outcome, reason call.Reason) {
-	if int(outcome) >= outcomes {
+	if int(outcome) >= outcomeCount {
 		outcome = call.Unknown
 	}
 	p.calls[outcome][reasonIndex[reason]].Inc(1)
--- a/observe/reasoning.go
+++ b/observe/reasoning.go
@@ -7,12 +7,12 @@
 	"pollengauge.dev/call"
 )
 
-// reasoning returns sentences on the verdict, its cause, and a possible remedy.
-func reasoning(steps []step, refusals []Hop) []string {
+// explanation returns sentences on the verdict, its cause, and a possible remedy.
+func explanation(steps []step, refusals []Hop) []string {
 	top := steps[0]
-	decider := deciding(steps)
+	decider := decidingStep(steps)
 	if top.Outcome == call.Complete {
-		return completed(steps, decider)
+		return explainComplete(steps, decider)
 	}
 	sentences := []string{"Verdict: " + top.Outcome.String() + ". " + outcomeMeaning(top.Outcome)}
 	if decider < 0 {
@@ -20,81 +20,81 @@
 	}
 	s := steps[decider]
 	advice := AdviceFor(s.Reason)
-	sentences = append(sentences, "Why: "+where(s)+" "+verb(s)+" because "+printable(advice.Cause)+".")
-	sentences = append(sentences, figures(s)...)
+	sentences = append(sentences, "Why: "+describeHop(s)+" "+decisionVerb(s)+" because "+printable(advice.Cause)+".")
+	sentences = append(sentences, decisionFigures(s)...)
 	if s.Reason == call.ReasonLevelBelow {
-		sentences = append(sentences, shedders(s, refusals))
+		sentences = append(sentences, sheddingServices(s, refusals))
 	}
 	if s.Depth > top.Depth {
 		sentences = append(sentences, "The hops above passed that answer on; they had let the request through.")
 	}
-	sentences = append(sentences, notTriedAgain(steps)...)
-	if heldUpBelow(s) {
+	sentences = append(sentences, noRetryReason(steps)...)
+	if blockedDownstream(s) {
 		return append(sentences, "What to change: look below first. Most calls in flight at "+printable(s.Service)+
 			" only wait for calls to deeper services; capacity here would not help.")
 	}
 	return append(sentences, "What to change: "+advice.Action)
 }
 
-// heldUpBelow reports whether the service refused the request for lack of
+// blockedDownstream reports whether the service refused the request for lack of
 // capacity while more than half of its calls in flight waited for calls to
 // downstream services.
-func heldUpBelow(s step) bool { return shedsItself(s.Hop) && s.Blocked*2 > s.InFlight }
+func blockedDownstream(s step) bool { return refusedByOwnGate(s.Hop) && s.Blocked*2 > s.InFlight }
 
-func blocked(s step) string {
+func blockedNote(s step) string {
 	if s.Blocked == 0 {
 		return ""
 	}
 	return ", " + strconv.Itoa(s.Blocked) + " of them waiting for calls below"
 }
 
-func completed(steps []step, decider int) []string {
+func explainComplete(steps []step, decider int) []string {
 	sentences := []string{"Verdict: complete. " + outcomeMeaning(call.Complete)}
 	if decider >= 0 && steps[decider].Outcome != call.Complete {
-		return append(sentences, failedBelow(steps[0], steps[decider])...)
+		return append(sentences, explainDownstreamFailure(steps[0], steps[decider])...)
 	}
-	if i := firstStored(steps); i >= 0 {
-		return append(sentences, stored(steps[i])...)
+	if i := firstStoredAnswer(steps); i >= 0 {
+		return append(sentences, explainStoredAnswer(steps[i])...)
 	}
-	if n := refusals(steps); n > 0 {
+	if n := countRefusedAttempts(steps); n > 0 {
 		sentences = append(sentences, "Refused attempts on the way: "+strconv.Itoa(n)+", each not run and tried again within the retry credit.")
 	}
 	if decider < 0 {
 		return append(sentences, "Why: no hop held it back; each admitted it at or above its admission level.")
 	}
 	s := steps[decider]
-	sentences = append(sentences, "Delayed most by "+where(s)+", for "+shortDuration(s.Waited)+".")
-	sentences = append(sentences, figures(s)...)
+	sentences = append(sentences, "Delayed most by "+describeHop(s)+", for "+shortDuration(s.Waited)+".")
+	sentences = append(sentences, decisionFigures(s)...)
 	return append(sentences, "What to change: add capacity to "+printable(s.Service)+" if such waits last; a shorter wait in the profile refuses instead.")
 }
 
-// stored explains a stored answer, for which nothing was run.
-func stored(s step) []string {
-	given := "The answer is a stored one, given by " + where(s) + "."
+// explainStoredAnswer explains a stored answer, for which nothing was run.
+func explainStoredAnswer(s step) []string {
+	given := "The answer is a stored one, given by " + describeHop(s) + "."
 	if s.Decision == Replayed {
 		return []string{given, "Why: the same idempotency key came before and ran; this is its answer."}
 	}
 	return []string{
 		given,
 		"Why: it would have been refused, and its profile takes a stored answer in place of a refusal (brownout). " +
-			"Figures: " + levels(s.Level, s.LevelBelow, "in force at this or a deeper hop") + ".",
+			"Figures: " + compareLevels(s.Level, s.LevelBelow, "in force at this or a deeper hop") + ".",
 		"What to change: add capacity to the service that sheds; brownout.maxAge bounds the age, and 0s refuses instead.",
 	}
 }
 
-// failedBelow explains an error response of the upstream that followed a call
-// downstream which did not complete.
-func failedBelow(top, s step) []string {
+// explainDownstreamFailure explains an error response of the upstream that
+// followed a call downstream which did not complete.
+func explainDownstreamFailure(top, s step) []string {
 	advice := AdviceFor(s.Reason)
 	sentences := []string{
 		"The upstream answered with status " + strconv.Itoa(top.Status) + " after a call below ended " + s.Outcome.String() + ".",
-		"Why: " + where(s) + " " + verb(s) + " because " + printable(advice.Cause) + ".",
+		"Why: " + describeHop(s) + " " + decisionVerb(s) + " because " + printable(advice.Cause) + ".",
 	}
-	sentences = append(sentences, figures(s)...)
+	sentences = append(sentences, decisionFigures(s)...)
 	return append(sentences, "What to change: "+advice.Action)
 }
 
-func refusals(steps []step) int {
+func countRefusedAttempts(steps []step) int {
 	n := 0
 	for _, s := range steps {
 		if s.Kind == Attempt && s.Outcome == call.NotRun {
@@ -104,10 +104,10 @@
 	return n
 }
 
-// where describes the hop by service, kind, node and zone. For outbound calls and
-// attempts it says that the hop is a call, since they take place on the caller's
-// node.
-func where(s step) string {
+// describeHop describes the hop by service, kind, node and zone. For outbound calls
+// and attempts it says that the hop is a call, since they take place on the
+// caller's node.
+func describeHop(s step) string {
 	text := printable(s.Service)
 	if s.Kind == Outbound || s.Kind == Attempt {
 		text = "the call to " + text
@@ -119,7 +119,7 @@
 	return text + ")"
 }
 
-func verb(s step) string {
+func decisionVerb(s step) string {
 	switch {
 	case s.Decision == Refused:
 		return "refused it"
@@ -129,14 +129,14 @@
 	return "left its fate unknown"
 }
 
-// figures lists the numbers behind the decision of the hop.
-func figures(s step) []string {
+// decisionFigures lists the numbers behind the decision of the hop.
+func decisionFigures(s step) []string {
 	var parts []string
 	switch s.Reason {
 	case call.ReasonLevel:
-		parts = append(parts, levels(s.Level, s.AdmitLevel, "in force there"))
+		parts = append(parts, compareLevels(s.Level, s.AdmitLevel, "in force there"))
 	case call.ReasonLevelBelow:
-		parts = append(parts, levels(s.Level, s.LevelBelow, "in force at a deeper hop"))
+		parts = append(parts, compareLevels(s.Level, s.LevelBelow, "in force at a deeper hop"))
 	default:
 		parts = append(parts, "its level was "+s.Level.String()+" and "+s.AdmitLevel.String()+" was in force there")
 	}
@@ -144,16 +144,16 @@
 	if s.Limit > 0 {
 		// Only the step directly in front of the upstream knows the limit and the queue.
 		parts = append(parts,
-			strconv.Itoa(s.InFlight)+" in flight of a limit of "+strconv.Itoa(s.Limit)+blocked(s),
+			strconv.Itoa(s.InFlight)+" in flight of a limit of "+strconv.Itoa(s.Limit)+blockedNote(s),
 			strconv.Itoa(s.Queue)+" in the queue")
 	}
 	parts = append(parts, "load "+perMille(s.Load))
 	return []string{"Figures: " + strings.Join(parts, "; ") + "."}
 }
 
-// levels compares a request's level with the admission level in force. Within
+// compareLevels compares a request's level with the admission level in force. Within
 // one priority the tie-break decides, so only part of its requests are refused.
-func levels(request, inForce call.Level, place string) string {
+func compareLevels(request, inForce call.Level, place string) string {
 	relation := "not below"
 	if request < inForce {
 		relation = "below"
--- a/observe/ring_test.go
+++ b/observe/ring_test.go
@@ -65,7 +65,7 @@
 // error.
 func TestHopJSON(t *testing.T) {
 	c := qt.New(t)
-	for _, h := range append(refusedDeep(), Hop{}) {
+	for _, h := range append(refusedDownstream(), Hop{}) {
 		h.Key = RedactKey("a-key-that-opens-an-answer")
 		text, err := json.Marshal(h)
 		c.Assert(err, qt.IsNil)
@@ -88,7 +88,7 @@
 	m := NewMetrics(MetricsConfig{})
 	p := m.Profile("tracking")
 	p.Retry("allowed")
-	h := refusedDeep()[0]
+	h := refusedDownstream()[0]
 	allocs := testing.AllocsPerRun(1000, func() {
 		h.SpanID = NewSpanID()
 		r.Add(h)
--- a/observe/screens_test.go
+++ b/observe/screens_test.go
@@ -17,7 +17,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-func golden(c *qt.C, name, got string) {
+func assertGolden(c *qt.C, name, got string) {
 	path := filepath.Join("testdata", name)
 	if *update {
 		c.Assert(os.WriteFile(path, []byte(got), 0o644), qt.IsNil)
@@ -27,10 +27,10 @@
 	c.Assert(got, qt.Equals, string(want))
 }
 
-// refusedDeep returns the hops of a status check that the portal admitted and two
-// nodes of the downstream registry refused, one attempt each. The clock of the
+// refusedDownstream returns the hops of a status check that the portal admitted and
+// two nodes of the downstream registry refused, one attempt each. The clock of the
 // registry's VMs is two seconds behind.
-func refusedDeep() []Hop {
+func refusedDownstream() []Hop {
 	start := time.Date(2026, 12, 2, 9, 30, 0, 0, time.UTC)
 	trace := TraceID{0x4b, 0xf9, 15: 0x36}
 	level := call.MakeLevel(4, 17)
@@ -65,19 +65,19 @@
 // A tenant's status check failed with 503. The screen must identify the downstream
 // hop that refused it and show the hops in call order, although they arrive in any
 // order and the clocks of the VMs differ.
-func TestExplainRefusedDeep(t *testing.T) {
+func TestExplainRefusedDownstream(t *testing.T) {
 	c := qt.New(t)
-	hops := refusedDeep()
+	hops := refusedDownstream()
 	text := Explain(hops, ExplainOptions{Unreachable: []string{"van-3"}})
-	golden(c, "refused_deep.txt", text)
+	assertGolden(c, "refused_deep.txt", text)
 	slices.Reverse(hops)
 	c.Assert(Explain(hops, ExplainOptions{Unreachable: []string{"van-3"}}), qt.Equals, text)
 	for _, width := range []int{40, 80, 100} {
-		c.Assert(longest(Explain(hops, ExplainOptions{Width: width})) <= max(width, 80), qt.IsTrue, qt.Commentf("%d", width))
+		c.Assert(longestLine(Explain(hops, ExplainOptions{Width: width})) <= max(width, 80), qt.IsTrue, qt.Commentf("%d", width))
 	}
 }
 
-func longest(text string) int {
+func longestLine(text string) int {
 	longest := 0
 	for line := range strings.Lines(text) {
 		longest = max(longest, utf8.RuneCountInString(strings.TrimSuffix(line, "\n")))
@@ -90,7 +90,7 @@
 func TestExplainVerdicts(t *testing.T) {
 	c := qt.New(t)
 	edit := func(change func(hops []Hop)) string {
-		hops := refusedDeep()
+		hops := refusedDownstream()
 		change(hops)
 		return Explain(hops, ExplainOptions{Width: 200})
 	}
@@ -120,9 +120,9 @@
 	c.Assert(early, qt.Contains, "customer-portal (root hop on node portal-1, zone us-northeast-b) refused it because a deeper hop would")
 	c.Assert(early, qt.Contains, "its level 4.017 is below 16.000 in force at a deeper hop (priority 4 against 16)")
 	c.Assert(early, qt.Contains, "Which hop: no node that was asked still holds a refusal")
-	held := edit(func(hops []Hop) { hops[3].Blocked, hops[5].Blocked = 39, 39 })
-	c.Assert(held, qt.Contains, "40 in flight of a limit of 40, 39 of them waiting for calls below;")
-	c.Assert(held, qt.Contains, "What to change: look below first.")
+	waiting := edit(func(hops []Hop) { hops[3].Blocked, hops[5].Blocked = 39, 39 })
+	c.Assert(waiting, qt.Contains, "40 in flight of a limit of 40, 39 of them waiting for calls below;")
+	c.Assert(waiting, qt.Contains, "What to change: look below first.")
 	part := edit(func(hops []Hop) {
 		hops[3].AdmitLevel, hops[5].AdmitLevel = call.MakeLevel(4, 90), call.MakeLevel(4, 90)
 	})
@@ -145,8 +145,8 @@
 		hops[0].Outcome, hops[0].Reason, hops[0].Limit = call.Unknown, call.ReasonKeyHomeGone, 0
 	})
 	c.Assert(gone, qt.Not(qt.Contains), "of a limit of 0")
-	spent := edit(func(hops []Hop) { hops[0].Ended, hops[1].Ended = "deeper", "no-credit" })
-	c.Assert(spent, qt.Contains, "Not tried again, after 1 extra attempts in the whole chain: the retry credit of the request was used up")
+	noCredit := edit(func(hops []Hop) { hops[0].Ended, hops[1].Ended = "deeper", "no-credit" })
+	c.Assert(noCredit, qt.Contains, "Not tried again, after 1 extra attempts in the whole chain: the retry credit of the request was used up")
 	mixed := edit(func(hops []Hop) { hops[3].ConfigVersion = 2 })
 	c.Assert(mixed, qt.Contains, "version 0 at customer-portal on node portal-1, 2 at property-registry on node registry-2.")
 }
@@ -158,14 +158,14 @@
 // from a drain must not count: they say nothing about the level.
 func TestExplainNamesTheServiceThatSheds(t *testing.T) {
 	c := qt.New(t)
-	root := refusedDeep()[0]
+	root := refusedDownstream()[0]
 	root.Decision, root.Reason, root.LevelBelow = Refused, call.ReasonLevelBelow, call.MakeLevel(9, 0)
 	profile, ok := ShedBelow([]Hop{root})
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(profile, qt.Equals, "status")
-	_, ok = ShedBelow(refusedDeep())
+	_, ok = ShedBelow(refusedDownstream())
 	c.Assert(ok, qt.IsFalse)
-	refusals := append(refusedDeep(), refusedDeep()[3], refusedDeep()[3], refusedDeep()[3])
+	refusals := append(refusedDownstream(), refusedDownstream()[3], refusedDownstream()[3], refusedDownstream()[3])
 	refusals[6].At = root.At.Add(-time.Minute)
 	refusals[6].Service = "past"
 	refusals[7].Reason, refusals[7].Service = call.ReasonDraining, "leaving"
@@ -179,8 +179,8 @@
 func TestExplainBrokenChains(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(Explain(nil, ExplainOptions{Unreachable: []string{"n1"}}), qt.Contains, "Not asked, because they could not be reached: n1")
-	c.Assert(Explain(refusedDeep()[3:4], ExplainOptions{}), qt.Contains, "the chain is not whole")
-	ring := refusedDeep()[:2]
+	c.Assert(Explain(refusedDownstream()[3:4], ExplainOptions{}), qt.Contains, "the chain is not whole")
+	ring := refusedDownstream()[:2]
 	ring[0].ParentSpanID = ring[1].SpanID
 	ring[0].Node, ring[1].Reason, ring[1].Service = "\x1b[2J\n", "\x1b", "\u009b"
 	text := Explain(ring, ExplainOptions{})
@@ -216,10 +216,10 @@
 	c := qt.New(t)
 	options := TopOptions{Previous: topNodes(0, 10), Now: time.Unix(1002, 0), Unreachable: []string{"van-3"}}
 	now := topNodes(2*time.Second, 30)
-	golden(c, "top.txt", RenderTop(now, options))
+	assertGolden(c, "top.txt", RenderTop(now, options))
 	for _, width := range []int{60, 80, 100} {
 		options.Width = width
-		c.Assert(longest(RenderTop(now, options)) <= width, qt.IsTrue, qt.Commentf("%d:\n%s", width, RenderTop(now, options)))
+		c.Assert(longestLine(RenderTop(now, options)) <= width, qt.IsTrue, qt.Commentf("%d:\n%s", width, RenderTop(now, options)))
 	}
 	options.Height = 12
 	short := RenderTop(now, options)
--- a/observe/shedders.go
+++ b/observe/shedders.go
@@ -22,32 +22,32 @@
 // ExplainOptions.Refusals.
 func ShedBelow(hops []Hop) (profile string, ok bool) {
 	steps := chain(hops)
-	i := deciding(steps)
+	i := decidingStep(steps)
 	if i < 0 || steps[i].Reason != call.ReasonLevelBelow {
 		return "", false
 	}
 	return steps[i].Profile, true
 }
 
-// shedding is the summary of the refusals of one service.
-type shedding struct {
+// refusalSummary is the summary of the refusals of one service.
+type refusalSummary struct {
 	count   int
 	nodes   map[string]bool
 	highest call.Level
 }
 
-// shedders returns a sentence with the services whose own admission control
+// sheddingServices returns a sentence with the services whose own admission control
 // refused requests of the profile at about the time of s, with the number of
 // refusals and nodes and the highest level of each.
-func shedders(s step, refusals []Hop) string {
-	services := make(map[string]*shedding)
+func sheddingServices(s step, refusals []Hop) string {
+	services := make(map[string]*refusalSummary)
 	for _, h := range refusals {
-		if !shedsItself(h) || h.At.Sub(s.At).Abs() > shedWindow {
+		if !refusedByOwnGate(h) || h.At.Sub(s.At).Abs() > shedWindow {
 			continue
 		}
 		found := services[h.Service]
 		if found == nil {
-			found = &shedding{nodes: make(map[string]bool)}
+			found = &refusalSummary{nodes: make(map[string]bool)}
 			services[h.Service] = found
 		}
 		found.count++
@@ -66,9 +66,9 @@
 	return "Which hop: requests of this profile were refused in the seconds around it by " + strings.Join(parts, ", ") + "."
 }
 
-// shedsItself reports whether the hop's own admission control refused the call,
+// refusedByOwnGate reports whether the hop's own admission control refused the call,
 // as opposed to a refusal that was passed on.
-func shedsItself(h Hop) bool {
+func refusedByOwnGate(h Hop) bool {
 	if h.Kind != Inbound || h.Decision != Refused {
 		return false
 	}
--- a/observe/top.go
+++ b/observe/top.go
@@ -51,7 +51,7 @@
 	}
 	text := "pollengauge top  " + options.Now.UTC().Format(time.TimeOnly) +
 		"  nodes " + strconv.Itoa(len(nodes)) + "  draining " + strconv.Itoa(draining) +
-		"  config " + versions(low, high)
+		"  config " + versionRange(low, high)
 	lines := wrap(text, "  ", options.Width)
 	if len(options.Unreachable) > 0 {
 		names := printable(strings.Join(options.Unreachable, ", "))
@@ -60,9 +60,9 @@
 	return lines
 }
 
-// versions formats the configuration version of the nodes, or the range of
+// versionRange formats the configuration version of the nodes, or the range of
 // versions while a change spreads.
-func versions(low, high uint64) string {
+func versionRange(low, high uint64) string {
 	text := strconv.FormatUint(low, 10)
 	if low == high {
 		return text
--- a/observe/top_nodes.go
+++ b/observe/top_nodes.go
@@ -34,12 +34,12 @@
 		rows = append(rows, nodeRow(n))
 	}
 	lines := renderTable(nodeColumns, rows, options.Width)
-	room := max(1, options.Height-used)
-	if options.Height <= 0 || len(lines) <= room {
+	available := max(1, options.Height-used)
+	if options.Height <= 0 || len(lines) <= available {
 		return lines
 	}
-	kept := max(1, room-1)
-	return append(lines[:kept], "and "+strconv.Itoa(len(lines)-kept)+" more nodes")
+	shown := max(1, available-1)
+	return append(lines[:shown], "and "+strconv.Itoa(len(lines)-shown)+" more nodes")
 }
 
 func nodeRow(n NodeStatus) []string {
@@ -58,8 +58,8 @@
 	}
 }
 
-// shownID is the number of characters of a node's id on the screen, the same as
+// shownIDLength is the number of characters of a node's id on the screen, the same as
 // in Hop.Target. A complete id has 32 characters and would displace other columns.
-const shownID = 12
+const shownIDLength = 12
 
-func shortID(id string) string { return id[:min(shownID, len(id))] }
+func shortID(id string) string { return id[:min(shownIDLength, len(id))] }
--- a/observe/trace.go
+++ b/observe/trace.go
@@ -109,15 +109,15 @@
 func ParseTrace(header string) (Trace, error) {
 	var t Trace
 	var version, flags [1]byte
-	if !traceParentShape(header) {
+	if !hasTraceParentShape(header) {
 		return Trace{}, &TraceParentError{Value: header}
 	}
 	ok := lowerHex(version[:], header[:traceIDStart-1]) &&
 		lowerHex(t.TraceID[:], header[traceIDStart:traceIDEnd]) &&
 		lowerHex(t.SpanID[:], header[spanIDStart:spanIDEnd]) &&
 		lowerHex(flags[:], header[flagsStart:traceParentLength])
-	const futureOnly = 0xff
-	if !ok || version[0] == futureOnly || t.TraceID.IsZero() || t.SpanID.IsZero() {
+	const invalidVersion = 0xff
+	if !ok || version[0] == invalidVersion || t.TraceID.IsZero() || t.SpanID.IsZero() {
 		return Trace{}, &TraceParentError{Value: header}
 	}
 	if version[0] == 0 && len(header) != traceParentLength {
@@ -127,10 +127,10 @@
 	return t, nil
 }
 
-// traceParentShape checks the length and the dashes. Versions after 00 may append
+// hasTraceParentShape checks the length and the dashes. Versions after 00 may append
 // further fields after a dash.
-func traceParentShape(header string) bool {
-	if len(header) < traceParentLength || len(header) > maxShown {
+func hasTraceParentShape(header string) bool {
+	if len(header) < traceParentLength || len(header) > maxShownBytes {
 		return false
 	}
 	if len(header) > traceParentLength && header[traceParentLength] != '-' {
--- a/observe/trace_test.go
+++ b/observe/trace_test.go
@@ -62,7 +62,7 @@
 	defer server.Close()
 	e, err := NewExporter(context.Background(), ExporterConfig{Endpoint: server.URL, Node: "pr-2"})
 	c.Assert(err, qt.IsNil)
-	hops := refusedDeep()
+	hops := refusedDownstream()
 	for _, h := range hops {
 		e.Add(h)
 		h.Sampled = false
@@ -88,7 +88,7 @@
 	sink := blockingProcessor{SpanProcessor: sdktrace.NewSimpleSpanProcessor(tracetest.NewInMemoryExporter()), release: release}
 	e := newExporter(ExporterConfig{Queue: 2}, sdktrace.WithSpanProcessor(sink))
 	for range 100 {
-		e.Add(refusedDeep()[0])
+		e.Add(refusedDownstream()[0])
 	}
 	queued, dropped := e.Counts()
 	c.Assert(queued+dropped, qt.Equals, int64(100))
@@ -114,14 +114,14 @@
 	defer server.Close()
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	var told error
-	e, err := NewExporter(context.Background(), ExporterConfig{Endpoint: server.URL, OnError: func(err error) { told = err }})
+	var reported error
+	e, err := NewExporter(context.Background(), ExporterConfig{Endpoint: server.URL, OnError: func(err error) { reported = err }})
 	c.Assert(err, qt.IsNil)
-	e.Add(refusedDeep()[0])
+	e.Add(refusedDownstream()[0])
 	c.Assert(e.Shutdown(context.Background()), qt.IsNil)
-	c.Assert(told, qt.ErrorAs, new(*ExportError))
+	c.Assert(reported, qt.ErrorAs, new(*ExportError))
 	hanging, err := NewExporter(context.Background(), ExporterConfig{Endpoint: server.URL})
 	c.Assert(err, qt.IsNil)
-	hanging.Add(refusedDeep()[0])
+	hanging.Add(refusedDownstream()[0])
 	c.Assert(hanging.Shutdown(ended), qt.ErrorAs, new(*ExportError))
 }
