--- a/observe/export.go
+++ b/observe/export.go
@@ -74,8 +74,8 @@
 	return newExporter(config, sdktrace.WithBatcher(sink, sdktrace.WithBlocking())), nil
 }
 
-// reportingExporter tells of failures. Without it they would go to the
-// library's global handler, which prints lines that have no event number.
+// reportingExporter reports export errors to onError. Without it they would go to
+// the library's global handler, which prints lines without an event number.
 type reportingExporter struct {
 	sdktrace.SpanExporter
 	endpoint string
