--- a/observe/chain.go
+++ b/observe/chain.go
@@ -75,8 +75,8 @@
 // decidingStep returns the index of the step that explains the request's outcome,
 // or -1 if there is none: the last of the most downstream steps with the outcome
 // and reason of the response. For a complete response it is the last of the most
-// downstream steps without complete outcome if the status is a server error, and
-// otherwise the step with the longest wait.
+// downstream steps whose outcome is not complete if the status is a server error,
+// and otherwise the step with the longest wait.
 func decidingStep(steps []step) int {
 	if len(steps) == 0 {
 		return -1
--- a/observe/decision.go
+++ b/observe/decision.go
@@ -2,8 +2,8 @@
 
 import "hash/fnv"
 
-// DefaultDecisionSample is the default sampling divisor of routine decisions:
-// one request in 64 has them logged.
+// DefaultDecisionSample is the default sampling divisor of routine decisions: they
+// are logged for one request in 64.
 const DefaultDecisionSample = 64
 
 // Rate limits of the log lines on decisions, per node and event. The burst of each
--- a/observe/profile_metrics.go
+++ b/observe/profile_metrics.go
@@ -42,7 +42,7 @@
 	retries Counters
 	mu      sync.RWMutex
 	// verdicts holds the handles of retries by verdict. The verdicts are constants
-	// of package retry, so the map stays small.
+	// of the packages that decide on retries, so the map stays small.
 	verdicts map[string]metrics.Counter
 }
 
--- a/observe/trace.go
+++ b/observe/trace.go
@@ -59,7 +59,7 @@
 type Trace struct {
 	TraceID TraceID
 	SpanID  SpanID
-	// Sampled is set if nodes that export spans record the trace.
+	// Sampled is set if the nodes with an Exporter record the trace.
 	Sampled bool
 }
 
