--- a/observe/bench_test.go
+++ b/observe/bench_test.go
@@ -14,10 +14,11 @@
 	"pollengauge.dev/call"
 )
 
-// BenchmarkHop is what a node does: a span id and a record in the ring.
+// BenchmarkHop measures the work of a node per hop: a new span id and a record in
+// the ring.
 func BenchmarkHop(b *testing.B) {
 	r := NewRing(DefaultRingSize)
-	h := refusedDeep()[0]
+	h := refusedDownstream()[0]
 	b.ReportAllocs()
 	for b.Loop() {
 		h.SpanID = NewSpanID()
@@ -30,7 +31,7 @@
 	ids := [8]string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
-		h := refusedDeep()[0]
+		h := refusedDownstream()[0]
 		for i := 0; pb.Next(); i++ {
 			h.RequestID = ids[i%len(ids)]
 			r.Add(h)
@@ -38,7 +39,7 @@
 	})
 }
 
-// ringProcessor keeps the last spans of the SDK, as Ring does with hops.
+// ringProcessor stores the last spans of the SDK, as Ring does with hops.
 type ringProcessor struct {
 	sdktrace.SpanProcessor
 	mu    sync.Mutex
@@ -55,11 +56,12 @@
 	p.mu.Unlock()
 }
 
-// BenchmarkSDKSpan is the way not chosen: a span of the SDK for every hop.
+// BenchmarkSDKSpan measures the alternative to BenchmarkHop that the package
+// doesn't use: a span of the OpenTelemetry SDK for every hop.
 func BenchmarkSDKSpan(b *testing.B) {
 	e := newExporter(ExporterConfig{}, sdktrace.WithSpanProcessor(&ringProcessor{}))
 	defer func() { _ = e.Shutdown(context.Background()) }()
-	h := refusedDeep()[0]
+	h := refusedDownstream()[0]
 	b.ReportAllocs()
 	for b.Loop() {
 		e.record(h)
@@ -122,7 +124,8 @@
 	}
 }
 
-// BenchmarkNewRing and BenchmarkNewHistogram tell by B/op what each holds.
+// BenchmarkNewRing and BenchmarkNewHistogram show the memory of a ring and of a
+// histogram as B/op.
 func BenchmarkNewRing(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
--- a/observe/explain.go
+++ b/observe/explain.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// DefaultWidth is the width of screens in characters when none is given.
+// DefaultWidth is the default width of screens in characters.
 const DefaultWidth = 120
 
 // ExplainOptions configures Explain.
 type ExplainOptions struct {
 	// Width is the greatest length of a line (0: DefaultWidth).
 	Width int
-	// Unreachable names nodes that could not be asked for their hops. The
-	// screen says that hops may be missing because of them.
+	// Unreachable names the nodes that could not be queried for their hops. The
+	// screen warns that hops may be missing.
 	Unreachable []string
 	// Refusals are hops that refused other requests of the same profile. They
-	// name the service behind a refusal at the root; see ShedBelow.
+	// identify the downstream service that caused a refusal at the root; see
+	// ShedBelow.
 	Refusals []Hop
 }
 
-// Explain tells in one screen why one request was admitted, delayed or
-// refused. The hops may come from several nodes and in any order.
+// Explain renders one screen on why a request was admitted, delayed or refused.
+// The hops may come from several nodes and in any order.
 func Explain(hops []Hop, options ExplainOptions) string {
 	if options.Width <= 0 {
 		options.Width = DefaultWidth
 	}
 	if len(hops) == 0 {
-		return strings.Join(append([]string{"No hop of this request is held any more."}, unreachable(options)...), "\n") + "\n"
+		return strings.Join(append([]string{"No hop of this request is held any more."}, unreachableNote(options)...), "\n") + "\n"
 	}
 	steps := chain(hops)
 	lines := heading(steps)
@@ -40,11 +41,11 @@
 	lines = append(lines, "")
 	lines = append(lines, renderTable(explainColumns, explainRows(steps), options.Width)...)
 	lines = append(lines, "")
-	for _, sentence := range reasoning(steps, options.Refusals) {
+	for _, sentence := range explanation(steps, options.Refusals) {
 		lines = append(lines, wrap(sentence, "  ", options.Width)...)
 	}
-	lines = append(lines, gaps(steps)...)
-	lines = append(lines, unreachable(options)...)
+	lines = append(lines, orphanNote(steps)...)
+	lines = append(lines, unreachableNote(options)...)
 	return strings.Join(lines, "\n") + "\n"
 }
 
@@ -58,9 +59,10 @@
 	return []string{first, second}
 }
 
-// configVersions tells that the nodes did not decide under one profile set, or
-// nothing. A node that can't be reached by a change, as in an outage of the
-// platform, decides under the last one that it heard of.
+// configVersions lists the configuration versions under which the nodes decided
+// if they differ, and returns "" if they agree. A node that a change can't reach,
+// for example during an outage of the platform, decides under the last version
+// that it received.
 func configVersions(steps []step) string {
 	nodes := make(map[uint64]string)
 	for _, s := range steps {
@@ -78,7 +80,7 @@
 	return "Decided under different configurations: version " + strings.Join(parts, ", ") + "."
 }
 
-func gaps(steps []step) []string {
+func orphanNote(steps []step) []string {
 	for _, s := range steps {
 		if s.orphan {
 			return []string{"Hops marked ? have a parent that no node holds any more: the chain is not whole."}
@@ -87,7 +89,7 @@
 	return nil
 }
 
-func unreachable(options ExplainOptions) []string {
+func unreachableNote(options ExplainOptions) []string {
 	if len(options.Unreachable) == 0 {
 		return nil
 	}
--- a/observe/profile_metrics.go
+++ b/observe/profile_metrics.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	outcomes = int(call.Complete) + 1
+	outcomeCount = int(call.Complete) + 1
 	// noReason is the label value of a complete answer.
 	noReason = "none"
 )
 
-// reasonIndex gives each known reason its index in the arrays of counters.
-// Index 0 is for reasons that this version doesn't know.
+// reasonIndex maps each known reason to its index in the slices of counters.
+// Index 0 counts reasons that this version doesn't know.
 var reasonIndex = makeReasonIndex()
 
 func makeReasonIndex() map[call.Reason]int {
@@ -36,13 +36,13 @@
 	LevelBelow                           metrics.Gauge
 
 	name    string
-	calls   [outcomes][]metrics.Counter
+	calls   [outcomeCount][]metrics.Counter
 	refused []metrics.Counter
 
 	retries Counters
 	mu      sync.RWMutex
-	// verdicts holds the handles of retries by verdict. The verdicts are the
-	// constants of the package that decides on retries, so it stays small.
+	// verdicts holds the handles of retries by verdict. The verdicts are constants
+	// of the packages that decide on retries, so the map stays small.
 	verdicts map[string]metrics.Counter
 }
 
@@ -62,17 +62,18 @@
 		retries:    m.retries,
 		verdicts:   make(map[string]metrics.Counter),
 	}
-	for o := range outcomes {
-		p.calls[o] = byReason(func(reason string) metrics.Counter {
+	for o := range outcomeCount {
+		p.calls[o] = countersByReason(func(reason string) metrics.Counter {
 			return m.calls.With(name, call.Outcome(o).String(), reason)
 		})
 	}
-	p.refused = byReason(func(reason string) metrics.Counter { return m.refused.With(name, reason) })
+	p.refused = countersByReason(func(reason string) metrics.Counter { return m.refused.With(name, reason) })
 	return p
 }
 
-// byReason makes one counter for each index of reasonIndex.
-func byReason(counter func(reason string) metrics.Counter) []metrics.Counter {
+// countersByReason creates one counter for each index of reasonIndex, and one for
+// index 0.
+func countersByReason(counter func(reason string) metrics.Counter) []metrics.Counter {
 	counters := make([]metrics.Counter, len(reasonIndex)+1)
 	counters[0] = counter(other)
 	for reason, i := range reasonIndex {
@@ -84,12 +85,12 @@
 	return counters
 }
 
-// Name returns the profile's name, or "other" for those over the bound.
+// Name returns the profile's name, or "other" for profiles over maxProfiles.
 func (p *ProfileMetrics) Name() string { return p.name }
 
 // Call counts a call that was answered.
 func (p *ProfileMetrics) Call(outcome call.Outcome, reason call.Reason) {
-	if int(outcome) >= outcomes {
+	if int(outcome) >= outcomeCount {
 		outcome = call.Unknown
 	}
 	p.calls[outcome][reasonIndex[reason]].Inc(1)
@@ -112,14 +113,15 @@
 	counter.Inc(1)
 }
 
-// ProfileCounts are totals of a profile since the process began.
+// ProfileCounts holds the totals of a profile since the process started, and
+// percentiles of its recent call times.
 type ProfileCounts struct {
 	Complete, NotRun, Unknown int64
 	Stale, Spent              int64
 	P50, P99                  time.Duration
 }
 
-// Counts returns the totals and the recent percentiles of the call time.
+// Counts returns the totals of the profile and its recent call time percentiles.
 func (p *ProfileMetrics) Counts() ProfileCounts {
 	const median, tail = 50, 99
 	return ProfileCounts{
--- a/observe/screens_test.go
+++ b/observe/screens_test.go
@@ -15,9 +15,9 @@
 	"pollengauge.dev/call"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-func golden(c *qt.C, name, got string) {
+func assertGolden(c *qt.C, name, got string) {
 	path := filepath.Join("testdata", name)
 	if *update {
 		c.Assert(os.WriteFile(path, []byte(got), 0o644), qt.IsNil)
@@ -27,9 +27,10 @@
 	c.Assert(got, qt.Equals, string(want))
 }
 
-// refusedDeep is a status check that two portals let through and the deepest
-// service refused. The registry's clock is two seconds behind.
-func refusedDeep() []Hop {
+// refusedDownstream returns the hops of a status check that the portal admitted and
+// two nodes of the downstream registry refused, one attempt each. The clock of the
+// registry's VMs is two seconds behind.
+func refusedDownstream() []Hop {
 	start := time.Date(2026, 12, 2, 9, 30, 0, 0, time.UTC)
 	trace := TraceID{0x4b, 0xf9, 15: 0x36}
 	level := call.MakeLevel(4, 17)
@@ -61,22 +62,22 @@
 	return []Hop{root, outbound, first, refusal, second, again}
 }
 
-// A tenant's status check was answered with 503 and the operator asks why. The
-// screen must lead to the deep hop that refused, in the order of the chain,
-// although hops come in any order and the clocks of the VMs differ.
-func TestExplainRefusedDeep(t *testing.T) {
+// A tenant's status check failed with 503. The screen must identify the downstream
+// hop that refused it and show the hops in call order, although they arrive in any
+// order and the clocks of the VMs differ.
+func TestExplainRefusedDownstream(t *testing.T) {
 	c := qt.New(t)
-	hops := refusedDeep()
+	hops := refusedDownstream()
 	text := Explain(hops, ExplainOptions{Unreachable: []string{"van-3"}})
-	golden(c, "refused_deep.txt", text)
+	assertGolden(c, "refused_deep.txt", text)
 	slices.Reverse(hops)
 	c.Assert(Explain(hops, ExplainOptions{Unreachable: []string{"van-3"}}), qt.Equals, text)
 	for _, width := range []int{40, 80, 100} {
-		c.Assert(longest(Explain(hops, ExplainOptions{Width: width})) <= max(width, 80), qt.IsTrue, qt.Commentf("%d", width))
+		c.Assert(longestLine(Explain(hops, ExplainOptions{Width: width})) <= max(width, 80), qt.IsTrue, qt.Commentf("%d", width))
 	}
 }
 
-func longest(text string) int {
+func longestLine(text string) int {
 	longest := 0
 	for line := range strings.Lines(text) {
 		longest = max(longest, utf8.RuneCountInString(strings.TrimSuffix(line, "\n")))
@@ -84,11 +85,12 @@
 	return longest
 }
 
-// Each case is one kind of fate; the words are what an operator acts on.
+// Each case is one kind of outcome. The matched texts are the ones on which
+// operators act.
 func TestExplainVerdicts(t *testing.T) {
 	c := qt.New(t)
 	edit := func(change func(hops []Hop)) string {
-		hops := refusedDeep()
+		hops := refusedDownstream()
 		change(hops)
 		return Explain(hops, ExplainOptions{Width: 200})
 	}
@@ -118,9 +120,9 @@
 	c.Assert(early, qt.Contains, "customer-portal (root hop on node portal-1, zone us-northeast-b) refused it because a deeper hop would")
 	c.Assert(early, qt.Contains, "its level 4.017 is below 16.000 in force at a deeper hop (priority 4 against 16)")
 	c.Assert(early, qt.Contains, "Which hop: no node that was asked still holds a refusal")
-	held := edit(func(hops []Hop) { hops[3].Blocked, hops[5].Blocked = 39, 39 })
-	c.Assert(held, qt.Contains, "40 in flight of a limit of 40, 39 of them waiting for calls below;")
-	c.Assert(held, qt.Contains, "What to change: look below first.")
+	waiting := edit(func(hops []Hop) { hops[3].Blocked, hops[5].Blocked = 39, 39 })
+	c.Assert(waiting, qt.Contains, "40 in flight of a limit of 40, 39 of them waiting for calls below;")
+	c.Assert(waiting, qt.Contains, "What to change: look below first.")
 	part := edit(func(hops []Hop) {
 		hops[3].AdmitLevel, hops[5].AdmitLevel = call.MakeLevel(4, 90), call.MakeLevel(4, 90)
 	})
@@ -143,26 +145,27 @@
 		hops[0].Outcome, hops[0].Reason, hops[0].Limit = call.Unknown, call.ReasonKeyHomeGone, 0
 	})
 	c.Assert(gone, qt.Not(qt.Contains), "of a limit of 0")
-	spent := edit(func(hops []Hop) { hops[0].Ended, hops[1].Ended = "deeper", "no-credit" })
-	c.Assert(spent, qt.Contains, "Not tried again, after 1 extra attempts in the whole chain: the retry credit of the request was used up")
+	noCredit := edit(func(hops []Hop) { hops[0].Ended, hops[1].Ended = "deeper", "no-credit" })
+	c.Assert(noCredit, qt.Contains, "Not tried again, after 1 extra attempts in the whole chain: the retry credit of the request was used up")
 	mixed := edit(func(hops []Hop) { hops[3].ConfigVersion = 2 })
 	c.Assert(mixed, qt.Contains, "version 0 at customer-portal on node portal-1, 2 at property-registry on node registry-2.")
 }
 
-// A browser was refused at the root for a deeper hop. The root's record does
-// not say which one, and its operator has three services below. Others of the
-// profile were refused there at the time; refusals passed on, long past, or by
-// a drain say nothing about the level.
+// A request was refused at the root because a downstream hop would have refused
+// it. The root's record doesn't name the downstream service, and there may be
+// several. The screen must name it from refusals of other requests of the profile
+// at that time. Refusals that were passed on, that are a minute old or that come
+// from a drain must not count: they say nothing about the level.
 func TestExplainNamesTheServiceThatSheds(t *testing.T) {
 	c := qt.New(t)
-	root := refusedDeep()[0]
+	root := refusedDownstream()[0]
 	root.Decision, root.Reason, root.LevelBelow = Refused, call.ReasonLevelBelow, call.MakeLevel(9, 0)
 	profile, ok := ShedBelow([]Hop{root})
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(profile, qt.Equals, "status")
-	_, ok = ShedBelow(refusedDeep())
+	_, ok = ShedBelow(refusedDownstream())
 	c.Assert(ok, qt.IsFalse)
-	refusals := append(refusedDeep(), refusedDeep()[3], refusedDeep()[3], refusedDeep()[3])
+	refusals := append(refusedDownstream(), refusedDownstream()[3], refusedDownstream()[3], refusedDownstream()[3])
 	refusals[6].At = root.At.Add(-time.Minute)
 	refusals[6].Service = "past"
 	refusals[7].Reason, refusals[7].Service = call.ReasonDraining, "leaving"
@@ -170,13 +173,14 @@
 	c.Assert(text, qt.Contains, "refused in the seconds around it by property-registry (3 on 2 nodes, level up to 9.000).")
 }
 
-// Hops come from peers and from rings that forget. Missing parents, parents in
-// a ring and control characters must neither hide a hop nor move the cursor.
+// Hops come from peers, and rings overwrite old hops. Missing parents and cycles
+// of parents must not hide a hop, and control characters must not move the cursor
+// of the operator's terminal.
 func TestExplainBrokenChains(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(Explain(nil, ExplainOptions{Unreachable: []string{"n1"}}), qt.Contains, "Not asked, because they could not be reached: n1")
-	c.Assert(Explain(refusedDeep()[3:4], ExplainOptions{}), qt.Contains, "the chain is not whole")
-	ring := refusedDeep()[:2]
+	c.Assert(Explain(refusedDownstream()[3:4], ExplainOptions{}), qt.Contains, "the chain is not whole")
+	ring := refusedDownstream()[:2]
 	ring[0].ParentSpanID = ring[1].SpanID
 	ring[0].Node, ring[1].Reason, ring[1].Service = "\x1b[2J\n", "\x1b", "\u009b"
 	text := Explain(ring, ExplainOptions{})
@@ -212,21 +216,21 @@
 	c := qt.New(t)
 	options := TopOptions{Previous: topNodes(0, 10), Now: time.Unix(1002, 0), Unreachable: []string{"van-3"}}
 	now := topNodes(2*time.Second, 30)
-	golden(c, "top.txt", RenderTop(now, options))
+	assertGolden(c, "top.txt", RenderTop(now, options))
 	for _, width := range []int{60, 80, 100} {
 		options.Width = width
-		c.Assert(longest(RenderTop(now, options)) <= width, qt.IsTrue, qt.Commentf("%d:\n%s", width, RenderTop(now, options)))
+		c.Assert(longestLine(RenderTop(now, options)) <= width, qt.IsTrue, qt.Commentf("%d:\n%s", width, RenderTop(now, options)))
 	}
 	options.Height = 12
 	short := RenderTop(now, options)
 	c.Assert(strings.Count(short, "\n"), qt.Equals, 12)
 	c.Assert(short, qt.Contains, "and 2 more nodes")
-	// A node that restarted since the last screen counts from zero again.
+	// A node that restarted since the last screen counts from zero and has no rates.
 	now[1].CPU, now[2].CPU = -1, -1
 	c.Assert(RenderTop(now, options), qt.Not(qt.Contains), "property-registry  status")
 	c.Assert(RenderTop(nil, TopOptions{}), qt.Contains, "nodes 0")
-	// Ids as long as real ones leave room for the columns; a profile that had
-	// no call takes no row, one that only a deeper hop would refuse does.
+	// Ids of real length (32 characters) are truncated and don't displace columns.
+	// A profile without calls gets no row, unless a downstream level is known for it.
 	now = topNodes(0, 1)
 	now[0].Node = strings.Repeat("0123456789abcdef", 2)
 	now[0].Profiles[0], now[0].Profiles[1] = ProfileStatus{Name: "closure"}, ProfileStatus{Name: "status", LevelBelow: 1}
--- a/observe/trace_test.go
+++ b/observe/trace_test.go
@@ -17,8 +17,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Callers' own tracing reads what nodes write and the other way round, so the
-// header must mean the same to the OpenTelemetry library.
+// The tracing of callers reads the headers that nodes write and vice versa, so
+// ParseTrace must agree with the OpenTelemetry library on every header.
 func TestTraceParentAgreesWithLibrary(t *testing.T) {
 	c := qt.New(t)
 	headers := []string{
@@ -45,8 +45,8 @@
 	}
 }
 
-// Spans of several nodes join to one trace only if they carry the ids that
-// the headers carried. A collector gets them as OTLP over HTTP.
+// The spans of several nodes form one trace only if they have the ids from the
+// headers. The collector must receive them as OTLP over HTTP.
 func TestExportOverHTTP(t *testing.T) {
 	c := qt.New(t)
 	var mu sync.Mutex
@@ -62,7 +62,7 @@
 	defer server.Close()
 	e, err := NewExporter(context.Background(), ExporterConfig{Endpoint: server.URL, Node: "pr-2"})
 	c.Assert(err, qt.IsNil)
-	hops := refusedDeep()
+	hops := refusedDownstream()
 	for _, h := range hops {
 		e.Add(h)
 		h.Sampled = false
@@ -80,15 +80,15 @@
 	c.Assert(spans[0].GetParentSpanId(), qt.HasLen, 0)
 }
 
-// The collector hangs while the node serves calls. Adding must not wait, and
-// what did not fit must be counted.
+// The collector hangs while the node serves calls. Add must not block, and hops
+// that don't fit in the queue must be counted as dropped.
 func TestHangingCollectorDropsHops(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
 	sink := blockingProcessor{SpanProcessor: sdktrace.NewSimpleSpanProcessor(tracetest.NewInMemoryExporter()), release: release}
 	e := newExporter(ExporterConfig{Queue: 2}, sdktrace.WithSpanProcessor(sink))
 	for range 100 {
-		e.Add(refusedDeep()[0])
+		e.Add(refusedDownstream()[0])
 	}
 	queued, dropped := e.Counts()
 	c.Assert(queued+dropped, qt.Equals, int64(100))
@@ -114,14 +114,14 @@
 	defer server.Close()
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	var told error
-	e, err := NewExporter(context.Background(), ExporterConfig{Endpoint: server.URL, OnError: func(err error) { told = err }})
+	var reported error
+	e, err := NewExporter(context.Background(), ExporterConfig{Endpoint: server.URL, OnError: func(err error) { reported = err }})
 	c.Assert(err, qt.IsNil)
-	e.Add(refusedDeep()[0])
+	e.Add(refusedDownstream()[0])
 	c.Assert(e.Shutdown(context.Background()), qt.IsNil)
-	c.Assert(told, qt.ErrorAs, new(*ExportError))
+	c.Assert(reported, qt.ErrorAs, new(*ExportError))
 	hanging, err := NewExporter(context.Background(), ExporterConfig{Endpoint: server.URL})
 	c.Assert(err, qt.IsNil)
-	hanging.Add(refusedDeep()[0])
+	hanging.Add(refusedDownstream()[0])
 	c.Assert(hanging.Shutdown(ended), qt.ErrorAs, new(*ExportError))
 }
