--- a/observe/metrics_catalogue.go
+++ b/observe/metrics_catalogue.go
@@ -23,7 +23,7 @@
 
 // Calls and their outcomes.
 var (
-	callsMetric      = defineMetric("pollengauge_calls_total", CounterKind, unitCount, "Calls answered by this node as the root or for its upstream, by the outcome and reason given to the caller. Combinations that never occurred are left out.", "profile", "outcome", "reason")
+	callsMetric      = defineMetric("pollengauge_calls_total", CounterKind, unitCount, "Calls answered by this node as the root or for its upstream, by what the caller was told. Combinations that never occurred are left out.", "profile", "outcome", "reason")
 	refusedMetric    = defineMetric("pollengauge_refused_total", CounterKind, unitCount, "Calls that this node itself refused before dispatch. Combinations that never occurred are left out.", "profile", "reason")
 	attemptsMetric   = defineMetric("pollengauge_attempts_total", CounterKind, unitCount, "Attempts taken in from peers (inbound) and sent to peers (outbound).", "profile", "direction")
 	retriesMetric    = defineMetric("pollengauge_retries_total", CounterKind, unitCount, "Decisions on a further attempt after a failed one, by verdict.", "profile", "verdict")
@@ -42,9 +42,9 @@
 	queueMetric       = defineMetric("pollengauge_queue_length", GaugeKind, unitCount, "Calls waiting for dispatch.")
 	admitLevelMetric  = defineMetric("pollengauge_admission_level", GaugeKind, unitCount, "Admission level in force; requests below it are refused. 0 refuses none.")
 	loadMetric        = defineMetric("pollengauge_load_ratio", GaugeKind, unitRatio, "Calls in flight and waiting as a share of the limit.")
-	crashesMetric     = defineMetric("pollengauge_upstreams_ended_total", CounterKind, unitCount, "Crashes of the upstream beside this node while it was running calls.")
-	quarantineMetric  = defineMetric("pollengauge_quarantine_total", CounterKind, unitCount, "Changes of the quarantine of requests under which upstreams crash, by kind: suspected after one crash, quarantined, tried again once, cleared.", "change")
-	quarantinedMetric = defineMetric("pollengauge_quarantine_requests", GaugeKind, unitCount, "Requests known to this node under which upstreams have crashed, by state.", "state")
+	crashesMetric     = defineMetric("pollengauge_upstreams_ended_total", CounterKind, unitCount, "Times that the upstream beside this node ended without notice while it was running calls.")
+	quarantineMetric  = defineMetric("pollengauge_quarantine_total", CounterKind, unitCount, "Requests under which upstreams end, by what changed: suspected after one end, held back, tried again once, cleared.", "change")
+	quarantinedMetric = defineMetric("pollengauge_quarantine_requests", GaugeKind, unitCount, "Requests under which upstreams have ended that this node knows of, by state.", "state")
 	drainingMetric    = defineMetric("pollengauge_draining", GaugeKind, unitCount, "1 while the node takes no new work.")
 )
 
@@ -52,17 +52,17 @@
 var (
 	keysMetric    = defineMetric("pollengauge_keys", GaugeKind, unitCount, "Idempotency keys held, by state.", "state")
 	claimsMetric  = defineMetric("pollengauge_claims_total", CounterKind, unitCount, "Claims on keys that callers brought, by result.", "result")
-	witnessMetric = defineMetric("pollengauge_witness_notes_total", CounterKind, unitCount, "Notes of unrepeatable calls sent to another member, by result.", "result")
+	witnessMetric = defineMetric("pollengauge_witness_notes_total", CounterKind, unitCount, "Notes of unrepeatable calls told to another member, by result.", "result")
 	unknownMetric = defineMetric("pollengauge_unknown_fates_total", CounterKind, unitCount, "Keyed calls whose fate is not known, by reason.", "reason")
 )
 
 // Services, connections and the log.
 var (
-	retryLeftMetric    = defineMetric("pollengauge_retry_budget_left", GaugeKind, unitCount, "Retries that this node may still make now on a service that has its own bound. 0 while the service fails means that the bound withholds retries.", "service")
-	serviceLevelMetric = defineMetric("pollengauge_service_level", GaugeKind, unitCount, "Highest admission level reported recently for a service's upstreams, as one number (priority times 128 plus tie-break). Requests below it are likely to be refused there.", "service")
-	serviceLoadMetric  = defineMetric("pollengauge_service_load_ratio", GaugeKind, unitRatio, "Mean load reported recently for a service's upstreams, as a share of their limits.", "service")
+	retryLeftMetric    = defineMetric("pollengauge_retry_budget_left", GaugeKind, unitCount, "Retries on a service that this node may still make now, where each service has a bound of its own. 0 while it fails is the bound at work.", "service")
+	serviceLevelMetric = defineMetric("pollengauge_service_level", GaugeKind, unitCount, "Highest admission level that a service's upstreams told of lately, as one number (priority times 128 plus tie-break). Requests below it are likely to be refused there.", "service")
+	serviceLoadMetric  = defineMetric("pollengauge_service_load_ratio", GaugeKind, unitRatio, "Mean load that a service's upstreams told of lately, as a share of their limits.", "service")
 	connectionsMetric  = defineMetric("pollengauge_connections", GaugeKind, unitCount, "Open connections, by listener.", "listener")
-	logLinesMetric     = defineMetric("pollengauge_log_lines_lost_total", CounterKind, unitCount, "Log lines that were not written: over the rate of their event (left-out), or because the reader of the log was too slow (dropped).", "cause")
+	logLinesMetric     = defineMetric("pollengauge_log_lines_lost_total", CounterKind, unitCount, "Log lines that were not written: over the rate of their event (left-out), or for want of a reader (dropped).", "cause")
 )
 
 // Membership.
@@ -75,9 +75,9 @@
 // Configuration and platform.
 var (
 	configVersionMetric = defineMetric("pollengauge_config_version", GaugeKind, unitCount, "Configuration version in force.")
-	configNewestMetric  = defineMetric("pollengauge_config_newest_version", GaugeKind, unitCount, "Highest configuration version known to exist; above the version in force while the newest one is refused or has not arrived yet.")
+	configNewestMetric  = defineMetric("pollengauge_config_newest_version", GaugeKind, unitCount, "Highest configuration version known to exist; above the one in force where that one is refused or still on its way.")
 	configAgeMetric     = defineMetric("pollengauge_config_age_seconds", GaugeKind, unitSeconds, "Time since the version in force was accepted on this node.")
-	platformCallsMetric = defineMetric("pollengauge_platform_calls_total", CounterKind, unitCount, "Calls to the platform; a waiting watch counts as one call.", "op", "result")
+	platformCallsMetric = defineMetric("pollengauge_platform_calls_total", CounterKind, unitCount, "Calls to the platform, a waiting watch as one.", "op", "result")
 	platformTimeMetric  = defineMetric("pollengauge_platform_call_seconds", HistogramKind, unitSeconds, "Time that calls to the platform took, watches left out.", "op")
 )
 
@@ -86,11 +86,11 @@
 	rootsMetric           = defineMetric("pollengauge_roots_without_context_total", CounterKind, unitCount, "Calls out of the upstream that lacked the headers of the request it serves.")
 	forgedMetric          = defineMetric("pollengauge_forged_headers_total", CounterKind, unitCount, "Requests from outside that carried headers only nodes may set.")
 	malformedMetric       = defineMetric("pollengauge_malformed_total", CounterKind, unitCount, "Messages, headers and answers that could not be read, by source.", "source")
-	unauthenticatedMetric = defineMetric("pollengauge_strangers_total", CounterKind, unitCount, "Requests without the key of a customer, by the reason given to their callers.", "reason")
-	quotasMetric          = defineMetric("pollengauge_quota_requests_total", CounterKind, unitCount, "Requests of customers with a limit: taken within it, refused beyond it, or unknown if no member that counts the customer's requests could be queried.", "result")
-	unroutedMetric        = defineMetric("pollengauge_unrouted_total", CounterKind, unitCount, "Requests for which the configuration in force has no route, by the reason given to their callers.", "reason")
+	unauthenticatedMetric = defineMetric("pollengauge_strangers_total", CounterKind, unitCount, "Requests without the key of a customer, by what their callers were told.", "reason")
+	quotasMetric          = defineMetric("pollengauge_quota_requests_total", CounterKind, unitCount, "Requests of customers with a limit: taken within it, refused beyond it, or unknown where nobody who counts could be asked.", "result")
+	unroutedMetric        = defineMetric("pollengauge_unrouted_total", CounterKind, unitCount, "Requests for which the configuration in force has no route, by what their callers were told.", "reason")
 	panicsMetric          = defineMetric("pollengauge_panics_total", CounterKind, unitCount, "Panics recovered while serving.")
-	pipelinedMetric       = defineMetric("pollengauge_requests_begun_early_total", CounterKind, unitCount, "Pipelined requests that were begun before an earlier request on their caller's connection was answered.")
+	pipelinedMetric       = defineMetric("pollengauge_requests_begun_early_total", CounterKind, unitCount, "Requests that were begun while a request before them on their caller's connection was not answered yet.")
 	spansMetric           = defineMetric("pollengauge_spans_total", CounterKind, unitCount, "Spans handed to the exporter, by result.", "result")
 )
 
