--- a/secure/errors.go
+++ b/secure/errors.go
@@ -1,13 +1,13 @@
 package secure
 
-// MaterialError tells which part of the TLS settings can't be used. It never
-// shows the part itself, which may be a private key.
+// MaterialError reports the part of the TLS settings that can't be used. It never
+// contains the value of the part, which may be a private key.
 type MaterialError struct {
-	// Part is cert, key, ca or name.
+	// Part is cert, key, ca or poll.
 	Part string
-	// Want tells the accepted form.
+	// Want describes the accepted form.
 	Want string
-	// Cause is the reader's or parser's error; may be nil.
+	// Cause is the error of reading or parsing the part. It may be nil.
 	Cause error
 }
 
@@ -20,11 +20,11 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *MaterialError) Unwrap() error { return e.Cause }
 
-// PeerError tells that the other end of a connection did not prove to be a
-// peer, or did not take this process for one.
+// PeerError reports a connection without mutual authentication: the other end did not
+// authenticate itself as a peer, or did not accept this process as one.
 type PeerError struct {
 	// Remote is the other end's address.
 	Remote string
@@ -32,25 +32,25 @@
 }
 
 // Error implements error.
-func (e *PeerError) Error() string { return "peer " + e.Remote + " not proved: " + e.Cause.Error() }
+func (e *PeerError) Error() string { return "peer " + e.Remote + " not verified: " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *PeerError) Unwrap() error { return e.Cause }
 
-// NameError tells that a certificate lacks the name that every peer must have.
+// NameError reports a certificate without the name that every peer must have.
 type NameError struct{ Want string }
 
 // Error implements error.
 func (e *NameError) Error() string { return "certificate lacks the name " + e.Want }
 
-// CertificateError tells that a peer showed no certificate.
+// CertificateError reports that a peer presented no certificate.
 type CertificateError struct{}
 
 // Error implements error.
-func (*CertificateError) Error() string { return "no certificate shown" }
+func (*CertificateError) Error() string { return "no certificate presented" }
 
-// ConfirmError tells that a peer closed the connection, or sent something
-// else, where it had to confirm this side's certificate.
+// ConfirmError reports that a peer did not confirm this side's certificate: it closed
+// the connection, sent other data or did not respond in time.
 type ConfirmError struct{ Cause error }
 
 // Error implements error.
@@ -61,5 +61,5 @@
 	return "certificate not confirmed: " + e.Cause.Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ConfirmError) Unwrap() error { return e.Cause }
--- a/secure/example_test.go
+++ b/secure/example_test.go
@@ -10,7 +10,7 @@
 	"pollengauge.dev/secure/securetest"
 )
 
-// tcp is the plain network.
+// tcp is a network without TLS.
 type tcp struct{ dialer net.Dialer }
 
 func (*tcp) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
@@ -18,7 +18,7 @@
 	return t.dialer.DialContext(ctx, "tcp", addr)
 }
 
-// A process that talks to another under mutual TLS.
+// Two ends of a connection authenticate each other with mutual TLS.
 func Example() {
 	authority := securetest.NewAuthority("example")
 	leaf := authority.Issue("node", securetest.Options{})
--- a/secure/material.go
+++ b/secure/material.go
@@ -13,40 +13,42 @@
 	"time"
 )
 
-// Config is the set of choices of one Source.
+// Config configures a Source.
 type Config struct {
-	// Cert is this process's certificate, followed by intermediate ones; Key
-	// its private key; CA the authorities trusted, one or several. Each is PEM
-	// text, or the path of a file that holds it. A path is read again while
-	// the process runs; text is fixed for the life of the process, so that a
-	// change of key then needs a restart.
+	// Cert is this process's certificate, followed by intermediate ones. Key is its
+	// private key. CA is the certificates of one or more trusted authorities. Each
+	// is PEM text, or the path of a file that contains it. Files are read again while
+	// the process runs. PEM text is fixed until the process ends, so a key rotation
+	// then requires a restart.
 	Cert, Key, CA string
-	// Name is a DNS name or URI that the certificate of every peer must carry,
-	// besides being signed by an authority. Set it where the authority also
-	// signs certificates for others than these processes. Empty asks for none.
+	// Name is a DNS name or URI that the certificate of every peer must contain, in
+	// addition to the signature of an authority. Set it if the authority also signs
+	// certificates for other processes. If it is empty, no name is required.
 	Name string
-	// Poll is the time between two looks at the files, 1 s to 1 h. Longer
-	// costs less and delays a change of key. Zero is 5 s.
+	// Poll is the interval at which the files are checked for changes, 1 s to 1 h. A
+	// longer interval costs less and delays a key rotation. Zero means 5 s.
 	Poll time.Duration
 	// ReadFile replaces os.ReadFile in tests.
 	ReadFile func(path string) ([]byte, error)
-	// Notify is told of changes and refusals. Its fields may be nil.
+	// Notify receives changes and rejections. Its fields may be nil.
 	Notify Notify
 }
 
-// Notify holds the functions that are told what happens. They may be called
-// concurrently and must return soon.
+// Notify holds functions that are called on events. They may be called concurrently and
+// must return quickly.
 type Notify struct {
-	// Changed: a new certificate or set of authorities is in use.
+	// Changed is called when a new certificate or set of authorities comes into use.
 	Changed func(Info)
-	// Refused: a new one can't be used; the last one stays in use. It is
-	// called once for each distinct content.
+	// Refused is called when a new certificate or set of authorities can't be used and
+	// the last usable one stays in use. It is called once for each distinct content.
 	Refused func(error)
-	// PeerRefused: an inbound connection did not prove to be a peer.
+	// PeerRefused is called when the other end of an inbound connection did not
+	// authenticate itself as a peer.
 	PeerRefused func(error)
 }
 
-// Info describes what is in use, without secrets.
+// Info describes the certificate in use and the number of trusted authorities. It
+// contains no secrets.
 type Info struct {
 	Subject     string
 	Serial      string
@@ -58,7 +60,7 @@
 	defaultPoll = 5 * time.Second
 	minPoll     = time.Second
 	maxPoll     = time.Hour
-	// maxMaterial bounds one file or text.
+	// maxMaterial is the largest size of one file or PEM text, in bytes.
 	maxMaterial = 1 << 20
 	pemMark     = "-----BEGIN "
 )
@@ -76,14 +78,14 @@
 	return c, nil
 }
 
-// material is the PEM text of one moment.
+// material is the PEM text of certificate, key and authorities as read at one time.
 type material struct{ cert, key, ca []byte }
 
 func (m material) equal(o material) bool {
 	return bytes.Equal(m.cert, o.cert) && bytes.Equal(m.key, o.key) && bytes.Equal(m.ca, o.ca)
 }
 
-// digest tells one material from another without keeping a key.
+// digest returns a hash that identifies the material without storing its key.
 func (m material) digest() string {
 	hash := sha256.New()
 	for _, part := range [][]byte{m.cert, m.key, m.ca} {
@@ -107,7 +109,7 @@
 }
 
 func (c *Config) part(name, value string) ([]byte, error) {
-	want := "PEM text or the path of a file with it"
+	want := "PEM text or the path of a PEM file"
 	if value == "" {
 		return nil, &MaterialError{Part: name, Want: want}
 	}
@@ -124,7 +126,7 @@
 	return data, nil
 }
 
-// bundle is usable material, ready for handshakes.
+// bundle is valid material in parsed form, ready for handshakes.
 type bundle struct {
 	material material
 	info     Info
@@ -132,14 +134,14 @@
 	roots    *x509.CertPool
 }
 
-// parse checks m as a whole: the key must belong to the certificate, and the
-// certificate must itself be one that peers with the same settings accept.
+// parse parses and validates m: the key must belong to the certificate, and peers with
+// the same settings must accept the certificate.
 //
-// The failure: half of a change is in place, as when the file of the
-// certificate is new and that of the key still old, or the certificate is of
-// an authority that is not trusted yet. Taking it would cut this process off
-// from all others at its next connection. Refusing keeps the last usable one,
-// and the next look takes the change once it is whole.
+// The check protects against a change that is half complete: the certificate file is
+// new and the key file still old, or the certificate's authority is not trusted yet.
+// With such material, all further connections of this process would fail. Rejecting it
+// keeps the last usable material in use, and a later poll applies the change when it is
+// complete.
 func (m material) parse(name string, now time.Time) (*bundle, error) {
 	cert, err := tls.X509KeyPair(m.cert, m.key)
 	if err != nil {
@@ -156,7 +158,7 @@
 	}
 	for _, usage := range []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth} {
 		if err := b.verify(chain, name, usage, now); err != nil {
-			return nil, &MaterialError{Part: "cert", Want: "one that the trusted authorities sign for server and client", Cause: err}
+			return nil, &MaterialError{Part: "cert", Want: "a certificate signed by a trusted authority for server and client", Cause: err}
 		}
 	}
 	leaf := chain[0]
@@ -176,8 +178,9 @@
 	return chain, nil
 }
 
-// authorities reads every certificate of text; one that can't be read makes
-// the whole unusable, so that a truncated file can't drop an authority.
+// authorities parses all certificates in text and returns them with their number. If one
+// of them can't be parsed, it returns an error, so that a truncated file can't remove an
+// authority.
 func authorities(text []byte) (*x509.CertPool, int, error) {
 	pool := x509.NewCertPool()
 	count := 0
@@ -189,18 +192,19 @@
 		}
 		cert, err := x509.ParseCertificate(block.Bytes)
 		if err != nil || !cert.IsCA {
-			return nil, 0, &MaterialError{Part: "ca", Want: "certificates of authorities", Cause: err}
+			return nil, 0, &MaterialError{Part: "ca", Want: "certificates of certificate authorities", Cause: err}
 		}
 		pool.AddCert(cert)
 		count++
 	}
 	if count == 0 || bytes.Contains(text, []byte(pemMark)) {
-		return nil, 0, &MaterialError{Part: "ca", Want: "whole PEM certificates of authorities"}
+		return nil, 0, &MaterialError{Part: "ca", Want: "complete PEM certificates of certificate authorities"}
 	}
 	return pool, count, nil
 }
 
-// verify checks a certificate chain against the authorities and the name.
+// verify checks a certificate chain against the trusted authorities and the required
+// name, which may be empty.
 func (b *bundle) verify(chain []*x509.Certificate, name string, usage x509.ExtKeyUsage, now time.Time) error {
 	if len(chain) == 0 {
 		return &CertificateError{}
@@ -223,8 +227,9 @@
 	return nil
 }
 
-// hasName compares whole names; a wildcard in a certificate has no meaning
-// between peers and matches only itself.
+// hasName reports whether cert contains name as a DNS name or URI. It compares complete
+// names: a wildcard in a certificate has no meaning between peers and matches only
+// itself.
 func hasName(cert *x509.Certificate, name string) bool {
 	if slices.Contains(cert.DNSNames, name) {
 		return true
--- a/secure/network.go
+++ b/secure/network.go
@@ -8,27 +8,29 @@
 	"time"
 )
 
-// Network is how a process listens and dials.
+// Network opens listeners and connections.
 type Network interface {
 	Listen(addr string) (net.Listener, error)
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// handshakeTimeout bounds a handshake, so that a peer or stranger that goes
-// silent in it can't hold a connection or a dial.
+// handshakeTimeout bounds a handshake, so that a peer or an unknown process that stops
+// responding during it can't block a connection or a dial.
 const handshakeTimeout = 5 * time.Second
 
-// confirmed is the byte by which the accepting side tells that it takes the
-// dialling side for a peer.
+// confirmed is the byte with which the accepting side confirms that it accepts the
+// dialling side as a peer.
 //
-// The failure: in TLS 1.3 the dialling side ends its handshake before the
-// other has judged its certificate. A call written at once to a peer that then
-// refuses the certificate ends as a broken connection after the first byte:
-// its fate would be unknown, and a filing that surely did not run could not be
-// tried elsewhere. Waiting for this byte makes the refusal a failed dial.
+// In TLS 1.3 the dialling side completes its handshake before the other side has
+// verified its certificate. If the dialling side sent a call at once and the peer then
+// rejected the certificate, the connection would break after the first byte. The fate of
+// the call would be unknown, and an unrepeatable call that certainly did not run could
+// not be retried on another node. Waiting for this byte turns the rejection into a
+// failed dial.
 const confirmed = 1
 
-// Wrap returns a network that carries what inner carries under mutual TLS.
+// Wrap returns a network that runs mutual TLS over the connections of inner, with the
+// certificate and authorities of source.
 func Wrap(inner Network, source *Source) Network {
 	return &network{inner: inner, source: source}
 }
@@ -47,7 +49,8 @@
 	return &listener{Listener: l, source: n.source}, nil
 }
 
-// Dial implements Network. It returns once the peer has confirmed this side.
+// Dial implements Network. It returns when the peer has confirmed this side's
+// certificate.
 func (n *network) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -63,8 +66,8 @@
 	return conn, nil
 }
 
-// proveClient makes the handshake and awaits the confirmation. The end of ctx
-// closes the connection and so ends the wait.
+// proveClient performs the handshake of the dialling side and waits for the peer's
+// confirmation. When ctx ends, the connection is closed and the wait ends.
 func proveClient(ctx context.Context, conn *tls.Conn) error {
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return err
@@ -86,8 +89,8 @@
 	source *Source
 }
 
-// Accept implements net.Listener. It does not wait for the handshake: one
-// silent stranger would keep all others out.
+// Accept implements net.Listener. It does not wait for the handshake; otherwise one
+// client that doesn't respond would block all others.
 func (l *listener) Accept() (net.Conn, error) {
 	inner, err := l.Listener.Accept()
 	if err != nil {
@@ -96,7 +99,8 @@
 	return &serverConn{Conn: tls.Server(inner, l.source.serverConfig()), source: l.source}, nil
 }
 
-// serverConn is an accepted connection that proves its peer at first use.
+// serverConn is an accepted connection that authenticates its peer at the first read or
+// write.
 type serverConn struct {
 	*tls.Conn
 	source *Source
@@ -120,7 +124,8 @@
 	return c.Conn.Write(p)
 }
 
-// prove makes the handshake and confirms it, once.
+// prove performs the handshake and confirms the peer's certificate at the first call. It
+// returns the same result at every call.
 func (c *serverConn) prove() error {
 	c.once.Do(func() {
 		c.err = c.handshake()
@@ -142,7 +147,7 @@
 	if err := c.HandshakeContext(ctx); err != nil {
 		return err
 	}
-	// The end of ctx closes the connection and so ends the write.
+	// When ctx ends, the connection is closed and the write ends.
 	stop := context.AfterFunc(ctx, func() { _ = c.NetConn().Close() })
 	defer stop()
 	_, err := c.Conn.Write([]byte{confirmed})
--- a/secure/secure_test.go
+++ b/secure/secure_test.go
@@ -39,7 +39,7 @@
 	return near, nil
 }
 
-// files is a directory whose files a test changes.
+// files is an in-memory directory whose files a test can change.
 type files struct {
 	mu   sync.Mutex
 	data map[string]string
@@ -61,7 +61,7 @@
 	return []byte(text), nil
 }
 
-// side is one process: its files, its source, what it was told.
+// side is one process: its files, its source and the notifications that it received.
 type side struct {
 	*secure.Source
 	files    *files
@@ -90,7 +90,7 @@
 	return s
 }
 
-// talk dials from one side to the other and brings one byte back.
+// talk dials from one side to the other, sends one byte and reads it back.
 func talk(from, to *side) error {
 	inner := newPipes()
 	l, _ := secure.Wrap(inner, to.Source).Listen("")
@@ -117,11 +117,10 @@
 	return err
 }
 
-// A stranger on the network dials the port between nodes, or answers in a
-// node's place. It has no certificate, one of another authority, an expired
-// one, one without the peers' name, or one that is good for servers only. The
-// dial must fail, so that a call counts as not sent, and the side that refused
-// must tell of it.
+// An unauthorized process on the network dials the port between nodes, or responds
+// instead of a node. It has no certificate, one of another authority, an expired one,
+// one without the peers' name, or one for servers only. The dial must fail, so that a
+// call counts as not sent, and the side that rejects the connection must report it.
 func TestOnlyPeersTalk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -152,8 +151,9 @@
 	})
 }
 
-// A stranger connects and says nothing, or speaks plain HTTP. Accept must go
-// on to the next connection, and the silent one must end by itself.
+// An unauthorized process connects and sends nothing, or sends plain HTTP. Accept must
+// continue with the next connection, and the connection that sends nothing must be
+// closed after the handshake timeout.
 func TestSilentAndPlainStrangers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -177,16 +177,16 @@
 		c.Check(time.Since(start) <= 5*time.Second, qt.IsTrue)
 		synctest.Wait()
 		c.Check(s.stranger, qt.HasLen, 2)
-		// The other way round: the peer takes the connection and never speaks.
+		// In the opposite direction, the peer accepts the connection and sends nothing.
 		inner = newPipes()
 		_, err = secure.Wrap(inner, s.Source).Dial(t.Context(), "peer")
 		c.Check(err, qt.ErrorAs, new(*secure.PeerError))
 	})
 }
 
-// The change of key as SECURITY.md tells it, step by step, with old and new
-// processes side by side: they must be able to talk after each step, and after
-// the last one a holder of the old key must be out.
+// Follows the key rotation that SECURITY.md describes, step by step, with processes of
+// old and new keys running at the same time. They must be able to connect after each
+// step, and after the last step a process with the old key must be rejected.
 func TestKeyChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -220,9 +220,10 @@
 	})
 }
 
-// Whoever changes the files makes a mistake, or is seen half-way. The last
-// usable key must stay in use, the mistake be told once, and the change be
-// taken as soon as it is whole. A signal must not wait for the next look.
+// The files are changed by mistake, or are read while only a part of them is changed.
+// The last usable key must stay in use, the error must be reported once, and the change
+// must be applied when it is complete. A signal must apply it without waiting for the
+// next poll.
 func TestBadKeyKeepsTheOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -235,8 +236,8 @@
 		go s.Run(ctx, wake)
 		stranger := other.Issue("x", securetest.Options{})
 		expired := ca.Issue("x", securetest.Options{From: -2 * time.Hour})
-		// Changes fall between two looks: one that reads three files while
-		// they change rightly tells of the mixture too.
+		// The changes happen between two polls: a poll that reads the three files while
+		// they change would correctly report the mixture too.
 		time.Sleep(time.Second)
 		for i, bad := range [][3]string{
 			{b.Cert, a.Key, ca.PEM()}, {"", a.Key, ca.PEM()}, {a.Cert, a.Key, ca.PEM()[:200]},
@@ -258,8 +259,8 @@
 	})
 }
 
-// BenchmarkDial measures a connection on loopback with one byte each way,
-// plain and under TLS.
+// BenchmarkDial measures a connection on loopback with one byte in each direction,
+// without and with TLS.
 func BenchmarkDial(b *testing.B) {
 	c := qt.New(b)
 	ca := securetest.NewAuthority("ours")
--- a/secure/securetest/securetest.go
+++ b/secure/securetest/securetest.go
@@ -1,4 +1,5 @@
-// Package securetest makes authorities and certificates in memory for tests.
+// Package securetest creates certificate authorities and certificates in memory for
+// tests.
 package securetest
 
 import (
@@ -19,23 +20,24 @@
 	pem  string
 }
 
-// Leaf is a certificate with its key, as PEM text.
+// Leaf is a leaf certificate and its private key, as PEM text.
 type Leaf struct{ Cert, Key string }
 
-// Options shape one leaf. The zero value is good for an hour, for both sides.
+// Options configure one leaf certificate. The zero value gives a certificate that is
+// valid for an hour, for server and client.
 type Options struct {
 	// Names are DNS names.
 	Names []string
-	// From and Lifetime place the time of validity against now.
+	// From is the start of the validity, relative to now, and Lifetime is its length.
 	From, Lifetime time.Duration
-	// ServerOnly leaves out the use as a client.
+	// ServerOnly omits the key usage for clients.
 	ServerOnly bool
 }
 
 const validity = time.Hour
 
-// must keeps the helpers free of errors: making a key in memory fails only
-// when the machine has no randomness.
+// must panics on an error, so that the functions of this package return none: creating
+// a key in memory fails only if the machine has no source of random numbers.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
@@ -49,7 +51,8 @@
 	return string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}))
 }
 
-// NewAuthority makes an authority.
+// NewAuthority creates an authority with the common name name. Its certificate is valid
+// for a day.
 func NewAuthority(name string) *Authority {
 	key := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 	template := &x509.Certificate{
@@ -65,10 +68,10 @@
 	return &Authority{cert: must(x509.ParseCertificate(der)), key: key, pem: encode("CERTIFICATE", der)}
 }
 
-// PEM returns the authority's certificate.
+// PEM returns the authority's certificate as PEM text.
 func (a *Authority) PEM() string { return a.pem }
 
-// Issue makes a leaf.
+// Issue creates a leaf certificate with the common name name, signed by the authority.
 func (a *Authority) Issue(name string, o Options) Leaf {
 	key := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 	if o.Lifetime == 0 {
--- a/secure/source.go
+++ b/secure/source.go
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// Source holds the certificate and authorities in use.
+// Source holds the certificate and the trusted authorities in use, and reloads them.
 type Source struct {
 	cfg     Config
 	current atomic.Pointer[bundle]
 
-	// mu is held while new material is read and judged.
+	// mu is held while new material is read and validated.
 	mu sync.Mutex
-	// refused tells the last failure from a new one: the digest of material
-	// that was found unusable, or the text of an error of reading.
+	// refused identifies the last failure, so that it is reported only once: the digest
+	// of the unusable material, or the text of the error of reading it.
 	refused string
 }
 
-// NewSource reads the material once. Unusable material is a *MaterialError:
-// a process does not start without a key that its peers would accept.
+// NewSource reads the certificate, the key and the authorities. If they can't be used,
+// it returns a *MaterialError, so that a process does not start without a key that its
+// peers accept.
 func NewSource(cfg Config) (*Source, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -42,10 +43,11 @@
 	return s, nil
 }
 
-// Info describes what is in use.
+// Info returns a description of the certificate in use.
 func (s *Source) Info() Info { return s.current.Load().info }
 
-// Reload reads the material again and puts it in use if it is usable and new.
+// Reload reads the certificate, the key and the authorities again. It applies them and
+// returns true if they are usable and have changed.
 func (s *Source) Reload() (changed bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +73,7 @@
 	return true, nil
 }
 
-// refuse tells of one failure once, not at each look.
+// refuse reports a failure to Notify once, not at each poll. what identifies the failure.
 func (s *Source) refuse(what string, err error) {
 	if what == s.refused {
 		return
@@ -82,10 +84,10 @@
 	}
 }
 
-// Run looks for new material until ctx ends: at each interval, and at once
-// when wake delivers (SIGHUP, say; nil never does). The contents are compared,
-// not the times of change: a file put in place by renaming, or a mounted
-// directory, may carry an older time.
+// Run calls Reload at each poll interval and on each signal from wake (for example
+// SIGHUP) until ctx ends. wake may be nil. Changes are detected by content and not by
+// modification time: a file that was put in place by renaming, or a mounted directory,
+// may have an older modification time.
 func (s *Source) Run(ctx context.Context, wake <-chan os.Signal) {
 	ticker := time.NewTicker(s.cfg.Poll)
 	defer ticker.Stop()
@@ -96,30 +98,32 @@
 		case <-ticker.C:
 		case <-wake:
 		}
-		// A refusal has been told to Notify.
+		// Reload has reported an error to Notify.
 		_, _ = s.Reload()
 	}
 }
 
-// serverConfig is for one accepted connection.
+// serverConfig returns the TLS configuration for one accepted connection.
 func (s *Source) serverConfig() *tls.Config {
 	cfg := s.commonConfig(x509.ExtKeyUsageClientAuth)
 	cfg.ClientAuth = tls.RequireAnyClientCert
-	// A resumed session would skip the check of the certificate.
+	// A resumed session would skip the verification of the certificate.
 	cfg.SessionTicketsDisabled = true
 	return cfg
 }
 
-// clientConfig is for one dialled connection.
+// clientConfig returns the TLS configuration for one dialled connection.
 func (s *Source) clientConfig() *tls.Config {
 	cfg := s.commonConfig(x509.ExtKeyUsageServerAuth)
-	// Peers are dialled by IP number, so the standard check of the host name
-	// can't apply; VerifyConnection below checks chain and name on both sides.
+	// Peers are dialled by IP address, so the standard verification of the host name
+	// can't apply. VerifyConnection of commonConfig verifies the certificate chain and
+	// the name on both sides.
 	cfg.InsecureSkipVerify = true
 	return cfg
 }
 
-// commonConfig builds a configuration on the material of this moment.
+// commonConfig returns the TLS configuration for the certificate and the authorities
+// that are in use now. peerUsage is the key usage that the peer's certificate must allow.
 func (s *Source) commonConfig(peerUsage x509.ExtKeyUsage) *tls.Config {
 	b := s.current.Load()
 	return &tls.Config{
