--- a/secure/material.go
+++ b/secure/material.go
@@ -25,9 +25,9 @@
 	// addition to the signature of an authority. Set it if the authority also signs
 	// certificates for other processes. If it is empty, no name is required.
 	Name string
-	// Poll is the interval at which the files are checked for changes, 1 s to 1 h. A
-	// longer interval costs less and delays a key rotation. Zero means 5 s.
-	Poll time.Duration
+	// PollInterval is the interval at which the files are checked for changes, 1 s to
+	// 1 h. A longer interval costs less and delays a key rotation. Zero means 5 s.
+	PollInterval time.Duration
 	// ReadFile replaces os.ReadFile in tests.
 	ReadFile func(path string) ([]byte, error)
 	// Notify receives changes and rejections. Its fields may be nil.
@@ -57,19 +57,19 @@
 }
 
 const (
-	defaultPoll = 5 * time.Second
-	minPoll     = time.Second
-	maxPoll     = time.Hour
-	// maxMaterial is the largest size of one file or PEM text, in bytes.
-	maxMaterial = 1 << 20
-	pemMark     = "-----BEGIN "
+	defaultPollInterval = 5 * time.Second
+	minPollInterval     = time.Second
+	maxPollInterval     = time.Hour
+	// maxMaterialBytes is the largest size of one file or PEM text, in bytes.
+	maxMaterialBytes = 1 << 20
+	pemPrefix        = "-----BEGIN "
 )
 
 func (c Config) withDefaults() (Config, error) {
-	if c.Poll == 0 {
-		c.Poll = defaultPoll
+	if c.PollInterval == 0 {
+		c.PollInterval = defaultPollInterval
 	}
-	if c.Poll < minPoll || c.Poll > maxPoll {
+	if c.PollInterval < minPollInterval || c.PollInterval > maxPollInterval {
 		return c, &MaterialError{Part: "poll", Want: "1s to 1h"}
 	}
 	if c.ReadFile == nil {
@@ -98,29 +98,29 @@
 func (c *Config) read() (material, error) {
 	var m material
 	var err error
-	if m.cert, err = c.part("cert", c.Cert); err != nil {
+	if m.cert, err = c.readPart("cert", c.Cert); err != nil {
 		return m, err
 	}
-	if m.key, err = c.part("key", c.Key); err != nil {
+	if m.key, err = c.readPart("key", c.Key); err != nil {
 		return m, err
 	}
-	m.ca, err = c.part("ca", c.CA)
+	m.ca, err = c.readPart("ca", c.CA)
 	return m, err
 }
 
-func (c *Config) part(name, value string) ([]byte, error) {
+func (c *Config) readPart(name, value string) ([]byte, error) {
 	want := "PEM text or the path of a PEM file"
 	if value == "" {
 		return nil, &MaterialError{Part: name, Want: want}
 	}
 	data := []byte(value)
-	if !strings.Contains(value, pemMark) {
+	if !strings.Contains(value, pemPrefix) {
 		var err error
 		if data, err = c.ReadFile(value); err != nil {
 			return nil, &MaterialError{Part: name, Want: want, Cause: err}
 		}
 	}
-	if len(data) > maxMaterial {
+	if len(data) > maxMaterialBytes {
 		return nil, &MaterialError{Part: name, Want: "at most 1 MiB"}
 	}
 	return data, nil
@@ -197,7 +197,7 @@
 		pool.AddCert(cert)
 		count++
 	}
-	if count == 0 || bytes.Contains(text, []byte(pemMark)) {
+	if count == 0 || bytes.Contains(text, []byte(pemPrefix)) {
 		return nil, 0, &MaterialError{Part: "ca", Want: "complete PEM certificates of certificate authorities"}
 	}
 	return pool, count, nil
--- a/secure/network.go
+++ b/secure/network.go
@@ -18,8 +18,8 @@
 // responding during it can't block a connection or a dial.
 const handshakeTimeout = 5 * time.Second
 
-// confirmed is the byte with which the accepting side confirms that it accepts the
-// dialling side as a peer.
+// confirmationByte is the byte with which the accepting side confirms that it accepts
+// the dialling side as a peer.
 //
 // In TLS 1.3 the dialling side completes its handshake before the other side has
 // verified its certificate. If the dialling side sent a call at once and the peer then
@@ -27,7 +27,7 @@
 // the call would be unknown, and an unrepeatable call that certainly did not run could
 // not be retried on another node. Waiting for this byte turns the rejection into a
 // failed dial.
-const confirmed = 1
+const confirmationByte = 1
 
 // Wrap returns a network that runs mutual TLS over the connections of inner, with the
 // certificate and authorities of source.
@@ -59,16 +59,16 @@
 		return nil, err
 	}
 	conn := tls.Client(inner, n.source.clientConfig())
-	if err := proveClient(ctx, conn); err != nil {
+	if err := authenticateClient(ctx, conn); err != nil {
 		_ = inner.Close()
 		return nil, &PeerError{Remote: addr, Cause: err}
 	}
 	return conn, nil
 }
 
-// proveClient performs the handshake of the dialling side and waits for the peer's
-// confirmation. When ctx ends, the connection is closed and the wait ends.
-func proveClient(ctx context.Context, conn *tls.Conn) error {
+// authenticateClient performs the handshake of the dialling side and waits for the
+// peer's confirmation. When ctx ends, the connection is closed and the wait ends.
+func authenticateClient(ctx context.Context, conn *tls.Conn) error {
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	if !stop() {
 		return &ConfirmError{Cause: ctx.Err()}
 	}
-	if err != nil || answer[0] != confirmed {
+	if err != nil || answer[0] != confirmationByte {
 		return &ConfirmError{Cause: err}
 	}
 	return nil
@@ -110,7 +110,7 @@
 
 // Read implements net.Conn.
 func (c *serverConn) Read(p []byte) (int, error) {
-	if err := c.prove(); err != nil {
+	if err := c.authenticate(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
@@ -118,15 +118,15 @@
 
 // Write implements net.Conn.
 func (c *serverConn) Write(p []byte) (int, error) {
-	if err := c.prove(); err != nil {
+	if err := c.authenticate(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
 }
 
-// prove performs the handshake and confirms the peer's certificate at the first call. It
-// returns the same result at every call.
-func (c *serverConn) prove() error {
+// authenticate performs the handshake and confirms the peer's certificate at the first
+// call. It returns the same result at every call.
+func (c *serverConn) authenticate() error {
 	c.once.Do(func() {
 		c.err = c.handshake()
 		if c.err == nil {
@@ -150,6 +150,6 @@
 	// When ctx ends, the connection is closed and the write ends.
 	stop := context.AfterFunc(ctx, func() { _ = c.NetConn().Close() })
 	defer stop()
-	_, err := c.Conn.Write([]byte{confirmed})
+	_, err := c.Conn.Write([]byte{confirmationByte})
 	return err
 }
--- a/secure/secure_test.go
+++ b/secure/secure_test.go
@@ -18,22 +18,22 @@
 	"pollengauge.dev/secure/securetest"
 )
 
-// pipes is an in-memory network with one listener.
-type pipes struct{ accept chan net.Conn }
+// pipeNetwork is an in-memory network with one listener.
+type pipeNetwork struct{ accept chan net.Conn }
 
-func newPipes() *pipes { return &pipes{accept: make(chan net.Conn, 16)} }
+func newPipeNetwork() *pipeNetwork { return &pipeNetwork{accept: make(chan net.Conn, 16)} }
 
-func (p *pipes) Listen(string) (net.Listener, error) { return p, nil }
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeNetwork) Listen(string) (net.Listener, error) { return p, nil }
+func (p *pipeNetwork) Accept() (net.Conn, error) {
 	conn, ok := <-p.accept
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return conn, nil
 }
-func (*pipes) Close() error   { return nil }
-func (*pipes) Addr() net.Addr { return &net.TCPAddr{} }
-func (p *pipes) Dial(context.Context, string) (net.Conn, error) {
+func (*pipeNetwork) Close() error   { return nil }
+func (*pipeNetwork) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeNetwork) Dial(context.Context, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	p.accept <- far
 	return near, nil
@@ -61,20 +61,20 @@
 	return []byte(text), nil
 }
 
-// side is one process: its files, its source and the notifications that it received.
-type side struct {
+// process is one process: its files, its source and the notifications that it received.
+type process struct {
 	*secure.Source
-	files    *files
-	mu       sync.Mutex
-	changed  int
-	refused  []error
-	stranger []error
+	files         *files
+	mu            sync.Mutex
+	changed       int
+	refused       []error
+	rejectedPeers []error
 }
 
-func newSide(c *qt.C, leaf securetest.Leaf, ca, name string) *side {
-	s := &side{files: &files{}}
+func newProcess(c *qt.C, leaf securetest.Leaf, ca, name string) *process {
+	s := &process{files: &files{}}
 	s.files.set(leaf.Cert, leaf.Key, ca)
-	note := func(list *[]error) func(error) {
+	record := func(list *[]error) func(error) {
 		return func(err error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -83,16 +83,16 @@
 	}
 	source, err := secure.NewSource(secure.Config{
 		Cert: "cert", Key: "key", CA: "ca", Name: name, ReadFile: s.files.read,
-		Notify: secure.Notify{Changed: func(secure.Info) { s.changed++ }, Refused: note(&s.refused), PeerRefused: note(&s.stranger)},
+		Notify: secure.Notify{Changed: func(secure.Info) { s.changed++ }, Refused: record(&s.refused), PeerRefused: record(&s.rejectedPeers)},
 	})
 	c.Assert(err, qt.IsNil)
 	s.Source = source
 	return s
 }
 
-// talk dials from one side to the other, sends one byte and reads it back.
-func talk(from, to *side) error {
-	inner := newPipes()
+// exchangeByte dials from one side to the other, sends one byte and reads it back.
+func exchangeByte(from, to *process) error {
+	inner := newPipeNetwork()
 	l, _ := secure.Wrap(inner, to.Source).Listen("")
 	go func() {
 		conn, err := l.Accept()
@@ -121,30 +121,30 @@
 // instead of a node. It has no certificate, one of another authority, an expired one,
 // one without the peers' name, or one for servers only. The dial must fail, so that a
 // call counts as not sent, and the side that rejects the connection must report it.
-func TestOnlyPeersTalk(t *testing.T) {
+func TestOnlyPeersConnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ca, other := securetest.NewAuthority("ours"), securetest.NewAuthority("theirs")
 		named := securetest.Options{Names: []string{"node.pollengauge"}}
-		good := newSide(c, ca.Issue("a", named), ca.PEM(), "node.pollengauge")
-		again := newSide(c, ca.Issue("b", named), ca.PEM(), "node.pollengauge")
-		c.Assert(talk(good, again), qt.IsNil)
-		c.Assert(talk(again, good), qt.IsNil)
+		good := newProcess(c, ca.Issue("a", named), ca.PEM(), "node.pollengauge")
+		again := newProcess(c, ca.Issue("b", named), ca.PEM(), "node.pollengauge")
+		c.Assert(exchangeByte(good, again), qt.IsNil)
+		c.Assert(exchangeByte(again, good), qt.IsNil)
 		short := securetest.Options{Names: named.Names, Lifetime: time.Minute}
-		strangers := map[string]*side{
-			"other authority": newSide(c, other.Issue("x", named), ca.PEM()+other.PEM(), ""),
-			"no name":         newSide(c, ca.Issue("x", securetest.Options{}), ca.PEM(), ""),
-			"expired":         newSide(c, ca.Issue("x", short), ca.PEM(), ""),
+		unauthorized := map[string]*process{
+			"other authority": newProcess(c, other.Issue("x", named), ca.PEM()+other.PEM(), ""),
+			"no name":         newProcess(c, ca.Issue("x", securetest.Options{}), ca.PEM(), ""),
+			"expired":         newProcess(c, ca.Issue("x", short), ca.PEM(), ""),
 		}
 		time.Sleep(2 * time.Minute)
-		for what, x := range strangers {
+		for what, x := range unauthorized {
 			synctest.Wait()
-			before := len(good.stranger)
+			before := len(good.rejectedPeers)
 			var refused *secure.PeerError
-			c.Check(talk(x, good), qt.ErrorAs, &refused, qt.Commentf(what))
-			c.Check(talk(good, x), qt.ErrorAs, &refused, qt.Commentf(what))
+			c.Check(exchangeByte(x, good), qt.ErrorAs, &refused, qt.Commentf(what))
+			c.Check(exchangeByte(good, x), qt.ErrorAs, &refused, qt.Commentf(what))
 			synctest.Wait()
-			c.Check(len(good.stranger), qt.Equals, before+1, qt.Commentf(what))
+			c.Check(len(good.rejectedPeers), qt.Equals, before+1, qt.Commentf(what))
 		}
 		_, err := secure.NewSource(secure.Config{Cert: ca.Issue("x", securetest.Options{ServerOnly: true}).Cert, Key: "k", CA: ca.PEM()})
 		c.Check(err, qt.ErrorAs, new(*secure.MaterialError))
@@ -154,12 +154,12 @@
 // An unauthorized process connects and sends nothing, or sends plain HTTP. Accept must
 // continue with the next connection, and the connection that sends nothing must be
 // closed after the handshake timeout.
-func TestSilentAndPlainStrangers(t *testing.T) {
+func TestSilentAndPlaintextClients(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ca := securetest.NewAuthority("ours")
-		s := newSide(c, ca.Issue("a", securetest.Options{}), ca.PEM(), "")
-		inner := newPipes()
+		s := newProcess(c, ca.Issue("a", securetest.Options{}), ca.PEM(), "")
+		inner := newPipeNetwork()
 		l, _ := secure.Wrap(inner, s.Source).Listen("")
 		silent, _ := inner.Dial(t.Context(), "")
 		plain, _ := inner.Dial(t.Context(), "")
@@ -176,9 +176,9 @@
 		c.Check(err, qt.Equals, io.EOF)
 		c.Check(time.Since(start) <= 5*time.Second, qt.IsTrue)
 		synctest.Wait()
-		c.Check(s.stranger, qt.HasLen, 2)
+		c.Check(s.rejectedPeers, qt.HasLen, 2)
 		// In the opposite direction, the peer accepts the connection and sends nothing.
-		inner = newPipes()
+		inner = newPipeNetwork()
 		_, err = secure.Wrap(inner, s.Source).Dial(t.Context(), "peer")
 		c.Check(err, qt.ErrorAs, new(*secure.PeerError))
 	})
@@ -194,8 +194,8 @@
 		defer cancel()
 		old, next := securetest.NewAuthority("old"), securetest.NewAuthority("new")
 		issue := func(a *securetest.Authority) securetest.Leaf { return a.Issue("n", securetest.Options{}) }
-		first, second := newSide(c, issue(old), old.PEM(), ""), newSide(c, issue(old), old.PEM(), "")
-		left := newSide(c, issue(old), old.PEM(), "")
+		first, second := newProcess(c, issue(old), old.PEM(), ""), newProcess(c, issue(old), old.PEM(), "")
+		left := newProcess(c, issue(old), old.PEM(), "")
 		go first.Run(ctx, nil)
 		go second.Run(ctx, nil)
 		both, oldLeaf, newLeaf := old.PEM()+next.PEM(), issue(old), issue(next)
@@ -204,17 +204,17 @@
 			ca   string
 		}{{oldLeaf, both}, {newLeaf, both}, {newLeaf, next.PEM()}}
 		for i, step := range steps {
-			for _, s := range []*side{first, second} {
+			for _, s := range []*process{first, second} {
 				s.files.set(step.leaf.Cert, step.leaf.Key, step.ca)
 				time.Sleep(6 * time.Second)
 				synctest.Wait()
 				c.Check(s.changed, qt.Equals, i+1)
-				c.Check(talk(first, second), qt.IsNil, qt.Commentf("step %d", i))
-				c.Check(talk(second, first), qt.IsNil, qt.Commentf("step %d", i))
+				c.Check(exchangeByte(first, second), qt.IsNil, qt.Commentf("step %d", i))
+				c.Check(exchangeByte(second, first), qt.IsNil, qt.Commentf("step %d", i))
 			}
 		}
-		c.Check(talk(left, first), qt.IsNotNil)
-		c.Check(talk(first, left), qt.IsNotNil)
+		c.Check(exchangeByte(left, first), qt.IsNotNil)
+		c.Check(exchangeByte(first, left), qt.IsNotNil)
 		cancel()
 		synctest.Wait()
 	})
@@ -224,24 +224,24 @@
 // The last usable key must stay in use, the error must be reported once, and the change
 // must be applied when it is complete. A signal must apply it without waiting for the
 // next poll.
-func TestBadKeyKeepsTheOld(t *testing.T) {
+func TestUnusableKeyKeepsTheLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		ca, other := securetest.NewAuthority("ours"), securetest.NewAuthority("theirs")
 		a, b := ca.Issue("a", securetest.Options{}), ca.Issue("b", securetest.Options{})
-		s := newSide(c, a, ca.PEM(), "")
+		s := newProcess(c, a, ca.PEM(), "")
 		wake := make(chan os.Signal)
 		go s.Run(ctx, wake)
-		stranger := other.Issue("x", securetest.Options{})
+		foreign := other.Issue("x", securetest.Options{})
 		expired := ca.Issue("x", securetest.Options{From: -2 * time.Hour})
 		// The changes happen between two polls: a poll that reads the three files while
 		// they change would correctly report the mixture too.
 		time.Sleep(time.Second)
 		for i, bad := range [][3]string{
 			{b.Cert, a.Key, ca.PEM()}, {"", a.Key, ca.PEM()}, {a.Cert, a.Key, ca.PEM()[:200]},
-			{a.Cert, a.Key, ca.PEM() + other.PEM()[:200]}, {stranger.Cert, stranger.Key, ca.PEM()},
+			{a.Cert, a.Key, ca.PEM() + other.PEM()[:200]}, {foreign.Cert, foreign.Key, ca.PEM()},
 			{expired.Cert, expired.Key, ca.PEM()}, {a.Cert, a.Key, a.Cert},
 		} {
 			s.files.set(bad[0], bad[1], bad[2])
@@ -249,7 +249,7 @@
 			synctest.Wait()
 			c.Check(s.refused, qt.HasLen, i+1)
 			c.Check(s.refused[i], qt.ErrorAs, new(*secure.MaterialError))
-			c.Check(talk(s, s), qt.IsNil)
+			c.Check(exchangeByte(s, s), qt.IsNil)
 		}
 		s.files.set(b.Cert, b.Key, ca.PEM())
 		wake <- syscall.SIGHUP
@@ -264,7 +264,7 @@
 func BenchmarkDial(b *testing.B) {
 	c := qt.New(b)
 	ca := securetest.NewAuthority("ours")
-	s := newSide(c, ca.Issue("a", securetest.Options{}), ca.PEM(), "")
+	s := newProcess(c, ca.Issue("a", securetest.Options{}), ca.PEM(), "")
 	for name, network := range map[string]secure.Network{"plain": &tcp{}, "tls": secure.Wrap(&tcp{}, s.Source)} {
 		b.Run(name, func(b *testing.B) {
 			l, err := network.Listen("127.0.0.1:0")
--- a/secure/securetest/securetest.go
+++ b/secure/securetest/securetest.go
@@ -34,7 +34,7 @@
 	ServerOnly bool
 }
 
-const validity = time.Hour
+const defaultValidity = time.Hour
 
 // must panics on an error, so that the functions of this package return none: creating
 // a key in memory fails only if the machine has no source of random numbers.
@@ -45,9 +45,9 @@
 	return value
 }
 
-func serial() *big.Int { return must(rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 64))) }
+func newSerial() *big.Int { return must(rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 64))) }
 
-func encode(kind string, der []byte) string {
+func encodePEM(kind string, der []byte) string {
 	return string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}))
 }
 
@@ -56,16 +56,16 @@
 func NewAuthority(name string) *Authority {
 	key := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 	template := &x509.Certificate{
-		SerialNumber:          serial(),
+		SerialNumber:          newSerial(),
 		Subject:               pkix.Name{CommonName: name},
-		NotBefore:             time.Now().Add(-validity),
-		NotAfter:              time.Now().Add(24 * validity),
+		NotBefore:             time.Now().Add(-defaultValidity),
+		NotAfter:              time.Now().Add(24 * defaultValidity),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		KeyUsage:              x509.KeyUsageCertSign,
 	}
 	der := must(x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key))
-	return &Authority{cert: must(x509.ParseCertificate(der)), key: key, pem: encode("CERTIFICATE", der)}
+	return &Authority{cert: must(x509.ParseCertificate(der)), key: key, pem: encodePEM("CERTIFICATE", der)}
 }
 
 // PEM returns the authority's certificate as PEM text.
@@ -75,10 +75,10 @@
 func (a *Authority) Issue(name string, o Options) Leaf {
 	key := must(ecdsa.GenerateKey(elliptic.P256(), rand.Reader))
 	if o.Lifetime == 0 {
-		o.Lifetime = validity
+		o.Lifetime = defaultValidity
 	}
 	template := &x509.Certificate{
-		SerialNumber: serial(),
+		SerialNumber: newSerial(),
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    time.Now().Add(o.From - time.Minute),
 		NotAfter:     time.Now().Add(o.From + o.Lifetime),
@@ -91,5 +91,5 @@
 	}
 	der := must(x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key))
 	keyDER := must(x509.MarshalPKCS8PrivateKey(key))
-	return Leaf{Cert: encode("CERTIFICATE", der), Key: encode("PRIVATE KEY", keyDER)}
+	return Leaf{Cert: encodePEM("CERTIFICATE", der), Key: encodePEM("PRIVATE KEY", keyDER)}
 }
--- a/secure/source.go
+++ b/secure/source.go
@@ -17,9 +17,9 @@
 
 	// mu is held while new material is read and validated.
 	mu sync.Mutex
-	// refused identifies the last failure, so that it is reported only once: the digest
+	// lastFailure identifies the last failure, so that it is reported only once: the digest
 	// of the unusable material, or the text of the error of reading it.
-	refused string
+	lastFailure string
 }
 
 // NewSource reads the certificate, the key and the authorities. If they can't be used,
@@ -53,19 +53,19 @@
 	defer s.mu.Unlock()
 	m, err := s.cfg.read()
 	if err != nil {
-		s.refuse(err.Error(), err)
+		s.reportFailure(err.Error(), err)
 		return false, err
 	}
 	if m.equal(s.current.Load().material) {
-		s.refused = ""
+		s.lastFailure = ""
 		return false, nil
 	}
 	b, err := m.parse(s.cfg.Name, time.Now())
 	if err != nil {
-		s.refuse(m.digest(), err)
+		s.reportFailure(m.digest(), err)
 		return false, err
 	}
-	s.refused = ""
+	s.lastFailure = ""
 	s.current.Store(b)
 	if s.cfg.Notify.Changed != nil {
 		s.cfg.Notify.Changed(b.info)
@@ -73,12 +73,12 @@
 	return true, nil
 }
 
-// refuse reports a failure to Notify once, not at each poll. what identifies the failure.
-func (s *Source) refuse(what string, err error) {
-	if what == s.refused {
+// reportFailure reports err to Notify once, not at each poll. failure identifies the error.
+func (s *Source) reportFailure(failure string, err error) {
+	if failure == s.lastFailure {
 		return
 	}
-	s.refused = what
+	s.lastFailure = failure
 	if s.cfg.Notify.Refused != nil {
 		s.cfg.Notify.Refused(err)
 	}
@@ -89,7 +89,7 @@
 // modification time: a file that was put in place by renaming, or a mounted directory,
 // may have an older modification time.
 func (s *Source) Run(ctx context.Context, wake <-chan os.Signal) {
-	ticker := time.NewTicker(s.cfg.Poll)
+	ticker := time.NewTicker(s.cfg.PollInterval)
 	defer ticker.Stop()
 	for {
 		select {
