--- a/cmd/pollengauge/internal/cli/apikey.go
+++ b/cmd/pollengauge/internal/cli/apikey.go
@@ -26,7 +26,7 @@
 	return cmd
 }
 
-// keyBytes is how much chance a new key has.
+// keyBytes is the number of random bytes in a new key.
 const keyBytes = 20
 
 func newAPIKeyNewCommand() *cobra.Command {
--- a/cmd/pollengauge/internal/cli/applied.go
+++ b/cmd/pollengauge/internal/cli/applied.go
@@ -6,7 +6,7 @@
 	"pollengauge.dev/config"
 )
 
-// tell prints a change that took effect.
+// tell prints the result of a change that took effect.
 func (c *change) tell(result changed) error {
 	if result.Changes == nil {
 		result.Changes = []difference{}
--- a/cmd/pollengauge/internal/cli/apply.go
+++ b/cmd/pollengauge/internal/cli/apply.go
@@ -51,8 +51,8 @@
 		return changed{}, err
 	}
 	options := c.options()
-	// What get wrote carries the comment of the change before; it says
-	// nothing about this one.
+	// A file written by get carries the comment of the previous change, which
+	// does not describe this one.
 	if options.Comment == "" && (set.Version == 0 || set.Comment != stored.Set.Comment) {
 		options.Comment = set.Comment
 	}
@@ -64,8 +64,9 @@
 	return changeOf(result, stored.Set, set), err
 }
 
-// unchanged tells whether the same content is stored under a version that
-// nodes would not pass over. Version 0 is the default, which is not stored.
+// unchanged reports whether the same content is already stored under a version
+// that nodes would accept, that is, one not lower than above. Version 0 is the
+// built-in default, which is never stored.
 func (c *change) unchanged(stored, set config.Set, above uint64) bool {
 	return stored.Version > 0 && stored.Version >= above && len(config.Diff(stored, set)) == 0
 }
--- a/cmd/pollengauge/internal/cli/await.go
+++ b/cmd/pollengauge/internal/cli/await.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// nodeForce tells whether a node has a change in force.
+// nodeForce reports whether a node has a change in force.
 type nodeForce struct {
 	Node    string `json:"node"`
 	InForce bool   `json:"inForce"`
-	// Version is the one in force, 0 if the node can't be asked.
+	// Version is the version in force, 0 if the node could not be queried.
 	Version uint64 `json:"version"`
-	// TookMs counts from the moment the change was known to be stored.
+	// TookMs is the time since the change was confirmed as stored.
 	TookMs int64  `json:"tookMs"`
 	Error  string `json:"error,omitempty"`
 }
 
-// String returns the line that operators see.
+// String returns the line printed for operators.
 func (n nodeForce) String() string {
 	took := (time.Duration(n.TookMs) * time.Millisecond).String()
 	switch {
@@ -29,10 +29,11 @@
 	return n.Node + ": still on version " + strconv.FormatUint(n.Version, 10) + " after " + took
 }
 
-// forcePoll is how often a node is asked whether the change is in force.
+// forcePoll is the interval between two queries of a node for the version in force.
 const forcePoll = 25 * time.Millisecond
 
-// await asks the nodes until version is in force on each or the wait is over.
+// await polls all nodes at once until each has version in force or --wait has
+// passed. It returns each node's last state.
 func (c *change) await(version uint64) ([]nodeForce, error) {
 	if c.flags.wait == 0 || len(c.addresses) == 0 {
 		return []nodeForce{}, nil
@@ -52,8 +53,8 @@
 	return states, c.notInForce(version, replies)
 }
 
-// awaitNode asks one node until it has version in force. A node that can't be
-// reached is asked again, as it may be restarting.
+// awaitNode polls one node until it has version in force or ctx ends. It retries
+// an unreachable node, which may be restarting.
 func awaitNode(ctx context.Context, client *nodeClient, address string, version uint64, start time.Time) (nodeForce, error) {
 	tick := time.NewTicker(forcePoll)
 	defer tick.Stop()
@@ -84,6 +85,8 @@
 	}
 }
 
+// notInForce returns an error that names the nodes that could not be queried and
+// those still on an older version, or nil if every node has version in force.
 func (c *change) notInForce(version uint64, replies []reply[nodeForce]) error {
 	var late []string
 	var failures []error
--- a/cmd/pollengauge/internal/cli/bench.go
+++ b/cmd/pollengauge/internal/cli/bench.go
@@ -2,8 +2,8 @@
 
 import "github.com/spf13/cobra"
 
-// benchmarks makes the subcommands of bench. A benchmark is added here, each
-// with a constructor in a file of its own.
+// benchmarks lists the constructors of bench's subcommands. Each constructor is
+// in a file of its own; a new benchmark is registered here.
 var benchmarks = []func() *cobra.Command{
 	newBenchHopCommand,
 	newBenchControlCommand,
--- a/cmd/pollengauge/internal/cli/bench_control.go
+++ b/cmd/pollengauge/internal/cli/bench_control.go
@@ -11,7 +11,7 @@
 	"pollengauge.dev/bench/control"
 )
 
-// controlCommand is what the flags of one run of "bench control" are bound to.
+// controlCommand holds the flag values of one run of "bench control".
 type controlCommand struct {
 	cfg    control.Config
 	phases []string
@@ -30,8 +30,8 @@
 		Short: "Measure what a node spends on control",
 		Long: `Start fleets of several sizes in this one process, on loopback with a stand-in
 platform, and print what a node spends on control while nothing happens and
-during changes, drains, failures, restarts and a cut; then the straight lines
-through the sizes. Nodes carry no calls meanwhile.
+during changes, drains, failures, restarts and a network partition; then the
+straight lines fitted through the sizes. Nodes carry no calls meanwhile.
 
 With --fleet it starts one fleet instead, prints where to join it and keeps it
 for --hold, so that a node in a process of its own can be measured beside it:
@@ -73,7 +73,7 @@
 		c.cfg.Phases = append(c.cfg.Phases, control.Phase(phase))
 	}
 	result, err := control.Run(cmd.Context(), c.cfg)
-	// The sizes before a failure took minutes to measure, so they are printed.
+	// Print the sizes measured before a failure: each took minutes.
 	if err == nil || len(result.Sizes) > 0 {
 		if err := c.print(cmd, result); err != nil {
 			return err
@@ -97,7 +97,7 @@
 	return out.result()
 }
 
-// holdFleet keeps a fleet until the time is over or an operator ends it.
+// holdFleet runs a fleet until --hold has passed or the operator interrupts it.
 func (c *controlCommand) holdFleet(cmd *cobra.Command) error {
 	c.cfg.Sizes = []int{c.fleet}
 	fleet, err := control.Hold(cmd.Context(), c.cfg)
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// controlError tells a run that can't be made as asked from one that failed.
+// controlError wraps a failure of the fleet in a *BenchmarkError. Other errors
+// mean that the arguments can't be used, and are returned unchanged.
 func controlError(err error) error {
 	if failed := (*control.FleetError)(nil); errors.As(err, &failed) {
 		return &BenchmarkError{Cause: failed}
@@ -124,12 +125,13 @@
 	return err
 }
 
-// UnreachedError means that news did not reach every node within the limit.
+// UnreachedError means that in some phases a change did not reach every node within
+// the time limit.
 type UnreachedError struct{ Phases int }
 
 // Error implements error.
 func (e *UnreachedError) Error() string {
-	return strconv.Itoa(e.Phases) + " phases did not come to their end"
+	return strconv.Itoa(e.Phases) + " phases did not complete within the time limit"
 }
 
 func (*UnreachedError) exitCode() ExitCode { return ExitFailed }
--- a/cmd/pollengauge/internal/cli/bench_experiment.go
+++ b/cmd/pollengauge/internal/cli/bench_experiment.go
@@ -16,7 +16,7 @@
 	"pollengauge.dev/bench/experiment/workload"
 )
 
-// Files in the directory of an experiment's results.
+// Names of the files in the results directory of an experiment.
 const (
 	playsFile   = "plays.jsonl"
 	resultsFile = "results.json"
@@ -28,8 +28,7 @@
 	maxSeeds     = 10_000
 )
 
-// experimentCommand is what the flags of one run of "bench experiment" are bound
-// to.
+// experimentCommand holds the flag values of one run of "bench experiment".
 type experimentCommand struct {
 	seeds    int
 	parallel int
@@ -92,7 +91,7 @@
 	}
 	data, err := readFile(cmd.InOrStdin(), file)
 	if err == nil {
-		// A bad file must not leave a directory behind.
+		// Parse first, so that an invalid file leaves no results directory behind.
 		_, err = workload.Parse(data)
 	}
 	if err != nil {
@@ -114,7 +113,7 @@
 	}, nil
 }
 
-// resultsOf is the directory for the results of a file.
+// resultsOf returns the default results directory for a workload file.
 func resultsOf(file string) string {
 	name := filepath.Base(file)
 	if file == stdinName {
@@ -123,7 +122,7 @@
 	return strings.TrimSuffix(name, filepath.Ext(name)) + ".results"
 }
 
-// write keeps the results as files and prints them.
+// write stores the results as files and prints them.
 func (c *experimentCommand) write(cmd *cobra.Command, report *experiment.Report) error {
 	if err := writeTo(filepath.Join(c.out, resultsFile), func(w io.Writer) error { return writeJSON(w, report) }); err != nil {
 		return err
@@ -140,7 +139,8 @@
 	return out.result()
 }
 
-// writeTo replaces a file.
+// writeTo creates or truncates a file and writes its content. A failure is an
+// *OutputError.
 func writeTo(path string, write func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -156,7 +156,8 @@
 	return nil
 }
 
-// experimentError tells a run that can't be made as asked from one that failed.
+// experimentError returns a *FileError if the workload file is invalid and a
+// *BenchmarkError if the run failed.
 func experimentError(file string, err error) error {
 	if refused := (*workload.Error)(nil); errors.As(err, &refused) {
 		return &FileError{File: file, Cause: refused}
@@ -164,13 +165,13 @@
 	return &BenchmarkError{Cause: err}
 }
 
-// progress shows how far an experiment is: on a terminal in one line that
-// changes, elsewhere a line for each play.
+// progress prints the progress of an experiment: on a terminal as one line that
+// is overwritten, elsewhere as one line per play.
 type progress struct {
 	w        io.Writer
 	terminal bool
 	began    time.Time
-	// before counts the plays of earlier runs.
+	// before is the number of plays that earlier runs have completed.
 	before int
 }
 
@@ -209,7 +210,8 @@
 	return text
 }
 
-// line shows a text. On a terminal the next one takes its place, unless it stays.
+// line writes one line of progress. On a terminal the next line overwrites it
+// unless stays is set.
 func (p *progress) line(text string, stays bool) {
 	if p.terminal {
 		const clearLine = "\r\x1b[K"
--- a/cmd/pollengauge/internal/cli/bench_experiment_test.go
+++ b/cmd/pollengauge/internal/cli/bench_experiment_test.go
@@ -30,7 +30,8 @@
 	return path
 }
 
-// The second run of a command has nothing to play any more and tells the same.
+// A second run of the same command finds every play stored, runs none and reports
+// the same results.
 func TestBenchExperiment(t *testing.T) {
 	c, ctx := testContext(t)
 	file, out := writeWorkload(c, tinyWorkload), filepath.Join(c.TempDir(), "out")
@@ -74,7 +75,8 @@
 	c.Check(got.stderr, qt.Contains, "move it away to begin anew")
 }
 
-// On a terminal one line changes, and the last one stays.
+// On a terminal each progress line overwrites the previous one, and the last one
+// remains.
 func TestProgressOnATerminal(t *testing.T) {
 	c := qt.New(t)
 	var b bytes.Buffer
--- a/cmd/pollengauge/internal/cli/bench_hop.go
+++ b/cmd/pollengauge/internal/cli/bench_hop.go
@@ -60,7 +60,8 @@
 	return out.result()
 }
 
-// benchmarkError tells a run that can't be made as asked from one that failed.
+// benchmarkError wraps a failure to set up the benchmark in a *BenchmarkError.
+// Other errors mean that the arguments can't be used, and are returned unchanged.
 func benchmarkError(err error) error {
 	if setup := (*hop.SetupError)(nil); errors.As(err, &setup) {
 		return &BenchmarkError{Cause: setup}
@@ -68,7 +69,7 @@
 	return err
 }
 
-// BenchmarkError means that a benchmark could not be run to its end.
+// BenchmarkError means that a benchmark could not be completed.
 type BenchmarkError struct{ Cause error }
 
 // Error implements error.
@@ -79,13 +80,13 @@
 
 func (*BenchmarkError) exitCode() ExitCode { return ExitFailed }
 
-// FailedCallsError means that calls of a benchmark had no complete answer, so
-// that its figures are not to be relied on.
+// FailedCallsError means that some calls of a benchmark got no complete response,
+// so its figures are unreliable.
 type FailedCallsError struct{ Calls int }
 
 // Error implements error.
 func (e *FailedCallsError) Error() string {
-	return strconv.Itoa(e.Calls) + " calls had no complete answer"
+	return strconv.Itoa(e.Calls) + " calls got no complete response"
 }
 
 func (*FailedCallsError) exitCode() ExitCode { return ExitFailed }
--- a/cmd/pollengauge/internal/cli/change.go
+++ b/cmd/pollengauge/internal/cli/change.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	// expectLatest as --expect takes whatever version is stored at the start.
+	// expectLatest is the value of --expect that accepts whatever version is stored
+	// when the command starts.
 	expectLatest = "latest"
 	defaultWait  = 5 * time.Second
 )
 
-// changeFlags are shared by the commands that change the configuration.
+// changeFlags are the flags shared by the commands that change the configuration.
 type changeFlags struct {
 	platform platformFlags
 	nodes    nodesFlags
@@ -45,17 +46,19 @@
 type changed struct {
 	ChangeID string `json:"changeId"`
 	Version  uint64 `json:"version"`
-	// Unchanged: the same content was in force already, nothing was written.
+	// Unchanged is true if the same content was already stored, so nothing was written.
 	Unchanged bool `json:"unchanged"`
-	// Settled: an answer was lost, and reading back found the change.
+	// Settled is true if the response to the write was lost and reading back found
+	// the change.
 	Settled bool `json:"settled"`
-	// NewestVersion is above Version if another change has followed.
+	// NewestVersion is the newest stored version. It is above Version if another
+	// change has followed.
 	NewestVersion uint64       `json:"newestVersion"`
 	Changes       []difference `json:"changes"`
 	Nodes         []nodeForce  `json:"nodes"`
 }
 
-// change is one change on its way.
+// change is the state of one change of the configuration while it is being made.
 type change struct {
 	flags     *changeFlags
 	cmd       *cobra.Command
@@ -63,12 +66,13 @@
 	addresses []string
 	// expected is the stored version that the change may replace.
 	expected uint64
-	// repeat is the command without --expect and --change-id, with which it
-	// settles the change when its fate is unknown.
+	// repeat is the command line without --expect and --change-id. With those two
+	// added, it settles a change whose fate is unknown.
 	repeat string
 }
 
-// run opens the platform, makes the change and tells what became of it.
+// run connects to the platform, makes the change with do, waits for the nodes and
+// prints the result.
 func (f *changeFlags) run(cmd *cobra.Command, do func(c *change) (changed, error)) error {
 	addresses, err := f.nodes.addresses()
 	if err != nil {
@@ -94,7 +98,7 @@
 	return err
 }
 
-// options are those of the library.
+// options returns the options for config.Apply and config.Rollback.
 func (c *change) options() config.ApplyOptions {
 	f := c.flags
 	author := f.author
@@ -111,12 +115,12 @@
 	}
 }
 
-// above is the version that the new one must exceed.
+// above returns the version that the new version must exceed: the value of
+// --above, or else the highest version that any node has in force.
 //
-// Failure: the platform lost its data and counts from 1 again. Symptom: nodes,
-// which only take higher versions, ignore what is stored until it has caught
-// up. Asking the nodes for what they have in force lifts the new version over
-// it.
+// If the platform loses its data, it numbers versions from 1 again. Nodes accept
+// only higher versions, so they would ignore new sets until the numbers had caught
+// up. Starting above the nodes' versions prevents that.
 func (c *change) above() uint64 {
 	if c.cmd.Flags().Changed("above") {
 		return c.flags.above
@@ -128,8 +132,8 @@
 	return highest
 }
 
-// expect sets the stored version that the change may replace: that of the
-// flag, else the given one.
+// expect sets the stored version that the change may replace: the value of
+// --expect, or otherwise if the flag is not given.
 func (c *change) expect(stored, otherwise uint64) error {
 	switch c.flags.expect {
 	case "":
@@ -157,7 +161,8 @@
 	}
 }
 
-// failed tells a lost race and the way to settle an unknown fate.
+// failed handles a change that returned err. It prints both sides of a lost race,
+// and adds the command that settles a change whose fate is unknown.
 func (c *change) failed(err error) error {
 	if race := (*config.RaceError)(nil); errors.As(err, &race) {
 		if told := c.tellRace(race); told != nil {
@@ -172,7 +177,7 @@
 	return &UnsettledError{Command: command, Cause: err}
 }
 
-// versions asks every node which version it has in force.
+// versions queries every node for the version it has in force.
 func (c *change) versions(ctx context.Context) []reply[uint64] {
 	client := newNodeClient(c.flags.nodes.timeout)
 	defer client.close()
--- a/cmd/pollengauge/internal/cli/claims.go
+++ b/cmd/pollengauge/internal/cli/claims.go
@@ -13,14 +13,15 @@
 	"pollengauge.dev/observe"
 )
 
-// member is a node that answered, with its admin address.
+// member is a node that responded, with its admin address.
 type member struct {
 	address string
 	status  observe.NodeStatus
 }
 
-// runClaims lists the open claims of lost homes, each service's by one of its
-// nodes. What could be read is shown also if some of it could not.
+// runClaims lists the open claims whose owner is none of the nodes that responded.
+// The claims of each service are read through one of its nodes. If some claims
+// can't be read, it prints the others and returns the error.
 func runClaims(cmd *cobra.Command, flags *nodesFlags, addresses []string) error {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
@@ -44,7 +45,7 @@
 	return errors.Join(failures...)
 }
 
-// byService groups members, in the order of their services' names.
+// byService groups members by service, in the order of the service names.
 func byService(members []member) [][]member {
 	slices.SortStableFunc(members, func(a, b member) int { return cmp.Compare(a.status.Service, b.status.Service) })
 	var groups [][]member
@@ -57,9 +58,9 @@
 	return groups
 }
 
-// claimsOf reads one service's claims part by part, so that no answer grows
-// without bound. A part that one node can't read is asked of the next; the
-// error is the last one's.
+// claimsOf reads the claims of one service part by part, which bounds the size of
+// each response. If a node can't read a part, the next node of group is queried;
+// if all fail, the error is that of the last node.
 func claimsOf(ctx context.Context, client *nodeClient, group []member) (claims []fate, err error) {
 	for _, part := range node.ClaimParts() {
 		var answer node.FatesResponse
--- a/cmd/pollengauge/internal/cli/cli.go
+++ b/cmd/pollengauge/internal/cli/cli.go
@@ -1,9 +1,9 @@
-// Package cli is the command line of pollengauge. It turns flags and
-// environment variables into settings and typed errors into exit codes; the
-// work is done by the libraries.
+// Package cli implements the command line of pollengauge. It converts flags and
+// environment variables to settings, and typed errors to exit codes; the other
+// packages of the project do the work.
 //
-// Main runs one command line. It keeps no state between calls and may be
-// called concurrently, except that signals reach every call.
+// Main runs one command line. It keeps no state between calls and may be called
+// concurrently, but a signal cancels all calls that are running.
 package cli
 
 import (
@@ -21,13 +21,14 @@
 func Main(args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	// A drain may take its whole bound. An operator who presses Ctrl-C twice
-	// wants the end now; a repeated SIGTERM of a supervisor does not.
+	// A drain may take its full timeout. An operator who presses Ctrl-C twice
+	// wants the process to exit immediately; a supervisor that repeats SIGTERM
+	// does not.
 	context.AfterFunc(ctx, func() { signal.Reset(syscall.SIGINT) })
 	return run(ctx, args, stdin, stdout, stderr)
 }
 
-// run is Main without signals: the command ends when ctx does.
+// run is Main without signal handling: cancelling ctx stops the command.
 func run(ctx context.Context, args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	root := newRoot()
 	root.SetArgs(args)
@@ -42,10 +43,11 @@
 	return int(codeOf(err))
 }
 
-// errorPrefix begins every line that tells an error.
+// errorPrefix begins every line of an error message.
 const errorPrefix = "pollengauge: "
 
-// report writes an error in the one form: each of its lines with the prefix.
+// report writes an error with errorPrefix before each of its lines. It writes
+// nothing for a *QuietError.
 func report(w io.Writer, err error) {
 	if quiet := (*QuietError)(nil); errors.As(err, &quiet) {
 		return
--- a/cmd/pollengauge/internal/cli/config_test.go
+++ b/cmd/pollengauge/internal/cli/config_test.go
@@ -20,8 +20,9 @@
   - {service: directory, method: GET, profile: browse}
 `
 
-// The operator mistypes a field. It must be refused with its line before
-// anything is stored: ignored, it would look applied and change nothing.
+// The operator mistypes a field name. The file must be rejected with the line of
+// the field before anything is stored. If the field were ignored, the change would
+// appear to be applied but have no effect.
 func TestValidateNamesLineAndField(t *testing.T) {
 	c, ctx := testContext(t)
 	got := command(ctx, strings.Replace(smallSet, "priority: 2", "priority: 2, maxWiat: 1s", 1), "validate", "-f", "-")
@@ -45,9 +46,9 @@
 	c.Assert(len(told.Problems), qt.Equals, 5)
 }
 
-// Two operators edit the same version. The second to apply must not undo the
-// first: it changes nothing, sees what each side changed, and can go on from
-// theirs on purpose.
+// Two operators edit the same version. The second apply must not overwrite the
+// first: it changes nothing, prints the changes of both sides, and succeeds when
+// the operator names the other's version with --expect.
 func TestApplyRaceShowsBothSides(t *testing.T) {
 	c, ctx := testContext(t)
 	server, platform := startPlatform(c)
@@ -72,7 +73,8 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(document.Set.Version, qt.Equals, uint64(2))
 
-	// A file from version control has no version: it replaces nothing unasked.
+	// A file from version control has no version, so without --expect it may not
+	// replace a stored set.
 	c.Assert(command(ctx, smallSet, "apply", platform, "-f", "-").code, qt.Equals, ExitRace)
 	c.Assert(command(ctx, mine, "diff", platform, "-f", "-").code, qt.Equals, ExitDifferent)
 	c.Assert(command(ctx, mine, "apply", platform, "-f", "-", "--expect", "2").code, qt.Equals, ExitOK)
@@ -82,8 +84,9 @@
 	c.Assert(command(ctx, "", "rollback", platform, "9").code, qt.Equals, ExitNotFound)
 }
 
-// The write takes effect, its answer is lost. The operator must neither be
-// told that it failed nor get it twice: reading back settles it.
+// The write takes effect, but its response is lost. The command must read back the
+// stored set: reporting a failure would be wrong, and writing again would apply the
+// change twice.
 func TestApplyWithLostAnswerAppliesOnce(t *testing.T) {
 	c, ctx := testContext(t)
 	server, platform := startPlatform(c)
@@ -97,16 +100,16 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(document.Changes, qt.HasLen, 1)
 	c.Assert(document.Set.Version, qt.Equals, uint64(1))
-	// The same file again is no change.
+	// Applying the same file again changes nothing.
 	again := command(ctx, smallSet, "apply", platform, "-f", "-")
 	c.Assert(again.code, qt.Equals, ExitOK)
 	c.Assert(again.stdout, qt.Contains, "unchanged: version 1")
 }
 
-// No write is answered, and none can be found by reading back. The operator
-// must be told that the change may still take effect, with a command that
-// settles it; running that command twice once the platform is back must apply
-// the change once.
+// No write gets a response, and reading back finds none of them. The error must
+// say that the change may still take effect and name a command that settles it.
+// Running that command twice after the platform has recovered must apply the change
+// exactly once.
 func TestApplyUnsettledNamesTheCommandThatSettles(t *testing.T) {
 	c, ctx := testContext(t)
 	server, platform := startPlatform(c)
@@ -127,8 +130,9 @@
 	c.Assert(document.Changes, qt.HasLen, 1)
 }
 
-// The platform is down: each command says so with its own exit code, so that a
-// script can wait for it rather than take the set for wrong.
+// While the platform is down, each command that needs it exits with
+// ExitUnavailable, so that a script can wait for the platform instead of treating
+// the set as invalid.
 func TestPlatformDown(t *testing.T) {
 	c, ctx := testContext(t)
 	server, platform := startPlatform(c)
--- a/cmd/pollengauge/internal/cli/customers.go
+++ b/cmd/pollengauge/internal/cli/customers.go
@@ -15,9 +15,10 @@
 	cmd := &cobra.Command{
 		Use:   "customers",
 		Short: "List customers with their limits and their use",
-		Long: `List the customers of the configuration in force, with their limits, and what is
-asked and refused of each over all nodes, as the node counts it that is its home.
-Those of which most is refused come first. No key is shown, nor its digest.`,
+		Long: `List the customers of the configuration in force, with their limits, and the
+requests each makes and has refused over all nodes, as counted by the node that
+owns the customer. The customers with the most refusals come first. No key is
+shown, nor its digest.`,
 		Example: `  pollengauge customers
   pollengauge customers --json`,
 		Args: cobra.NoArgs,
@@ -38,7 +39,8 @@
 	return cmd
 }
 
-// collectCustomers asks all nodes. Of each customer it keeps what its home tells.
+// collectCustomers queries all nodes and returns one view of each customer: that of
+// the node that owns the customer, if it responded.
 func collectCustomers(cmd *cobra.Command, flags *nodesFlags, addresses []string) ([]node.CustomerView, error) {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
@@ -84,5 +86,5 @@
 	return out.result()
 }
 
-// shortNumber has four significant digits.
+// shortNumber formats value with four significant digits.
 func shortNumber(value float64) string { return strconv.FormatFloat(value, 'g', 4, 64) }
--- a/cmd/pollengauge/internal/cli/customers_test.go
+++ b/cmd/pollengauge/internal/cli/customers_test.go
@@ -14,8 +14,9 @@
 	"pollengauge.dev/node"
 )
 
-// An operator makes a key, puts its digest into a set, and finds the customer with its
-// use. Nothing that is shown afterwards has the key.
+// An operator creates a key, applies a set with its digest, and sees the customer
+// listed with its request rate. No later output may contain the key, also not the
+// error for a key given in place of a digest.
 func TestCustomersAreListedWithoutKeys(t *testing.T) {
 	c, ctx := testContext(t)
 	_, platform := startPlatform(c)
@@ -55,5 +56,5 @@
 	c.Assert(os.WriteFile(file, []byte(wrong), 0o600), qt.IsNil)
 	got = command(ctx, "", "validate", "-f", file)
 	c.Check(got.code, qt.Not(qt.Equals), ExitOK)
-	c.Check(strings.Contains(got.stdout+got.stderr, key), qt.IsFalse, qt.Commentf("a key in a digest's place"))
+	c.Check(strings.Contains(got.stdout+got.stderr, key), qt.IsFalse, qt.Commentf("the output shows a key given in place of a digest"))
 }
--- a/cmd/pollengauge/internal/cli/demo.go
+++ b/cmd/pollengauge/internal/cli/demo.go
@@ -48,7 +48,8 @@
 	return cmd
 }
 
-// profilesOf gives the sets of a directory, or those built in.
+// profilesOf returns the profile sets of a directory, or the built-in ones if dir is
+// empty.
 func profilesOf(dir string) fs.FS {
 	if dir != "" {
 		return os.DirFS(dir)
--- a/cmd/pollengauge/internal/cli/docs_test.go
+++ b/cmd/pollengauge/internal/cli/docs_test.go
@@ -14,9 +14,9 @@
 	"pollengauge.dev/examples"
 )
 
-// The page must not fall behind the binary: each command has a heading, each
-// flag and variable is named under it, and each exit code has a row. Every
-// command has a long help with an example.
+// docs/CLI.md must cover the whole command line: a heading for each command, each
+// flag and environment variable named under its heading, and a table row for each
+// exit code. Every command must have a long help text and an example.
 func TestPageNamesEveryCommand(t *testing.T) {
 	c := qt.New(t)
 	data, err := os.ReadFile("../../../../docs/CLI.md")
@@ -42,7 +42,7 @@
 	}
 }
 
-// sections splits a page at its headings.
+// sections splits a Markdown page at its headings. The keys are the headings.
 func sections(page string) map[string]string {
 	out := make(map[string]string)
 	heading := ""
@@ -63,8 +63,8 @@
 	}
 }
 
-// A user copies an example or runs the demo, which uses the same files. Each
-// must be there for its deployment and be accepted as it stands.
+// Users copy the example files, and the demo uses the same ones. Each deployment
+// must have its file, and the file must be valid without changes.
 func TestExamplesAreUsable(t *testing.T) {
 	c := qt.New(t)
 	for _, name := range []string{"nyitottkapu.yaml", "tenantwise.yaml"} {
--- a/cmd/pollengauge/internal/cli/drain.go
+++ b/cmd/pollengauge/internal/cli/drain.go
@@ -15,7 +15,7 @@
 	drainPoll        = 50 * time.Millisecond
 )
 
-// drainer is one run of drain.
+// drainer holds the flag values of one run of drain.
 type drainer struct {
 	nodes  nodesFlags
 	cancel bool
@@ -23,12 +23,12 @@
 	wait   time.Duration
 }
 
-// drained is the JSON for one node.
+// drained is the state of one node after a drain command, and its JSON.
 type drained struct {
 	Address  string `json:"address"`
 	Draining bool   `json:"draining"`
 	InFlight int    `json:"inFlight"`
-	// Gone: the process has ended, as --exit asked.
+	// Gone is true if the process has exited, as requested by --exit.
 	Gone   bool   `json:"gone"`
 	TookMs int64  `json:"tookMs"`
 	Error  string `json:"error,omitempty"`
@@ -83,7 +83,8 @@
 	return single(err)
 }
 
-// single gives one failure its own exit code.
+// single returns the only failure of an *UnreachableError itself, so that its own
+// exit code applies. Other errors are returned unchanged.
 func single(err error) error {
 	if several, ok := err.(*UnreachableError); ok && len(several.Failures) == 1 {
 		return several.Failures[0]
@@ -110,8 +111,8 @@
 	return state, err
 }
 
-// await looks until the last call has ended and, with --exit, the process no
-// longer answers.
+// await polls the node until its last call has ended or, with --exit, until its
+// process no longer responds.
 func (d *drainer) await(ctx context.Context, client *nodeClient, state *drained) error {
 	ctx, cancel := context.WithTimeout(ctx, d.wait)
 	defer cancel()
@@ -163,7 +164,7 @@
 	cmd := &cobra.Command{
 		Use:   "key NODE",
 		Short: "Mint an idempotency key",
-		Long: `Mint an idempotency key whose home is the node with this admin address. A
+		Long: `Mint an idempotency key that is owned by the node with this admin address. A
 caller sends it as Idempotency-Key; whichever node gets it, the call runs at
 most once. Callers mint their own at the edge: POST /.well-known/pollengauge/key.`,
 		Example: `  curl -X POST -H "Idempotency-Key: $(pollengauge key 127.0.0.1:8104)" http://127.0.0.1:8100/filings`,
--- a/cmd/pollengauge/internal/cli/errors.go
+++ b/cmd/pollengauge/internal/cli/errors.go
@@ -8,9 +8,10 @@
 	"pollengauge.dev/config"
 )
 
-// ArgumentError is a flag or argument that can't be used.
+// ArgumentError means that the value of a flag or argument can't be used.
 type ArgumentError struct {
-	// Name is the flag with its dashes, or what the argument stands for.
+	// Name is the flag with its dashes, or the argument's placeholder in the usage
+	// line.
 	Name  string
 	Value string
 	Want  string
@@ -23,7 +24,7 @@
 
 func (*ArgumentError) exitCode() ExitCode { return ExitUsage }
 
-// FileError tells which file could not be read or used.
+// FileError means that a file could not be read or its content is invalid.
 type FileError struct {
 	File  string
 	Cause error
@@ -52,7 +53,7 @@
 
 func (*FileError) exitCode() ExitCode { return ExitUsage }
 
-// NodeError means that a node could not be asked.
+// NodeError means that a request to a node's admin API failed without a response.
 type NodeError struct {
 	// Node is the address of its admin listener.
 	Node  string
@@ -67,12 +68,12 @@
 
 func (*NodeError) exitCode() ExitCode { return ExitUnavailable }
 
-// AnswerError means that something answered at a node's address, but not as
-// its admin API does.
+// AnswerError means that a node's address returned an error status, or a response
+// that is not that of an admin API.
 type AnswerError struct {
 	Node   string
 	Status int
-	// Detail is the answer's own text of the error, "" if it had none.
+	// Detail is the error text of the response, "" if it had none.
 	Detail string
 }
 
@@ -87,7 +88,7 @@
 
 func (*AnswerError) exitCode() ExitCode { return ExitFailed }
 
-// UnreachableError means that some of the nodes that were asked gave nothing.
+// UnreachableError means that the requests to some of the nodes failed.
 type UnreachableError struct{ Failures []error }
 
 // Error implements error.
@@ -101,13 +102,13 @@
 
 func (*UnreachableError) exitCode() ExitCode { return ExitUnavailable }
 
-// NoHopsError means that no node holds a hop of the request any more.
+// NoHopsError means that none of the nodes queried holds a hop of the request.
 type NoHopsError struct{ Request string }
 
 // Error implements error.
 func (e *NoHopsError) Error() string {
-	return "request " + strconv.Quote(e.Request) + ": no node that was asked holds a hop of it: the id is wrong, or its hops are older than --lookback of node keeps, " +
-		"or the nodes that saw it were not asked or have restarted (an id made by a node begins with that node's id)"
+	return "request " + strconv.Quote(e.Request) + ": none of the nodes queried holds a hop of it: the id is wrong, or its hops are older than those that --lookback of node retains, " +
+		"or the nodes that handled it were not queried or have restarted (an id made by a node begins with that node's id)"
 }
 
 func (*NoHopsError) exitCode() ExitCode { return ExitNotFound }
@@ -128,7 +129,8 @@
 
 func (*NotInForceError) exitCode() ExitCode { return ExitFailed }
 
-// StillBusyError means that a drain had not ended when the wait did.
+// StillBusyError means that a node still had calls in flight when the time to wait
+// for its drain had passed.
 type StillBusyError struct {
 	Node     string
 	InFlight int
@@ -142,7 +144,8 @@
 
 func (*StillBusyError) exitCode() ExitCode { return ExitFailed }
 
-// BrokenError means that a run saw promises broken.
+// BrokenError means that the demo or a benchmark found violations of the system's
+// guarantees.
 type BrokenError struct{ Promises int }
 
 // Error implements error.
@@ -161,8 +164,8 @@
 
 func (*OutputError) exitCode() ExitCode { return ExitFailed }
 
-// QuietError ends the process with a code whose meaning stdout has already
-// told, as with diff.
+// QuietError sets the exit code without an error message. It is for commands whose
+// output on stdout already explains the code, such as diff.
 type QuietError struct{ Code ExitCode }
 
 // Error implements error.
@@ -170,7 +173,8 @@
 
 func (e *QuietError) exitCode() ExitCode { return e.Code }
 
-// UnsettledError is a change of unknown fate, with the way to settle it.
+// UnsettledError means that the fate of a change is unknown. It names the command
+// that settles it.
 type UnsettledError struct {
 	// Command settles the change when it is run again.
 	Command string
@@ -179,7 +183,7 @@
 
 // Error implements error.
 func (e *UnsettledError) Error() string {
-	return e.Cause.Error() + "\nthe change may be in force or not; to settle it: " + e.Command
+	return e.Cause.Error() + "\nthe change may or may not be in force; to settle it: " + e.Command
 }
 
 // Unwrap returns the cause.
--- a/cmd/pollengauge/internal/cli/exit.go
+++ b/cmd/pollengauge/internal/cli/exit.go
@@ -11,36 +11,36 @@
 	"pollengauge.dev/standin"
 )
 
-// ExitCode is what the process tells a script.
+// ExitCode is the exit status of the process.
 type ExitCode int
 
 // The exit codes, as documented in docs/CLI.md.
 const (
 	ExitOK ExitCode = iota
-	// ExitFailed: the command did not do what was asked.
+	// ExitFailed means that the command failed for a reason without a code of its own.
 	ExitFailed
-	// ExitUsage: a flag, argument, environment variable or file is unusable.
+	// ExitUsage means that a flag, argument, environment variable or file is unusable.
 	ExitUsage
-	// ExitRace: another operator changed the configuration first.
+	// ExitRace means that another operator changed the configuration first.
 	ExitRace
-	// ExitAmbiguous: the change may have been made; the answer was lost.
+	// ExitAmbiguous means that the change may have been made: its response was lost.
 	ExitAmbiguous
-	// ExitUnavailable: the platform or a node can't be reached.
+	// ExitUnavailable means that the platform or a node can't be reached.
 	ExitUnavailable
-	// ExitBroken: the demo or a benchmark saw a promise broken.
+	// ExitBroken means that the demo or a benchmark found a guarantee violated.
 	ExitBroken
-	// ExitNotFound: what was asked for does not exist.
+	// ExitNotFound means that the requested version, request or object does not exist.
 	ExitNotFound
-	// ExitDifferent: diff found differences.
+	// ExitDifferent means that diff found differences.
 	ExitDifferent
 )
 
-// coded is an error that knows its exit code.
+// coded is an error that has an exit code of its own.
 type coded interface{ exitCode() ExitCode }
 
-// codeOf finds the exit code of an error. The order matters: a change of
-// unknown fate is ambiguous whatever caused it, and only then does its cause
-// count.
+// codeOf returns the exit code of an error. The order of the checks matters: a
+// change of unknown fate is ambiguous whatever its cause, so the fate is checked
+// before the cause.
 func codeOf(err error) ExitCode {
 	if own := coded(nil); errors.As(err, &own) {
 		return own.exitCode()
@@ -60,13 +60,13 @@
 	case isFailure(err):
 		return ExitFailed
 	}
-	// What is left are the settings that the libraries refuse, and the flags
-	// and arguments that cobra refuses with errors of its own.
+	// The remaining errors are settings rejected by the other packages, and flags
+	// and arguments rejected by cobra with untyped errors.
 	return ExitUsage
 }
 
-// isFailure tells the library errors that no other use of the command would
-// have avoided.
+// isFailure reports whether err is a runtime failure, which different arguments
+// would not have avoided.
 func isFailure(err error) bool {
 	return as[*config.ApplyError](err) || as[*config.EncodingError](err) || as[*objects.ProtocolError](err) ||
 		as[*objects.StatusError](err) || as[*node.ListenError](err) || as[*node.DrainError](err) ||
@@ -74,6 +74,7 @@
 		as[*demo.StartError](err) || as[*demo.ReadyError](err) || as[*demo.WriteError](err)
 }
 
+// as reports whether err is or wraps an error of type E.
 func as[E error](err error) bool {
 	var target E
 	return errors.As(err, &target)
--- a/cmd/pollengauge/internal/cli/explain.go
+++ b/cmd/pollengauge/internal/cli/explain.go
@@ -73,8 +73,10 @@
 	return out.result()
 }
 
-// collectRefusals fetches what names the service behind a refusal at the root;
-// nothing for other requests. Nodes that don't answer were named already.
+// collectRefusals returns recent refusals of the profile that was refused at the
+// root because of a downstream service; they name that service. It returns nil for
+// requests that were not. Nodes that don't respond are ignored here, because the
+// query for the request's own hops has already reported them.
 func collectRefusals(ctx context.Context, client *nodeClient, addresses []string, hops []observe.Hop) []observe.Hop {
 	profile, ok := observe.ShedBelow(hops)
 	if !ok {
@@ -101,6 +103,7 @@
 	return gather(request, replies)
 }
 
+// gather merges the hops of all replies. The error is non-nil if any node failed.
 func gather(request string, replies []reply[[]observe.Hop]) (explanation, error) {
 	lists, unreachable, err := split(replies)
 	found := explanation{Request: request, Hops: []observe.Hop{}, Unreachable: []string{}}
@@ -111,7 +114,7 @@
 	return found, err
 }
 
-// queryOf leaves out what is not given.
+// queryOf returns URL parameters without the empty values.
 func queryOf(values map[string]string) url.Values {
 	query := url.Values{}
 	for name, value := range values {
--- a/cmd/pollengauge/internal/cli/fates.go
+++ b/cmd/pollengauge/internal/cli/fates.go
@@ -10,9 +10,9 @@
 	"pollengauge.dev/node"
 )
 
-// fate is one key's fate and the node that told it.
+// fate is the fate of one idempotency key and the node that reported it.
 type fate struct {
-	// Address is the admin listener of the node that holds the key.
+	// Address is the admin listener of the node that reported the fate.
 	Address string `json:"address"`
 	node.FateView
 }
@@ -80,7 +80,8 @@
 	return fates, err
 }
 
-// sinceOf is empty for a claim, which does not say when it was made.
+// sinceOf formats the time since when the fate holds. It is "-" for a claim, which
+// does not record when it was made.
 func sinceOf(f fate) string {
 	if f.Since.IsZero() {
 		return dash("")
--- a/cmd/pollengauge/internal/cli/file.go
+++ b/cmd/pollengauge/internal/cli/file.go
@@ -13,8 +13,8 @@
 // stdinName is the file name that stands for standard input.
 const stdinName = "-"
 
-// maxFile bounds what is read of a file: YAML with comments takes more room
-// than the encoded Set.
+// maxFile is the largest file accepted, in bytes. It is a multiple of the limit of
+// an encoded Set because YAML with comments takes more space.
 const maxFile = 4 * config.MaxEncoded
 
 func bindFile(cmd *cobra.Command, file *string) {
@@ -55,7 +55,8 @@
 	return data, err
 }
 
-// formatOf goes by the name. YAML is taken for stdin, as it contains JSON.
+// formatOf returns JSON for names that end in .json and YAML for all others,
+// including stdin: YAML is a superset of JSON.
 func formatOf(file string) config.Format {
 	if filepath.Ext(file) == ".json" {
 		return config.JSON
--- a/cmd/pollengauge/internal/cli/harness_test.go
+++ b/cmd/pollengauge/internal/cli/harness_test.go
@@ -17,13 +17,14 @@
 	"pollengauge.dev/standin"
 )
 
-// outcome is what a script sees of one command.
+// outcome is the exit code and the output of one command.
 type outcome struct {
 	code   ExitCode
 	stdout string
 	stderr string
 }
 
+// command runs one command line with stdin as its standard input.
 func command(ctx context.Context, stdin string, args ...string) outcome {
 	var stdout, stderr bytes.Buffer
 	code := run(ctx, args, strings.NewReader(stdin), &stdout, &stderr)
@@ -39,10 +40,11 @@
 	return server, "--platform=http://" + addr
 }
 
-// fatalPath is a path under which the upstreams of startNode end.
+// fatalPath is the path whose requests crash the upstreams of startNode.
 const fatalPath = "/fatal"
 
-// startNode returns a node with an announced upstream.
+// startNode starts a node and a stand-in upstream, and returns the node once the
+// upstream has announced itself.
 func startNode(c *qt.C, platformFlag, service string, peers []string, calls ...upstream.Call) *node.Node {
 	settings := node.DefaultSettings()
 	settings.Service = service
@@ -74,7 +76,7 @@
 	return n
 }
 
-// get sends one request through a node's edge.
+// get sends one GET request through a node's edge.
 func get(c *qt.C, n *node.Node, path string) (*http.Response, string) {
 	resp, err := http.Get("http://" + n.Addr("edge") + path)
 	c.Assert(err, qt.IsNil)
@@ -84,7 +86,8 @@
 	return resp, string(body)
 }
 
-// eventually asks again until what spreads between nodes has arrived.
+// eventually polls ok until it returns true, for state that takes time to spread
+// between nodes. It fails the test after 10 seconds.
 func eventually(c *qt.C, ok func() bool) {
 	for range 400 {
 		if ok() {
@@ -92,7 +95,7 @@
 		}
 		time.Sleep(25 * time.Millisecond)
 	}
-	c.Fatal("not within 10 seconds")
+	c.Fatal("condition not met within 10 seconds")
 }
 
 func testContext(t *testing.T) (*qt.C, context.Context) { return qt.New(t), t.Context() }
--- a/cmd/pollengauge/internal/cli/history.go
+++ b/cmd/pollengauge/internal/cli/history.go
@@ -10,10 +10,11 @@
 	"pollengauge.dev/config"
 )
 
-// historyEntry is the JSON of one change.
+// historyEntry is one change of the configuration, and its JSON.
 type historyEntry struct {
 	config.Change
-	// Kept tells whether get and rollback can still take the version.
+	// Kept reports whether the version is still stored, so that get and rollback can
+	// use it.
 	Kept bool `json:"kept"`
 }
 
--- a/cmd/pollengauge/internal/cli/hops.go
+++ b/cmd/pollengauge/internal/cli/hops.go
@@ -11,7 +11,7 @@
 	"pollengauge.dev/observe"
 )
 
-// hopsQuery filters recent hops.
+// hopsQuery holds the filters of the hops command.
 type hopsQuery struct {
 	profile, decision, outcome, reason, kind string
 	limit                                    int
@@ -61,15 +61,16 @@
 	return cmd
 }
 
-// The values that the filters of hops take.
+// The values that the filters of hops accept.
 var (
 	hopDecisions = []string{"admitted", "delayed", "refused", "replayed", "forwarded", "stale"}
 	hopOutcomes  = []string{"complete", "not-run", "unknown"}
 	hopKinds     = []string{"root", "inbound", "outbound", "attempt"}
 )
 
-// check refuses a value that no hop can have. Passed on, a slip of the pen
-// would look like a graph in which nothing was refused.
+// check rejects a value that no hop can have. Without the check, a typo such as
+// --decision refsued would return an empty list and look like a graph without
+// refusals.
 func (q *hopsQuery) check() error {
 	for _, filter := range []struct {
 		flag, value string
--- a/cmd/pollengauge/internal/cli/node.go
+++ b/cmd/pollengauge/internal/cli/node.go
@@ -12,7 +12,7 @@
 	"pollengauge.dev/platform/store"
 )
 
-// nodeCommand is what the flags of one run of "node" are bound to.
+// nodeCommand holds the flag values of one run of "node".
 type nodeCommand struct {
 	settings  node.Settings
 	flags     *settingFlags
@@ -57,7 +57,7 @@
 func (c *nodeCommand) run(cmd *cobra.Command) error {
 	c.flags.fromEnvironment()
 	for _, name := range c.flags.strayVariables() {
-		_, _ = io.WriteString(cmd.ErrOrStderr(), errorPrefix+name+" names no setting of this build; it is not read\n")
+		_, _ = io.WriteString(cmd.ErrOrStderr(), errorPrefix+name+" names no setting of this build; ignoring it\n")
 	}
 	c.settings.Log = c.flags.logger(cmd.ErrOrStderr(), c.format, c.severity)
 	if err := c.flags.check(c.settings); err != nil {
@@ -71,7 +71,8 @@
 	return out.result()
 }
 
-// logger builds the event log; wrong values are kept as problems.
+// logger returns the event log. It records an invalid format or severity as a
+// problem, for check to report.
 func (f *settingFlags) logger(w io.Writer, format, severity string) *observe.Logger {
 	level, err := observe.ParseSeverity(severity)
 	if err != nil {
@@ -84,11 +85,13 @@
 	return logger
 }
 
+// problem records an invalid setting, for check to report.
 func (f *settingFlags) problem(name, value, allowed string) {
 	f.problems = append(f.problems, &node.SettingError{Name: name, Value: strconv.Quote(value), Allowed: allowed})
 }
 
-// runNode serves until ctx ends or an operator asks for the end, then drains.
+// runNode runs the node until ctx ends or an operator requests its exit, then drains
+// it.
 func runNode(ctx context.Context, settings node.Settings) error {
 	n, err := node.New(settings)
 	if err != nil {
@@ -104,7 +107,7 @@
 	return n.Drain(context.WithoutCancel(ctx))
 }
 
-// completeWith lets the shell complete a flag with fixed values.
+// completeWith registers fixed values for the shell completion of a flag.
 func completeWith(cmd *cobra.Command, flag string, values ...string) {
 	_ = cmd.RegisterFlagCompletionFunc(flag, cobra.FixedCompletions(values, cobra.ShellCompDirectiveNoFileComp))
 }
--- a/cmd/pollengauge/internal/cli/node_test.go
+++ b/cmd/pollengauge/internal/cli/node_test.go
@@ -13,9 +13,9 @@
 	"pollengauge.dev/observe"
 )
 
-// Several settings are wrong, from flags and from the environment. The
-// operator must see all of them at once, with name, value and range, and not
-// one for each restart.
+// Several settings from flags and from the environment are invalid. All of them
+// must be reported at once with name, value and range; otherwise the operator would
+// need a restart to find each.
 func TestWrongSettingsAreToldTogether(t *testing.T) {
 	c, ctx := testContext(t)
 	t.Setenv("POLLENGAUGE_KEY_WINDOW", "1s")
@@ -36,9 +36,9 @@
 	c.Assert(strings.Count(got.stderr, "\n"), qt.Equals, 7)
 }
 
-// Two listeners are given one address, and a variable is misspelt. The first
-// would end the node at its start although --check was content; the second
-// would leave a default in force that nobody chose.
+// Two listeners have the same address, and a variable is misspelt; each setting is
+// valid by itself. Without a check, the first would pass --check and make the node
+// fail at its start, and the second would silently leave the default in force.
 func TestSettingsThatPassOneByOne(t *testing.T) {
 	c, ctx := testContext(t)
 	t.Setenv("POLLENGAUGE_SERVICE", "filing")
@@ -53,8 +53,8 @@
 	c.Assert(strings.Count(got.stderr, "names no setting"), qt.Equals, 1)
 }
 
-// A flag goes before its variable, a variable before the default, and an empty
-// variable counts as not set.
+// A flag takes precedence over its environment variable, and a variable over the
+// default. An empty variable counts as not set.
 func TestFlagGoesBeforeVariable(t *testing.T) {
 	c, ctx := testContext(t)
 	t.Setenv("POLLENGAUGE_SERVICE", "filing")
@@ -66,9 +66,9 @@
 	c.Assert(got.stdout, qt.Equals, "settings are usable\n")
 }
 
-// The operator watches two real nodes while a request goes through both, one
-// of the named addresses being dead. Each screen must show what is there and
-// say what it could not ask.
+// A request goes through two real nodes, and one address given to the commands has
+// no node. Each command must show the data of the nodes that respond and name the
+// address that does not.
 func TestScreensOfRealNodes(t *testing.T) {
 	c, ctx := testContext(t)
 	_, platform := startPlatform(c)
@@ -116,8 +116,9 @@
 	c.Assert(hops[0].RequestID, qt.Equals, request)
 }
 
-// A node is drained and taken back, then drained for good. The command must
-// return only when the process is gone, so that a script may replace the VM.
+// A node is drained and taken back into service, then drained with --exit. That
+// command must return only after the process has exited, so that a script can
+// replace the VM next.
 func TestDrainAndKey(t *testing.T) {
 	c, ctx := testContext(t)
 	_, platform := startPlatform(c)
@@ -147,8 +148,9 @@
   - {service: filing, method: POST, profile: filing}
 `
 
-// A VM is lost, and the operator asks for what the platform still has of it. A
-// node that does not answer must not hide what the others found.
+// A VM is lost, and the operator lists its open claims, which the platform still
+// stores. Another node that does not respond must not hide the claims found through
+// the nodes that do.
 func TestClaimsOfALostNode(t *testing.T) {
 	c, ctx := testContext(t)
 	_, platform := startPlatform(c)
--- a/cmd/pollengauge/internal/cli/nodes.go
+++ b/cmd/pollengauge/internal/cli/nodes.go
@@ -16,11 +16,11 @@
 	"pollengauge.dev/observe"
 )
 
-// maxAdminAnswer bounds what is read of one answer. A thousand hops take
-// about half a megabyte.
+// maxAdminAnswer is the most bytes read of one response. A thousand hops take about
+// half a megabyte.
 const maxAdminAnswer = 16 << 20
 
-// nodeClient asks the admin APIs of nodes.
+// nodeClient is a client of the nodes' admin APIs.
 type nodeClient struct {
 	http    *http.Client
 	timeout time.Duration
@@ -76,8 +76,8 @@
 	return callNode[node.KeyResponse](ctx, c, http.MethodPost, address, node.PathKey, nil, struct{}{})
 }
 
-// callNode makes one call of an admin API. A failure is a *NodeError or an
-// *AnswerError.
+// callNode sends one request to a node's admin API and decodes its JSON response. A
+// failure is a *NodeError or an *AnswerError.
 func callNode[T any](ctx context.Context, c *nodeClient, method, address, path string, query url.Values, body any) (T, error) {
 	var zero T
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -105,27 +105,28 @@
 	body := io.LimitReader(resp.Body, maxAdminAnswer)
 	if resp.StatusCode != http.StatusOK {
 		var failed node.AdminError
-		_ = json.NewDecoder(body).Decode(&failed) // the status says enough
+		_ = json.NewDecoder(body).Decode(&failed) // the status is enough if there is no error text
 		return nil, &AnswerError{Node: address, Status: resp.StatusCode, Detail: failed.Error}
 	}
 	var value T
 	if err := json.NewDecoder(body).Decode(&value); err != nil {
-		return nil, &AnswerError{Node: address, Status: resp.StatusCode, Detail: "not the JSON of an admin API: " + err.Error()}
+		return nil, &AnswerError{Node: address, Status: resp.StatusCode, Detail: "response is not the JSON of an admin API: " + err.Error()}
 	}
 	return value, nil
 }
 
-// maxAsked bounds the nodes that are asked at the same time.
+// maxAsked is the maximum number of concurrent requests to nodes.
 const maxAsked = 64
 
-// reply is what one node answered.
+// reply is the result of querying one node.
 type reply[T any] struct {
 	node  string
 	value T
 	err   error
 }
 
-// askAll asks all nodes at once and returns the replies in their order.
+// askAll queries the nodes concurrently, at most maxAsked at a time, and returns
+// their replies in the order of addresses.
 func askAll[T any](addresses []string, ask func(address string) (T, error)) []reply[T] {
 	replies := make([]reply[T], len(addresses))
 	room := make(chan struct{}, maxAsked)
@@ -142,7 +143,8 @@
 	return replies
 }
 
-// split separates the values from the nodes that gave none.
+// split separates the values from the nodes that failed. If any failed, err is an
+// *UnreachableError with all failures.
 func split[T any](replies []reply[T]) (values []T, unreachable []string, err error) {
 	var failures []error
 	for _, r := range replies {
--- a/cmd/pollengauge/internal/cli/operator.go
+++ b/cmd/pollengauge/internal/cli/operator.go
@@ -13,8 +13,8 @@
 	"pollengauge.dev/platform/store"
 )
 
-// Environment variables of the operator's commands. A flag goes before its
-// variable; an empty variable counts as not set.
+// Environment variables of the operator's commands. A flag takes precedence over
+// its variable; an empty variable counts as not set.
 const (
 	envPlatform = envPrefix + "PLATFORM"
 	envNodes    = envPrefix + "NODES"
@@ -26,7 +26,7 @@
 	maxTimeout     = time.Minute
 )
 
-// nodesFlags choose the nodes that a command asks.
+// nodesFlags are the flags that select the nodes a command queries.
 type nodesFlags struct {
 	nodes   []string
 	timeout time.Duration
@@ -42,7 +42,8 @@
 	cmd.Flags().BoolVar(&f.json, "json", false, "write the result as JSON")
 }
 
-// addresses returns the nodes of the flag or the variable.
+// addresses returns the admin addresses from --nodes or, if it is empty, from the
+// environment variable.
 func (f *nodesFlags) addresses() ([]string, error) {
 	if f.timeout <= 0 || f.timeout > maxTimeout {
 		return nil, &ArgumentError{Name: "--timeout", Value: f.timeout.String(), Want: "above 0, at most " + maxTimeout.String()}
@@ -64,7 +65,7 @@
 	return addresses, nil
 }
 
-// required is addresses for a command that can do nothing without nodes.
+// required is like addresses, but returns an error if there are none.
 func (f *nodesFlags) required() ([]string, error) {
 	addresses, err := f.addresses()
 	if err == nil && len(addresses) == 0 {
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// platformFlags choose the platform that a command talks to.
+// platformFlags are the flags that select the platform a command uses.
 type platformFlags struct {
 	url     string
 	timeout time.Duration
@@ -92,7 +93,7 @@
 	cmd.Flags().DurationVar(&f.timeout, "platform-timeout", objects.DefaultTimeout, "bound on each call to the platform")
 }
 
-// client returns a client of the platform. It makes no call.
+// client returns a client of the platform. It sends no request.
 func (f *platformFlags) client() (*objects.Client, error) {
 	url := f.url
 	if url == "" {
@@ -111,7 +112,8 @@
 	return client, nil
 }
 
-// defaultAuthor is who changes the configuration unless a flag says otherwise.
+// defaultAuthor returns the author of a change if --author is not given: the value of
+// the environment variable or else the name of the user.
 func defaultAuthor() string {
 	if author := os.Getenv(envAuthor); author != "" {
 		return author
--- a/cmd/pollengauge/internal/cli/output.go
+++ b/cmd/pollengauge/internal/cli/output.go
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 )
 
-// printer writes a command's result and keeps the first error, so that a
-// closed pipe or a full disk does not pass for success.
+// printer writes the result of a command and stores the first write error, so that
+// a closed pipe or a full disk is not reported as success.
 type printer struct {
 	w   io.Writer
 	err error
@@ -27,7 +27,7 @@
 	}
 }
 
-// table writes rows in columns; the first row is the heading.
+// table writes rows in aligned columns; the first row is the heading.
 func (p *printer) table(rows [][]string) {
 	if p.err != nil {
 		return
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// dash shows an empty cell.
+// dash returns s, or "-" for an empty table cell.
 func dash(s string) string {
 	if s == "" {
 		return "-"
--- a/cmd/pollengauge/internal/cli/quarantine.go
+++ b/cmd/pollengauge/internal/cli/quarantine.go
@@ -15,9 +15,9 @@
 func newQuarantineCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "quarantine",
-		Short: "List and clear requests under which upstreams end",
-		Long: `List and clear the requests that are held back because upstreams ended in turn
-while they ran them. A fingerprint stands for a request's method, host, path,
+		Short: "List and clear requests that crash upstreams",
+		Long: `List and clear the requests that are held back because one upstream after another
+crashed while running them. A fingerprint stands for a request's method, host, path,
 query, caller and body. How to go about it is in docs/OPERATIONS.md.`,
 		Example: `  pollengauge quarantine list
   pollengauge quarantine clear 9c1e03a77d2b5f10`,
@@ -35,7 +35,8 @@
 		Use:   "list",
 		Short: "List the requests that are held back",
 		Long: `List the requests that are held back, as the nodes know them, each once: those
-with most ends first. REQUEST is told by nodes whose own upstream ended.`,
+with the most crashes (ENDS) first. REQUEST is known to nodes whose own upstream
+crashed.`,
 		Example: `  pollengauge quarantine list
   pollengauge quarantine list --suspects --json`,
 		Args: cobra.NoArgs,
@@ -53,11 +54,12 @@
 	}
 	flags.bind(cmd)
 	flags.bindJSON(cmd)
-	cmd.Flags().BoolVar(&suspects, "suspects", false, "list the requests as well under which one upstream has ended")
+	cmd.Flags().BoolVar(&suspects, "suspects", false, "also list the requests that have crashed only one upstream")
 	return cmd
 }
 
-// collectHeld asks all nodes and keeps what the best informed one says of each request.
+// collectHeld queries all nodes and returns one view of each quarantined request:
+// the one with the most crashes, and among those one that names the request.
 func collectHeld(cmd *cobra.Command, flags *nodesFlags, addresses []string, suspects bool) ([]node.HeldView, error) {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
@@ -103,7 +105,7 @@
 	cmd := &cobra.Command{
 		Use:     "clear FINGERPRINT",
 		Short:   "Let a request run again that is held back",
-		Long:    `Let a request run again, at all upstreams: what they ended under is mended. The first of the nodes that knows the request tells the others.`,
+		Long:    `Let a request run again, at all upstreams. Use it after the fault that made them crash is fixed. The first of the nodes that knows the request notifies the others.`,
 		Example: `  pollengauge quarantine clear 9c1e03a77d2b5f10`,
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -121,7 +123,8 @@
 	return cmd
 }
 
-// clearHeld asks the nodes in turn until one knows the request.
+// clearHeld asks one node after another to clear the request until one of them
+// knows it.
 func clearHeld(cmd *cobra.Command, flags *nodesFlags, addresses []string, fingerprint string) error {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
@@ -143,12 +146,13 @@
 	return &UnknownRequestError{Fingerprint: fingerprint}
 }
 
-// UnknownRequestError means that none of the nodes asked holds a request back.
+// UnknownRequestError means that none of the nodes queried has the request in
+// quarantine.
 type UnknownRequestError struct{ Fingerprint string }
 
 // Error implements error.
 func (e *UnknownRequestError) Error() string {
-	return "none of the nodes asked knows request " + e.Fingerprint
+	return "none of the nodes queried knows request " + e.Fingerprint
 }
 
 func (*UnknownRequestError) exitCode() ExitCode { return ExitNotFound }
--- a/cmd/pollengauge/internal/cli/quarantine_test.go
+++ b/cmd/pollengauge/internal/cli/quarantine_test.go
@@ -10,7 +10,8 @@
 	"pollengauge.dev/node"
 )
 
-// Guards against an operator who can neither see nor release a request that is held.
+// A request crashes one upstream after another and is quarantined. The operator must
+// be able to list and to release it.
 func TestQuarantineIsListedAndCleared(t *testing.T) {
 	c, ctx := testContext(t)
 	_, platform := startPlatform(c)
--- a/cmd/pollengauge/internal/cli/race.go
+++ b/cmd/pollengauge/internal/cli/race.go
@@ -6,15 +6,15 @@
 	"pollengauge.dev/config"
 )
 
-// race is the JSON of a lost race.
+// race describes a change that lost to a concurrent one, and is its JSON.
 type race struct {
 	Expected uint64 `json:"expected"`
 	Stored   uint64 `json:"stored"`
-	// Yours and Theirs lead from the expected version to each side. They are
-	// null if that version is no longer kept.
+	// Yours and Theirs are the differences from the expected version to each
+	// side. They are null if that version is no longer stored.
 	Yours  []difference `json:"yours"`
 	Theirs []difference `json:"theirs"`
-	// Between leads from their set to yours.
+	// Between is the differences from their set to yours.
 	Between []difference `json:"between"`
 	Author  string       `json:"author"`
 	Comment string       `json:"comment"`
@@ -22,7 +22,7 @@
 	At      time.Time    `json:"at"`
 }
 
-// tellRace prints both sides of a lost race.
+// tellRace prints both sides of a change that lost to a concurrent one.
 func (c *change) tellRace(lost *config.RaceError) error {
 	told := race{
 		Expected: lost.Expected,
@@ -43,7 +43,7 @@
 	return c.printRace(told)
 }
 
-// base returns the Set that both sides were made from, if it is still kept.
+// base returns the Set that both sides were made from, if it is still stored.
 func (c *change) base(version uint64) (config.Set, bool) {
 	if version == 0 {
 		return config.Default(), true
--- a/cmd/pollengauge/internal/cli/settings.go
+++ b/cmd/pollengauge/internal/cli/settings.go
@@ -15,18 +15,19 @@
 	"pollengauge.dev/node"
 )
 
-// envPrefix starts the environment variable of every flag: --key-window is
-// POLLENGAUGE_KEY_WINDOW.
+// envPrefix begins the name of every environment variable. The variable of
+// --key-window is POLLENGAUGE_KEY_WINDOW.
 const envPrefix = "POLLENGAUGE_"
 
-// settingFlags binds flags to values and keeps every wrong one, so that all
-// are reported together instead of the first.
+// settingFlags binds flags to values and records every invalid value, so that all
+// of them are reported together and not only the first.
 type settingFlags struct {
 	flags    *pflag.FlagSet
 	problems []*node.SettingError
 }
 
-// setting is one flag. Set never fails: a wrong value is kept as a problem.
+// setting is the pflag.Value of one flag. Set never fails: it records an invalid value
+// as a problem of its owner.
 type setting struct {
 	owner   *settingFlags
 	name    string
@@ -51,6 +52,7 @@
 	return nil
 }
 
+// add registers s as a flag.
 func (f *settingFlags) add(s *setting, usage string) {
 	s.owner = f
 	f.flags.Var(s, s.name, usage)
@@ -75,8 +77,8 @@
 	}}, usage)
 }
 
-// number binds a whole number. One that can't be read is set out of every
-// range, so that the node's own check tells the range that is allowed.
+// number binds an integer flag. A value that can't be parsed is set to a number
+// outside every range, so that node.Settings.Check reports the allowed range.
 func (f *settingFlags) number(p *int, name, usage string) {
 	f.add(&setting{name: name, kind: "int", allowed: "a whole number", shown: strconv.Itoa(*p), parse: func(v string) bool {
 		n, err := strconv.Atoi(v)
@@ -99,7 +101,8 @@
 	}}, usage)
 }
 
-// amount binds a number that need not be whole.
+// amount binds a flag with a floating-point number. Like number, it sets a value that
+// can't be parsed to one outside every range.
 func (f *settingFlags) amount(p *float64, name, usage string) {
 	f.add(&setting{name: name, kind: "number", allowed: "a number", shown: strconv.FormatFloat(*p, 'g', -1, 64), parse: func(v string) bool {
 		n, err := strconv.ParseFloat(v, 64)
@@ -122,9 +125,9 @@
 	}}, usage)
 }
 
-// fromEnvironment fills the settings that the command line left alone. An
-// empty variable counts as not set. It covers the flags that are settings;
-// --check and --help are not.
+// fromEnvironment sets the settings that are not on the command line from their
+// environment variables. An empty variable counts as not set. --check and --help
+// are not settings and have no variable.
 func (f *settingFlags) fromEnvironment() {
 	f.flags.VisitAll(func(flag *pflag.Flag) {
 		if _, isSetting := flag.Value.(*setting); !isSetting || flag.Changed {
@@ -140,9 +143,9 @@
 	return envPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// check joins what the flags and the node's own check found wrong. Where both
-// found the same setting, the value is shown as it was given, with the range
-// that the node allows.
+// check returns the problems found while parsing the flags, joined with those of
+// node.Settings.Check, or nil. For a setting that both found, the error shows the
+// value as the operator wrote it and the range that the node allows.
 func (f *settingFlags) check(s node.Settings) error {
 	var own []*node.SettingError
 	if err, ok := s.Check().(*node.SettingsError); ok {
@@ -167,8 +170,9 @@
 	return &node.SettingsError{Problems: problems}
 }
 
-// sharedListeners finds listeners on one address. Without it the settings pass
-// --check, and the node ends at its start with "address already in use".
+// sharedListeners returns a problem for each listener with the same address as
+// another. Without it the settings would pass --check, and the node would fail at
+// its start with "address already in use".
 func sharedListeners(s node.Settings) []*node.SettingError {
 	const anyPort = "0"
 	var problems []*node.SettingError
@@ -191,9 +195,9 @@
 	return problems
 }
 
-// strayVariables returns the variables with our prefix that nothing reads, in
-// order. They are told and not refused: during an upgrade one environment may
-// serve two builds.
+// strayVariables returns the sorted names of the environment variables with
+// envPrefix that no setting reads. They cause a warning and not an error, because
+// during an upgrade two builds may share one environment.
 func (f *settingFlags) strayVariables() []string {
 	var stray []string
 	for _, entry := range os.Environ() {
@@ -210,7 +214,8 @@
 	return stray
 }
 
-// allowed adds to the range of a setting the form in which it is written.
+// allowed returns the range of a setting, followed by the form in which its value is
+// written.
 func (f *settingFlags) allowed(p *node.SettingError) string {
 	flag := f.flags.Lookup(p.Name)
 	if flag == nil {
@@ -235,7 +240,7 @@
 	f.text(&s.Admin, "admin", "listener for operators and the upstream's announcement; keep on loopback (host:port)")
 	f.text(&s.AdvertisePeer, "advertise-peer", "where other nodes reach --peer, if not at its bound address (host:port)")
 	f.text(&s.AdvertiseGossip, "advertise-gossip", "where other nodes reach --gossip, if not at its bound address (host:port)")
-	f.text(&s.PlatformURL, "platform", "URL of the platform's object API; empty lives from peers alone")
+	f.text(&s.PlatformURL, "platform", "URL of the platform's object API; if empty, the node gets its state from peers only")
 	f.list(&s.Peers, "peers", "gossip addresses of other nodes, comma separated")
 	f.number(&s.Slots, "slots", "calls in the upstream at once until it announces its own number")
 	f.number(&s.UpstreamConns, "upstream-conns", "connections to the upstream")
--- a/cmd/pollengauge/internal/cli/sidecar.go
+++ b/cmd/pollengauge/internal/cli/sidecar.go
@@ -10,7 +10,8 @@
 	"pollengauge.dev/platform"
 )
 
-// logPatience is how long an ending process waits for its log's reader.
+// logPatience is how long the process waits at its exit for the log's reader to take
+// the remaining lines.
 const logPatience = 200 * time.Millisecond
 
 func newSidecarCommand() *cobra.Command {
--- a/cmd/pollengauge/internal/cli/standin.go
+++ b/cmd/pollengauge/internal/cli/standin.go
@@ -116,11 +116,12 @@
 	flags.IntVar(&settings.Slots, "slots", settings.Slots, "requests worked on at once")
 	flags.StringSliceVar(&calls, "calls", nil, "calls made for each request: service/path or METHOD:service/path, comma separated")
 	flags.DurationVar(&settings.Interval, "interval", settings.Interval, "time between two announcements")
-	flags.StringVar(&settings.EndsAt, "ends-at", "", "path under which it ends while it runs the request, and is back later")
+	flags.StringVar(&settings.EndsAt, "ends-at", "", "path whose requests make it crash; it listens again later")
 	return cmd
 }
 
-// upstreamDrain bounds the wait for requests in flight when an upstream ends.
+// upstreamDrain is the longest wait for requests in flight when the stand-in shuts
+// down.
 const upstreamDrain = 30 * time.Second
 
 func serveUpstream(cmd *cobra.Command, settings upstream.Settings) error {
--- a/cmd/pollengauge/internal/cli/status.go
+++ b/cmd/pollengauge/internal/cli/status.go
@@ -12,7 +12,7 @@
 	"pollengauge.dev/observe"
 )
 
-// nodeState is one row of status, and its JSON.
+// nodeState is the state of one node: a row of the status table, and its JSON.
 type nodeState struct {
 	Address string              `json:"address"`
 	Status  *observe.NodeStatus `json:"status"`
@@ -20,14 +20,14 @@
 	Error   string              `json:"error,omitempty"`
 }
 
-// configState tells which configuration a node has in force.
+// configState identifies the configuration that a node has in force.
 type configState struct {
 	Version  uint64 `json:"version"`
 	ChangeID string `json:"changeId"`
 	Hash     string `json:"hash"`
 	Source   string `json:"source"`
-	// Heard is false while the built-in default is in force because no
-	// stored set was ever heard of.
+	// Heard is false while the built-in default is in force because the node has
+	// never received a stored set.
 	Heard bool `json:"heard"`
 }
 
--- a/cmd/pollengauge/internal/cli/top.go
+++ b/cmd/pollengauge/internal/cli/top.go
@@ -20,15 +20,15 @@
 	maxHeight       = 10_000
 )
 
-// Terminal sequences. The screen is written over in place and its rest wiped,
-// which does not flicker as clearing it first would.
+// Terminal escape sequences. Each screen overwrites the previous one in place and
+// then clears the rest, because clearing the screen first would flicker.
 const (
 	clearScreen = "\x1b[2J"
 	cursorHome  = "\x1b[H"
 	clearBelow  = "\x1b[J"
 )
 
-// topScreen is one run of top.
+// topScreen holds the flag values of one run of top.
 type topScreen struct {
 	nodes    nodesFlags
 	interval time.Duration
@@ -93,8 +93,9 @@
 	return t.live(cmd, client, addresses, out)
 }
 
-// live writes screens until the command is ended. A node that gives no status
-// is named on the screen and asked again; it is no reason to end.
+// live writes screens until the command is interrupted. A node that returns no
+// status does not stop it: the screen names the node, and the next screen queries it
+// again.
 func (t *topScreen) live(cmd *cobra.Command, client *nodeClient, addresses []string, out *printer) error {
 	ctx := cmd.Context()
 	tick := time.NewTicker(t.interval)
@@ -137,7 +138,7 @@
 	})
 }
 
-// terminalSize returns 0, 0 for what is not a terminal.
+// terminalSize returns the size of the terminal f, or 0, 0 if f is not a terminal.
 func terminalSize(f *os.File) (columns, lines int) {
 	size, err := unix.IoctlGetWinsize(int(f.Fd()), unix.TIOCGWINSZ)
 	if err != nil {
--- a/cmd/pollengauge/internal/cli/tracelog.go
+++ b/cmd/pollengauge/internal/cli/tracelog.go
@@ -14,7 +14,7 @@
 // maxLogLine bounds one line of a log file, in bytes.
 const maxLogLine = 1 << 20
 
-// NoTraceError tells that no line of the logs names a request.
+// NoTraceError means that no log line names the request.
 type NoTraceError struct{ Request string }
 
 // Error implements error.
@@ -49,7 +49,7 @@
 	}
 }
 
-// logLine is one line of a log. Its time compares as text.
+// logLine is one line of a log. Its times can be compared as text.
 type logLine struct{ at, text string }
 
 func traceFiles(id string, files []string, stdin io.Reader) ([]logLine, error) {
@@ -72,8 +72,8 @@
 	return all, nil
 }
 
-// traceLines returns the lines of r whose request is id or a call made for it.
-// Lines that are no log lines are passed over: files may begin in the middle.
+// traceLines returns the lines of r whose request is id or a call made for it. It
+// skips lines that can't be parsed, because a file may begin in the middle of a line.
 func traceLines(id string, r io.Reader) ([]logLine, error) {
 	var found []logLine
 	lines := bufio.NewScanner(r)
@@ -91,7 +91,7 @@
 	return found, lines.Err()
 }
 
-// readLogLine returns the time and the request of a line.
+// readLogLine returns the time and the request of a line, "" for those it lacks.
 func readLogLine(text string) (at, request string) {
 	decoder := logfmt.NewDecoder(strings.NewReader(text))
 	if !decoder.ScanRecord() {
--- a/cmd/pollengauge/internal/cli/tracelog_test.go
+++ b/cmd/pollengauge/internal/cli/tracelog_test.go
@@ -10,10 +10,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A customer complains with a request's id. Its lines lie in the logs of
-// several nodes, among those of others, out of order and with broken ones
-// between. The operator must get all of them, with the calls made for the
-// request, in the order of time.
+// An operator searches for the id of a request that a customer complained about. Its
+// lines are spread over the logs of several nodes, mixed with lines of other
+// requests, out of order and beside damaged lines. The command must print all of
+// them, with the calls made for the request, in order of time.
 func TestTraceLogFindsARequestAcrossNodes(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
--- a/cmd/pollengauge/internal/cli/validate.go
+++ b/cmd/pollengauge/internal/cli/validate.go
@@ -6,12 +6,12 @@
 	"pollengauge.dev/config"
 )
 
-// validation is the JSON of validate.
+// validation is the result of validate, and its JSON.
 type validation struct {
 	File     string           `json:"file"`
 	Valid    bool             `json:"valid"`
 	Problems []config.Problem `json:"problems"`
-	// Line is the first place that could not be read, 0 if all could be.
+	// Line is the first line that could not be parsed, 0 if all could be.
 	Line        int `json:"line,omitempty"`
 	Profiles    int `json:"profiles"`
 	Assignments int `json:"assignments"`
@@ -73,6 +73,7 @@
 	return v
 }
 
+// unreadable adds parse errors to the problems and sets Line to the first.
 func (v *validation) unreadable(places ...*config.ParseError) {
 	v.Line = places[0].Line
 	for _, p := range places {
--- a/cmd/pollengauge/internal/cli/version.go
+++ b/cmd/pollengauge/internal/cli/version.go
@@ -7,13 +7,13 @@
 	"github.com/spf13/cobra"
 )
 
-// buildInfo is the JSON of version.
+// buildInfo is the version of the binary, and its JSON.
 type buildInfo struct {
 	Version string `json:"version"`
 	Go      string `json:"go"`
-	// Revision is the commit, "" if it was not built in.
+	// Revision is the commit, "" if the build did not record it.
 	Revision string `json:"revision"`
-	// Modified: the tree had changes that were not committed.
+	// Modified is true if the work tree had uncommitted changes at the build.
 	Modified bool   `json:"modified"`
 	Time     string `json:"time"`
 }
--- a/cmd/pollengauge/internal/upstream/announce.go
+++ b/cmd/pollengauge/internal/upstream/announce.go
@@ -12,9 +12,10 @@
 	"pollengauge.dev/node"
 )
 
-// Announce announces the stand-in to its node until ctx is done. It goes on
-// for ever because the node may be restarted and then knows nothing. report
-// is told of the first failure of a row, and with nil when it has ended.
+// Announce announces the stand-in to its node at every Interval until ctx is done,
+// because a node that restarts loses earlier announcements. It calls report after
+// the first announcement and whenever success and failure alternate: with the first
+// error of a series, and with nil when announcements succeed.
 func (u *Upstream) Announce(ctx context.Context, report func(error)) {
 	tick := time.NewTicker(u.settings.Interval)
 	defer tick.Stop()
--- a/cmd/pollengauge/internal/upstream/settings.go
+++ b/cmd/pollengauge/internal/upstream/settings.go
@@ -10,25 +10,25 @@
 	"pollengauge.dev/node"
 )
 
-// Settings describe one stand-in.
+// Settings configure one stand-in.
 type Settings struct {
 	Service string
-	// Addr is where it listens, host:port.
+	// Addr is the address to listen on, host:port.
 	Addr string
 	// NodeAdmin and NodeOutbound are its node's listeners, host:port.
 	NodeAdmin    string
 	NodeOutbound string
-	// Work is the time that each request takes. It can be changed live by
-	// PUT to WorkPath.
+	// Work is the time that each request takes. A PUT to WorkPath changes it at
+	// run time.
 	Work time.Duration
-	// Slots is how many requests it works on at once; more wait.
+	// Slots is the number of requests served at once; further requests wait.
 	Slots int
-	// Calls are made one after the other before the work.
+	// Calls are made one after the other for each request, before the work.
 	Calls []Call
 	// Interval is the time between two announcements.
 	Interval time.Duration
-	// EndsAt is a path under which the stand-in ends while it runs the request, and
-	// is back after endedFor; "" for none.
+	// EndsAt is a path whose requests make the stand-in crash while it runs them;
+	// it listens again after endedFor. "" means none.
 	EndsAt string
 }
 
@@ -40,7 +40,7 @@
 	Path string
 }
 
-// String returns the form that ParseCall reads.
+// String returns the form that ParseCall parses.
 func (c Call) String() string {
 	text := c.Service + c.Path
 	if c.Method == http.MethodGet {
@@ -51,7 +51,8 @@
 
 var callPattern = regexp.MustCompile(`^(?:(GET|POST|PUT|PATCH|DELETE):)?([a-z0-9][a-z0-9-]{0,62})(/[!-~]*)$`)
 
-// ParseCall reads "service/path", which is a GET, or "POST:service/path".
+// ParseCall parses "service/path", which is a GET, or a form with a method such as
+// "POST:service/path".
 func ParseCall(text string) (Call, error) {
 	parts := callPattern.FindStringSubmatch(text)
 	if parts == nil {
@@ -93,7 +94,7 @@
 	return &node.SettingsError{Problems: problems}
 }
 
-// ListenError tells that the stand-in could not listen.
+// ListenError means that the stand-in could not listen on its address.
 type ListenError struct {
 	Addr  string
 	Cause error
@@ -105,10 +106,10 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// AnnounceError tells that the node did not take an announcement.
+// AnnounceError means that the node did not accept an announcement.
 type AnnounceError struct {
 	Node string
-	// Status is the node's answer, 0 if there was none.
+	// Status is the status of the node's response, 0 if there was none.
 	Status int
 	Detail string
 	Cause  error
--- a/cmd/pollengauge/internal/upstream/upstream.go
+++ b/cmd/pollengauge/internal/upstream/upstream.go
@@ -17,11 +17,11 @@
 	"pollengauge.dev/objects"
 )
 
-// WorkPath shows the work that each request takes, and takes a new one in the
-// query of a PUT: /standin/work?value=200ms.
+// WorkPath is the path that returns the time each request takes. A PUT changes it
+// by its query: /standin/work?value=200ms.
 const WorkPath = "/standin/work"
 
-// shedStatus is answered only before any work was done.
+// shedStatus is the status of a request that was rejected before any work for it.
 const shedStatus = http.StatusServiceUnavailable
 
 // Upstream is one running stand-in.
@@ -34,15 +34,16 @@
 	inFlight atomic.Int64
 
 	mu sync.Mutex
-	// server is the one of this life, ended the last one that a request has ended,
-	// and closed is set once there is no other; mu guards them.
+	// server is the current incarnation, ended the last one that a request has
+	// crashed. closed is set by Shutdown and Close, and prevents a restart. mu
+	// guards all three.
 	server, ended *http.Server
 	closed        bool
 }
 
 const headerTimeout = 10 * time.Second
 
-// endedFor is how long a stand-in that has ended under a request is away.
+// endedFor is how long the stand-in does not listen after a crash.
 const endedFor = 2 * time.Second
 
 // Start checks the settings and serves until Shutdown or Close.
@@ -65,7 +66,8 @@
 	return u, nil
 }
 
-// live serves at listener until Shutdown, Close or a request that ends it.
+// live serves on listener until Shutdown, Close or a request that crashes the
+// stand-in. It closes listener if the stand-in is already closed.
 func (u *Upstream) live(listener net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc(WorkPath, u.serveWork)
@@ -78,10 +80,10 @@
 		return
 	}
 	u.server = server
-	go func() { _ = server.Serve(listener) }() // ends with the server
+	go func() { _ = server.Serve(listener) }() // Serve returns once the server is closed
 }
 
-// Addr returns host:port.
+// Addr returns the address it listens on, host:port.
 func (u *Upstream) Addr() string { return u.addr }
 
 // Shutdown stops listening and waits for the requests in flight.
@@ -90,13 +92,13 @@
 	return u.last().Shutdown(ctx)
 }
 
-// Close stops at once.
+// Close stops immediately and breaks the connections in use.
 func (u *Upstream) Close() {
 	_ = u.last().Close()
 	u.client.CloseIdleConnections()
 }
 
-// last returns the server, and sees to it that there is no other after it.
+// last returns the current server and prevents that another is started.
 func (u *Upstream) last() *http.Server {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -104,8 +106,8 @@
 	return u.server
 }
 
-// end ends the stand-in as a crash does: all connections break, and nothing listens
-// until it is back.
+// end simulates a crash: it breaks all connections, and listens again after endedFor.
+// Of several requests that crash the same incarnation, only the first has an effect.
 func (u *Upstream) end() {
 	u.mu.Lock()
 	server := u.server
@@ -119,14 +121,14 @@
 	time.AfterFunc(endedFor, func() {
 		listener, err := net.Listen("tcp", u.addr)
 		if err != nil {
-			log.Printf("stand-in upstream is not back: %v", err)
+			log.Printf("stand-in upstream could not listen again after its simulated crash and stays down: %v", err)
 			return
 		}
 		u.live(listener)
 	})
 }
 
-// serveWork shows or changes the work of each request.
+// serveWork returns or changes the time that each request takes.
 func (u *Upstream) serveWork(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
 		work, err := time.ParseDuration(r.URL.Query().Get("value"))
@@ -139,13 +141,14 @@
 	_, _ = fmt.Fprintln(w, time.Duration(u.work.Load()))
 }
 
-// serve makes the calls, does the work and answers. The calls come first: as
-// long as none has run, a refusal below can be passed on as not-run.
+// serve makes the configured calls, does the work and responds. The calls come
+// first: until one of them has run, a refusal by a downstream service can be passed
+// on as not-run.
 func (u *Upstream) serve(w http.ResponseWriter, r *http.Request) {
 	u.inFlight.Add(1)
 	defer u.inFlight.Add(-1)
 	if err := u.slots.Acquire(r.Context(), 1); err != nil {
-		return // the caller is gone
+		return // the caller has disconnected
 	}
 	defer u.slots.Release(1)
 	for i, c := range u.settings.Calls {
@@ -163,8 +166,9 @@
 	_, _ = fmt.Fprintf(w, "%s answers %s %s\n", u.settings.Service, r.Method, r.URL.Path)
 }
 
-// call makes one call and reports whether its whole answer came. If not, it
-// answers r itself: not-run only if this was the first thing done for it.
+// call makes one call and reports whether its response is complete. If it is not,
+// call responds to r itself: with not-run only if the call was not run and was the
+// first for r, otherwise with unknown.
 func (u *Upstream) call(w http.ResponseWriter, r *http.Request, c Call, first bool) bool {
 	resp, err := u.send(r, c)
 	if err != nil {
@@ -194,7 +198,8 @@
 	return false
 }
 
-// send makes one call through the node, naming the request that it serves.
+// send makes one call through the node, with the propagated headers of r so that the
+// node attributes the call to the request being served.
 func (u *Upstream) send(r *http.Request, c Call) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(r.Context(), c.Method, "http://"+u.settings.NodeOutbound+c.Path, nil)
 	if err != nil {
--- a/cmd/pollengauge/main.go
+++ b/cmd/pollengauge/main.go
@@ -1,5 +1,5 @@
-// Command pollengauge is the one binary of the system: the node that stands
-// beside an upstream, and the operator's tools.
+// Command pollengauge is the only binary of the system. It runs the node process
+// beside an upstream VM and contains the operator's commands.
 package main
 
 import (
