--- a/cmd/pollengauge/internal/cli/applied.go
+++ b/cmd/pollengauge/internal/cli/applied.go
@@ -6,8 +6,8 @@
 	"pollengauge.dev/config"
 )
 
-// tell prints the result of a change that took effect.
-func (c *change) tell(result changed) error {
+// printResult prints the result of a change that took effect.
+func (c *change) printResult(result changeResult) error {
 	if result.Changes == nil {
 		result.Changes = []difference{}
 	}
--- a/cmd/pollengauge/internal/cli/apply.go
+++ b/cmd/pollengauge/internal/cli/apply.go
@@ -32,7 +32,7 @@
 			if err != nil {
 				return err
 			}
-			return flags.run(cmd, func(c *change) (changed, error) { return c.apply(file, set) })
+			return flags.run(cmd, func(c *change) (changeResult, error) { return c.apply(file, set) })
 		},
 	}
 	bindFile(cmd, &file)
@@ -42,13 +42,13 @@
 	return cmd
 }
 
-func (c *change) apply(file string, set config.Set) (changed, error) {
+func (c *change) apply(file string, set config.Set) (changeResult, error) {
 	stored, err := config.Read(c.cmd.Context(), c.client)
 	if err != nil {
-		return changed{}, err
+		return changeResult{}, err
 	}
-	if err := c.expect(stored.Set.Version, set.Version); err != nil {
-		return changed{}, err
+	if err := c.setExpected(stored.Set.Version, set.Version); err != nil {
+		return changeResult{}, err
 	}
 	options := c.options()
 	// A file written by get carries the comment of the previous change, which
@@ -56,17 +56,17 @@
 	if options.Comment == "" && (set.Version == 0 || set.Comment != stored.Set.Comment) {
 		options.Comment = set.Comment
 	}
-	if c.flags.changeID == "" && c.unchanged(stored.Set, set, options.Above) {
-		return changed{ChangeID: stored.Set.ChangeID, Version: stored.Set.Version, NewestVersion: stored.Set.Version, Unchanged: true}, nil
+	if c.flags.changeID == "" && c.isUnchanged(stored.Set, set, options.Above) {
+		return changeResult{ChangeID: stored.Set.ChangeID, Version: stored.Set.Version, NewestVersion: stored.Set.Version, Unchanged: true}, nil
 	}
 	c.repeat = "pollengauge apply -f " + file
 	result, err := config.Apply(c.cmd.Context(), c.client, set, options)
-	return changeOf(result, stored.Set, set), err
+	return changeResultOf(result, stored.Set, set), err
 }
 
-// unchanged reports whether the same content is already stored under a version
+// isUnchanged reports whether the same content is already stored under a version
 // that nodes would accept, that is, one not lower than above. Version 0 is the
 // built-in default, which is never stored.
-func (c *change) unchanged(stored, set config.Set, above uint64) bool {
+func (c *change) isUnchanged(stored, set config.Set, above uint64) bool {
 	return stored.Version > 0 && stored.Version >= above && len(config.Diff(stored, set)) == 0
 }
--- a/cmd/pollengauge/internal/cli/await.go
+++ b/cmd/pollengauge/internal/cli/await.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// nodeForce reports whether a node has a change in force.
-type nodeForce struct {
+// nodeInForce reports whether a node has a change in force.
+type nodeInForce struct {
 	Node    string `json:"node"`
 	InForce bool   `json:"inForce"`
 	// Version is the version in force, 0 if the node could not be queried.
@@ -18,7 +18,7 @@
 }
 
 // String returns the line printed for operators.
-func (n nodeForce) String() string {
+func (n nodeInForce) String() string {
 	took := (time.Duration(n.TookMs) * time.Millisecond).String()
 	switch {
 	case n.InForce:
@@ -29,36 +29,37 @@
 	return n.Node + ": still on version " + strconv.FormatUint(n.Version, 10) + " after " + took
 }
 
-// forcePoll is the interval between two queries of a node for the version in force.
-const forcePoll = 25 * time.Millisecond
+// inForcePollInterval is the interval between two queries of a node for the version
+// in force.
+const inForcePollInterval = 25 * time.Millisecond
 
-// await polls all nodes at once until each has version in force or --wait has
-// passed. It returns each node's last state.
-func (c *change) await(version uint64) ([]nodeForce, error) {
+// awaitInForce polls all nodes at once until each has version in force or --wait
+// has passed. It returns each node's last state.
+func (c *change) awaitInForce(version uint64) ([]nodeInForce, error) {
 	if c.flags.wait == 0 || len(c.addresses) == 0 {
-		return []nodeForce{}, nil
+		return []nodeInForce{}, nil
 	}
 	ctx, cancel := context.WithTimeout(c.cmd.Context(), c.flags.wait)
 	defer cancel()
 	client := newNodeClient(c.flags.nodes.timeout)
 	defer client.close()
 	start := time.Now()
-	replies := askAll(c.addresses, func(address string) (nodeForce, error) {
+	replies := queryAll(c.addresses, func(address string) (nodeInForce, error) {
 		return awaitNode(ctx, client, address, version, start)
 	})
-	states := make([]nodeForce, len(replies))
+	states := make([]nodeInForce, len(replies))
 	for i, r := range replies {
 		states[i] = r.value
 	}
-	return states, c.notInForce(version, replies)
+	return states, c.inForceError(version, replies)
 }
 
 // awaitNode polls one node until it has version in force or ctx ends. It retries
 // an unreachable node, which may be restarting.
-func awaitNode(ctx context.Context, client *nodeClient, address string, version uint64, start time.Time) (nodeForce, error) {
-	tick := time.NewTicker(forcePoll)
+func awaitNode(ctx context.Context, client *nodeClient, address string, version uint64, start time.Time) (nodeInForce, error) {
+	tick := time.NewTicker(inForcePollInterval)
 	defer tick.Stop()
-	state := nodeForce{Node: address}
+	state := nodeInForce{Node: address}
 	var failure error
 	for {
 		answer, err := client.config(ctx, address)
@@ -85,9 +86,9 @@
 	}
 }
 
-// notInForce returns an error that names the nodes that could not be queried and
+// inForceError returns an error that names the nodes that could not be queried and
 // those still on an older version, or nil if every node has version in force.
-func (c *change) notInForce(version uint64, replies []reply[nodeForce]) error {
+func (c *change) inForceError(version uint64, replies []reply[nodeInForce]) error {
 	var late []string
 	var failures []error
 	for _, r := range replies {
--- a/cmd/pollengauge/internal/cli/bench_experiment.go
+++ b/cmd/pollengauge/internal/cli/bench_experiment.go
@@ -98,7 +98,7 @@
 		return experiment.Config{}, &FileError{File: file, Cause: err}
 	}
 	if c.out == "" {
-		c.out = resultsOf(file)
+		c.out = resultsDirOf(file)
 	}
 	const dirMode = 0o755
 	if err := os.MkdirAll(c.out, dirMode); err != nil {
@@ -113,8 +113,8 @@
 	}, nil
 }
 
-// resultsOf returns the default results directory for a workload file.
-func resultsOf(file string) string {
+// resultsDirOf returns the default results directory for a workload file.
+func resultsDirOf(file string) string {
 	name := filepath.Base(file)
 	if file == stdinName {
 		name = "stdin"
@@ -147,8 +147,8 @@
 		return &OutputError{Cause: err}
 	}
 	err = write(f)
-	if closed := f.Close(); err == nil && closed != nil {
-		err = closed
+	if closeErr := f.Close(); err == nil && closeErr != nil {
+		err = closeErr
 	}
 	if err != nil {
 		return &OutputError{Cause: err}
@@ -168,15 +168,15 @@
 // progress prints the progress of an experiment: on a terminal as one line that
 // is overwritten, elsewhere as one line per play.
 type progress struct {
-	w        io.Writer
-	terminal bool
-	began    time.Time
-	// before is the number of plays that earlier runs have completed.
-	before int
+	w         io.Writer
+	terminal  bool
+	startedAt time.Time
+	// earlierPlays is the number of plays that earlier runs have completed.
+	earlierPlays int
 }
 
 func newProgress(w io.Writer) *progress {
-	return &progress{w: w, terminal: isTerminal(w), began: time.Now()}
+	return &progress{w: w, terminal: isTerminal(w), startedAt: time.Now()}
 }
 
 func isTerminal(w io.Writer) bool {
@@ -190,7 +190,7 @@
 
 func (p *progress) show(now experiment.Progress) {
 	if now.Last.Variant == "" {
-		p.before = now.Done
+		p.earlierPlays = now.Done
 		if now.Done > 0 {
 			p.line(strconv.Itoa(now.Done)+" of "+strconv.Itoa(now.Total)+" plays were done before", true)
 		}
@@ -204,20 +204,20 @@
 	text := strconv.Itoa(now.Done) + " of " + strconv.Itoa(now.Total) + " plays, " + last.Variant +
 		" seed " + strconv.FormatUint(last.Seed, 10) + " took " + last.Took.Round(time.Millisecond).String()
 	if left := now.Total - now.Done; left > 0 {
-		each := time.Since(p.began) / time.Duration(now.Done-p.before)
+		each := time.Since(p.startedAt) / time.Duration(now.Done-p.earlierPlays)
 		text += ", about " + (each * time.Duration(left)).Round(time.Second).String() + " left"
 	}
 	return text
 }
 
 // line writes one line of progress. On a terminal the next line overwrites it
-// unless stays is set.
-func (p *progress) line(text string, stays bool) {
+// unless permanent is set.
+func (p *progress) line(text string, permanent bool) {
 	if p.terminal {
 		const clearLine = "\r\x1b[K"
 		text = clearLine + text
 	}
-	if stays || !p.terminal {
+	if permanent || !p.terminal {
 		text += "\n"
 	}
 	_, _ = io.WriteString(p.w, text)
--- a/cmd/pollengauge/internal/cli/bench_experiment_test.go
+++ b/cmd/pollengauge/internal/cli/bench_experiment_test.go
@@ -91,7 +91,7 @@
 
 func TestResultsAreNamedAfterTheFile(t *testing.T) {
 	c := qt.New(t)
-	c.Check(resultsOf("a/mesh.yaml"), qt.Equals, "mesh.results")
-	c.Check(resultsOf("mesh"), qt.Equals, "mesh.results")
-	c.Check(resultsOf("-"), qt.Equals, "stdin.results")
+	c.Check(resultsDirOf("a/mesh.yaml"), qt.Equals, "mesh.results")
+	c.Check(resultsDirOf("mesh"), qt.Equals, "mesh.results")
+	c.Check(resultsDirOf("-"), qt.Equals, "stdin.results")
 }
--- a/cmd/pollengauge/internal/cli/change.go
+++ b/cmd/pollengauge/internal/cli/change.go
@@ -42,8 +42,8 @@
 	cmd.Flags().DurationVar(&f.wait, "wait", defaultWait, "how long to wait until --nodes have the change in force; 0 does not ask them")
 }
 
-// changed is the JSON of a change that took effect.
-type changed struct {
+// changeResult is the JSON of a change that took effect.
+type changeResult struct {
 	ChangeID string `json:"changeId"`
 	Version  uint64 `json:"version"`
 	// Unchanged is true if the same content was already stored, so nothing was written.
@@ -53,9 +53,9 @@
 	Settled bool `json:"settled"`
 	// NewestVersion is the newest stored version. It is above Version if another
 	// change has followed.
-	NewestVersion uint64       `json:"newestVersion"`
-	Changes       []difference `json:"changes"`
-	Nodes         []nodeForce  `json:"nodes"`
+	NewestVersion uint64        `json:"newestVersion"`
+	Changes       []difference  `json:"changes"`
+	Nodes         []nodeInForce `json:"nodes"`
 }
 
 // change is the state of one change of the configuration while it is being made.
@@ -73,7 +73,7 @@
 
 // run connects to the platform, makes the change with do, waits for the nodes and
 // prints the result.
-func (f *changeFlags) run(cmd *cobra.Command, do func(c *change) (changed, error)) error {
+func (f *changeFlags) run(cmd *cobra.Command, do func(c *change) (changeResult, error)) error {
 	addresses, err := f.nodes.addresses()
 	if err != nil {
 		return err
@@ -89,10 +89,10 @@
 	c := &change{flags: f, cmd: cmd, client: client, addresses: addresses}
 	result, err := do(c)
 	if err != nil {
-		return c.failed(err)
+		return c.reportFailure(err)
 	}
-	result.Nodes, err = c.await(result.Version)
-	if told := c.tell(result); told != nil {
+	result.Nodes, err = c.awaitInForce(result.Version)
+	if told := c.printResult(result); told != nil {
 		return told
 	}
 	return err
@@ -132,9 +132,9 @@
 	return highest
 }
 
-// expect sets the stored version that the change may replace: the value of
+// setExpected sets the stored version that the change may replace: the value of
 // --expect, or otherwise if the flag is not given.
-func (c *change) expect(stored, otherwise uint64) error {
+func (c *change) setExpected(stored, otherwise uint64) error {
 	switch c.flags.expect {
 	case "":
 		c.expected = otherwise
@@ -151,8 +151,8 @@
 	return nil
 }
 
-func changeOf(result config.Result, before, after config.Set) changed {
-	return changed{
+func changeResultOf(result config.Result, before, after config.Set) changeResult {
+	return changeResult{
 		ChangeID:      result.ChangeID,
 		Version:       result.Version,
 		Settled:       result.Settled,
@@ -161,11 +161,11 @@
 	}
 }
 
-// failed handles a change that returned err. It prints both sides of a lost race,
+// reportFailure handles a change that returned err. It prints both sides of a lost race,
 // and adds the command that settles a change whose fate is unknown.
-func (c *change) failed(err error) error {
+func (c *change) reportFailure(err error) error {
 	if race := (*config.RaceError)(nil); errors.As(err, &race) {
-		if told := c.tellRace(race); told != nil {
+		if told := c.reportRace(race); told != nil {
 			return told
 		}
 	}
@@ -181,7 +181,7 @@
 func (c *change) versions(ctx context.Context) []reply[uint64] {
 	client := newNodeClient(c.flags.nodes.timeout)
 	defer client.close()
-	return askAll(c.addresses, func(address string) (uint64, error) {
+	return queryAll(c.addresses, func(address string) (uint64, error) {
 		answer, err := client.config(ctx, address)
 		return answer.Version, err
 	})
--- a/cmd/pollengauge/internal/cli/claims.go
+++ b/cmd/pollengauge/internal/cli/claims.go
@@ -25,7 +25,7 @@
 func runClaims(cmd *cobra.Command, flags *nodesFlags, addresses []string) error {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
-	members, _, err := split(askAll(addresses, func(address string) (member, error) {
+	members, _, err := split(queryAll(addresses, func(address string) (member, error) {
 		status, err := client.status(cmd.Context(), address)
 		return member{address: address, status: status}, err
 	}))
--- a/cmd/pollengauge/internal/cli/cli.go
+++ b/cmd/pollengauge/internal/cli/cli.go
@@ -40,7 +40,7 @@
 		return int(ExitOK)
 	}
 	report(stderr, err)
-	return int(codeOf(err))
+	return int(exitCodeOf(err))
 }
 
 // errorPrefix begins every line of an error message.
--- a/cmd/pollengauge/internal/cli/config_test.go
+++ b/cmd/pollengauge/internal/cli/config_test.go
@@ -93,7 +93,7 @@
 	server.SetFaults(standin.Faults{DropNext: 1})
 	got := command(ctx, smallSet, "apply", platform, "-f", "-", "--json")
 	c.Assert(got.code, qt.Equals, ExitOK, qt.Commentf("%s", got.stderr))
-	var told changed
+	var told changeResult
 	c.Assert(json.Unmarshal([]byte(got.stdout), &told), qt.IsNil)
 	c.Assert(told.Settled, qt.IsTrue)
 	document, err := config.Read(ctx, server)
--- a/cmd/pollengauge/internal/cli/customers.go
+++ b/cmd/pollengauge/internal/cli/customers.go
@@ -44,7 +44,7 @@
 func collectCustomers(cmd *cobra.Command, flags *nodesFlags, addresses []string) ([]node.CustomerView, error) {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
-	lists, _, err := split(askAll(addresses, func(address string) (node.CustomersResponse, error) {
+	lists, _, err := split(queryAll(addresses, func(address string) (node.CustomersResponse, error) {
 		return client.customers(cmd.Context(), address)
 	}))
 	byName := make(map[string]node.CustomerView)
--- a/cmd/pollengauge/internal/cli/drain.go
+++ b/cmd/pollengauge/internal/cli/drain.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	defaultDrainWait = 30 * time.Second
-	drainPoll        = 50 * time.Millisecond
+	defaultDrainWait  = 30 * time.Second
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// drainer holds the flag values of one run of drain.
-type drainer struct {
+// drainCommand holds the flag values of one run of drain.
+type drainCommand struct {
 	nodes  nodesFlags
 	cancel bool
 	exit   bool
 	wait   time.Duration
 }
 
-// drained is the state of one node after a drain command, and its JSON.
-type drained struct {
+// drainState is the state of one node after a drain command, and its JSON.
+type drainState struct {
 	Address  string `json:"address"`
 	Draining bool   `json:"draining"`
 	InFlight int    `json:"inFlight"`
@@ -35,7 +35,7 @@
 }
 
 func newDrainCommand() *cobra.Command {
-	d := &drainer{}
+	d := &drainCommand{}
 	cmd := &cobra.Command{
 		Use:   "drain NODE...",
 		Short: "Take nodes out of service without cutting off a call",
@@ -60,7 +60,7 @@
 	return cmd
 }
 
-func (d *drainer) run(cmd *cobra.Command, addresses []string) error {
+func (d *drainCommand) run(cmd *cobra.Command, addresses []string) error {
 	for _, address := range addresses {
 		if err := checkAddress("NODE", address); err != nil {
 			return err
@@ -71,30 +71,30 @@
 	}
 	client := newNodeClient(d.nodes.timeout)
 	defer client.close()
-	replies := askAll(addresses, func(address string) (drained, error) { return d.drain(cmd.Context(), client, address) })
-	states := make([]drained, len(replies))
+	replies := queryAll(addresses, func(address string) (drainState, error) { return d.drain(cmd.Context(), client, address) })
+	states := make([]drainState, len(replies))
 	for i, r := range replies {
 		states[i] = r.value
 	}
 	_, _, err := split(replies)
-	if told := d.tell(cmd, states); told != nil {
+	if told := d.print(cmd, states); told != nil {
 		return told
 	}
-	return single(err)
+	return unwrapSingle(err)
 }
 
-// single returns the only failure of an *UnreachableError itself, so that its own
+// unwrapSingle returns the only failure of an *UnreachableError itself, so that its own
 // exit code applies. Other errors are returned unchanged.
-func single(err error) error {
+func unwrapSingle(err error) error {
 	if several, ok := err.(*UnreachableError); ok && len(several.Failures) == 1 {
 		return several.Failures[0]
 	}
 	return err
 }
 
-func (d *drainer) drain(ctx context.Context, client *nodeClient, address string) (drained, error) {
+func (d *drainCommand) drain(ctx context.Context, client *nodeClient, address string) (drainState, error) {
 	start := time.Now()
-	state := drained{Address: address}
+	state := drainState{Address: address}
 	answer, err := client.drain(ctx, address, node.DrainRequest{Draining: !d.cancel, Exit: d.exit})
 	if err != nil {
 		state.Error = err.Error()
@@ -113,10 +113,10 @@
 
 // await polls the node until its last call has ended or, with --exit, until its
 // process no longer responds.
-func (d *drainer) await(ctx context.Context, client *nodeClient, state *drained) error {
+func (d *drainCommand) await(ctx context.Context, client *nodeClient, state *drainState) error {
 	ctx, cancel := context.WithTimeout(ctx, d.wait)
 	defer cancel()
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for {
 		status, err := client.status(ctx, state.Address)
@@ -139,7 +139,7 @@
 	}
 }
 
-func (d *drainer) tell(cmd *cobra.Command, states []drained) error {
+func (d *drainCommand) print(cmd *cobra.Command, states []drainState) error {
 	if d.nodes.json {
 		return writeJSON(cmd.OutOrStdout(), states)
 	}
--- a/cmd/pollengauge/internal/cli/exit.go
+++ b/cmd/pollengauge/internal/cli/exit.go
@@ -35,14 +35,14 @@
 	ExitDifferent
 )
 
-// coded is an error that has an exit code of its own.
-type coded interface{ exitCode() ExitCode }
+// exitCoder is an error that has an exit code of its own.
+type exitCoder interface{ exitCode() ExitCode }
 
-// codeOf returns the exit code of an error. The order of the checks matters: a
+// exitCodeOf returns the exit code of an error. The order of the checks matters: a
 // change of unknown fate is ambiguous whatever its cause, so the fate is checked
 // before the cause.
-func codeOf(err error) ExitCode {
-	if own := coded(nil); errors.As(err, &own) {
+func exitCodeOf(err error) ExitCode {
+	if own := exitCoder(nil); errors.As(err, &own) {
 		return own.exitCode()
 	}
 	if applied := (*config.ApplyError)(nil); errors.As(err, &applied) && applied.Fate == config.FateUnknown {
--- a/cmd/pollengauge/internal/cli/explain.go
+++ b/cmd/pollengauge/internal/cli/explain.go
@@ -88,7 +88,7 @@
 		"kind":     string(observe.Inbound),
 		"limit":    strconv.Itoa(maxHops),
 	})
-	found, _ := gather("", askAll(addresses, func(address string) ([]observe.Hop, error) {
+	found, _ := mergeHops("", queryAll(addresses, func(address string) ([]observe.Hop, error) {
 		answer, err := client.hops(ctx, address, query)
 		return answer.Hops, err
 	}))
@@ -96,15 +96,15 @@
 }
 
 func collectHops(ctx context.Context, client *nodeClient, addresses []string, request string) (explanation, error) {
-	replies := askAll(addresses, func(address string) ([]observe.Hop, error) {
+	replies := queryAll(addresses, func(address string) ([]observe.Hop, error) {
 		answer, err := client.explain(ctx, address, request)
 		return answer.Hops, err
 	})
-	return gather(request, replies)
+	return mergeHops(request, replies)
 }
 
-// gather merges the hops of all replies. The error is non-nil if any node failed.
-func gather(request string, replies []reply[[]observe.Hop]) (explanation, error) {
+// mergeHops merges the hops of all replies. The error is non-nil if any node failed.
+func mergeHops(request string, replies []reply[[]observe.Hop]) (explanation, error) {
 	lists, unreachable, err := split(replies)
 	found := explanation{Request: request, Hops: []observe.Hop{}, Unreachable: []string{}}
 	for _, list := range lists {
--- a/cmd/pollengauge/internal/cli/fates.go
+++ b/cmd/pollengauge/internal/cli/fates.go
@@ -65,7 +65,7 @@
 func collectFates(cmd *cobra.Command, flags *nodesFlags, addresses []string, query map[string]string) ([]fate, error) {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
-	lists, _, err := split(askAll(addresses, func(address string) ([]fate, error) {
+	lists, _, err := split(queryAll(addresses, func(address string) ([]fate, error) {
 		answer, err := client.fates(cmd.Context(), address, queryOf(query))
 		fates := make([]fate, len(answer.Fates))
 		for i, view := range answer.Fates {
--- a/cmd/pollengauge/internal/cli/file.go
+++ b/cmd/pollengauge/internal/cli/file.go
@@ -13,9 +13,9 @@
 // stdinName is the file name that stands for standard input.
 const stdinName = "-"
 
-// maxFile is the largest file accepted, in bytes. It is a multiple of the limit of
+// maxFileBytes is the largest file accepted, in bytes. It is a multiple of the limit of
 // an encoded Set because YAML with comments takes more space.
-const maxFile = 4 * config.MaxEncoded
+const maxFileBytes = 4 * config.MaxEncoded
 
 func bindFile(cmd *cobra.Command, file *string) {
 	cmd.Flags().StringVarP(file, "file", "f", "", "profile set as YAML or, by the name *.json, as JSON; - reads YAML or JSON from stdin")
@@ -48,8 +48,8 @@
 }
 
 func readBounded(r io.Reader) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(r, maxFile+1))
-	if err == nil && len(data) > maxFile {
+	data, err := io.ReadAll(io.LimitReader(r, maxFileBytes+1))
+	if err == nil && len(data) > maxFileBytes {
 		err = &config.EncodingError{Want: "at most 1 MiB"}
 	}
 	return data, err
--- a/cmd/pollengauge/internal/cli/harness_test.go
+++ b/cmd/pollengauge/internal/cli/harness_test.go
@@ -64,7 +64,7 @@
 		Slots:        10,
 		Calls:        calls,
 		Interval:     50 * time.Millisecond,
-		EndsAt:       fatalPath,
+		CrashPath:    fatalPath,
 	})
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(u.Close)
--- a/cmd/pollengauge/internal/cli/hops.go
+++ b/cmd/pollengauge/internal/cli/hops.go
@@ -98,7 +98,7 @@
 		"kind":     q.kind,
 		"limit":    strconv.Itoa(q.limit),
 	})
-	found, err := gather("", askAll(addresses, func(address string) ([]observe.Hop, error) {
+	found, err := mergeHops("", queryAll(addresses, func(address string) ([]observe.Hop, error) {
 		answer, err := client.hops(cmd.Context(), address, query)
 		return answer.Hops, err
 	}))
--- a/cmd/pollengauge/internal/cli/node.go
+++ b/cmd/pollengauge/internal/cli/node.go
@@ -56,7 +56,7 @@
 
 func (c *nodeCommand) run(cmd *cobra.Command) error {
 	c.flags.fromEnvironment()
-	for _, name := range c.flags.strayVariables() {
+	for _, name := range c.flags.unknownVariables() {
 		_, _ = io.WriteString(cmd.ErrOrStderr(), errorPrefix+name+" names no setting of this build; ignoring it\n")
 	}
 	c.settings.Log = c.flags.logger(cmd.ErrOrStderr(), c.format, c.severity)
--- a/cmd/pollengauge/internal/cli/node_test.go
+++ b/cmd/pollengauge/internal/cli/node_test.go
@@ -79,7 +79,7 @@
 
 	got := command(ctx, smallSet, "apply", platform, nodes, "-f", "-", "--wait", "10s", "--json")
 	c.Assert(got.code, qt.Equals, ExitOK, qt.Commentf("%s", got.stderr))
-	var applied changed
+	var applied changeResult
 	c.Assert(json.Unmarshal([]byte(got.stdout), &applied), qt.IsNil)
 	c.Assert(applied.Nodes, qt.HasLen, 2)
 	for _, n := range applied.Nodes {
--- a/cmd/pollengauge/internal/cli/nodes.go
+++ b/cmd/pollengauge/internal/cli/nodes.go
@@ -16,9 +16,9 @@
 	"pollengauge.dev/observe"
 )
 
-// maxAdminAnswer is the most bytes read of one response. A thousand hops take about
+// maxResponseBytes is the most bytes read of one response. A thousand hops take about
 // half a megabyte.
-const maxAdminAnswer = 16 << 20
+const maxResponseBytes = 16 << 20
 
 // nodeClient is a client of the nodes' admin APIs.
 type nodeClient struct {
@@ -83,7 +83,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	target := &url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}
-	decode := func(_ context.Context, resp *http.Response) (any, error) { return decodeAnswer[T](address, resp) }
+	decode := func(_ context.Context, resp *http.Response) (any, error) { return decodeResponse[T](address, resp) }
 	answer, err := kithttp.NewClient(method, target, encodeBody, decode, kithttp.SetClient(c.http)).Endpoint()(ctx, body)
 	if err == nil {
 		return answer.(T), nil
@@ -101,8 +101,8 @@
 	return kithttp.EncodeJSONRequest(ctx, r, body)
 }
 
-func decodeAnswer[T any](address string, resp *http.Response) (any, error) {
-	body := io.LimitReader(resp.Body, maxAdminAnswer)
+func decodeResponse[T any](address string, resp *http.Response) (any, error) {
+	body := io.LimitReader(resp.Body, maxResponseBytes)
 	if resp.StatusCode != http.StatusOK {
 		var failed node.AdminError
 		_ = json.NewDecoder(body).Decode(&failed) // the status is enough if there is no error text
@@ -115,8 +115,8 @@
 	return value, nil
 }
 
-// maxAsked is the maximum number of concurrent requests to nodes.
-const maxAsked = 64
+// maxConcurrentQueries is the maximum number of concurrent requests to nodes.
+const maxConcurrentQueries = 64
 
 // reply is the result of querying one node.
 type reply[T any] struct {
@@ -125,17 +125,17 @@
 	err   error
 }
 
-// askAll queries the nodes concurrently, at most maxAsked at a time, and returns
-// their replies in the order of addresses.
-func askAll[T any](addresses []string, ask func(address string) (T, error)) []reply[T] {
+// queryAll queries the nodes concurrently, at most maxConcurrentQueries at a time,
+// and returns their replies in the order of addresses.
+func queryAll[T any](addresses []string, query func(address string) (T, error)) []reply[T] {
 	replies := make([]reply[T], len(addresses))
-	room := make(chan struct{}, maxAsked)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	var group sync.WaitGroup
 	for i, address := range addresses {
-		room <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-room }()
-			value, err := ask(address)
+			defer func() { <-slots }()
+			value, err := query(address)
 			replies[i] = reply[T]{node: address, value: value, err: err}
 		})
 	}
--- a/cmd/pollengauge/internal/cli/quarantine.go
+++ b/cmd/pollengauge/internal/cli/quarantine.go
@@ -45,8 +45,8 @@
 			if err != nil {
 				return err
 			}
-			held, err := collectHeld(cmd, flags, addresses, suspects)
-			if told := printHeld(cmd, held, flags.json); told != nil {
+			held, err := collectQuarantined(cmd, flags, addresses, suspects)
+			if told := printQuarantined(cmd, held, flags.json); told != nil {
 				return told
 			}
 			return err
@@ -58,12 +58,12 @@
 	return cmd
 }
 
-// collectHeld queries all nodes and returns one view of each quarantined request:
+// collectQuarantined queries all nodes and returns one view of each quarantined request:
 // the one with the most crashes, and among those one that names the request.
-func collectHeld(cmd *cobra.Command, flags *nodesFlags, addresses []string, suspects bool) ([]node.HeldView, error) {
+func collectQuarantined(cmd *cobra.Command, flags *nodesFlags, addresses []string, suspects bool) ([]node.HeldView, error) {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
-	lists, _, err := split(askAll(addresses, func(address string) ([]node.HeldView, error) {
+	lists, _, err := split(queryAll(addresses, func(address string) ([]node.HeldView, error) {
 		answer, err := client.quarantine(cmd.Context(), address, suspects)
 		return answer.Requests, err
 	}))
@@ -83,7 +83,7 @@
 	return held, err
 }
 
-func printHeld(cmd *cobra.Command, held []node.HeldView, asJSON bool) error {
+func printQuarantined(cmd *cobra.Command, held []node.HeldView, asJSON bool) error {
 	if asJSON {
 		return writeJSON(cmd.OutOrStdout(), append([]node.HeldView{}, held...))
 	}
@@ -116,16 +116,16 @@
 			if err != nil {
 				return err
 			}
-			return clearHeld(cmd, flags, addresses, args[0])
+			return clearQuarantined(cmd, flags, addresses, args[0])
 		},
 	}
 	flags.bind(cmd)
 	return cmd
 }
 
-// clearHeld asks one node after another to clear the request until one of them
+// clearQuarantined asks one node after another to clear the request until one of them
 // knows it.
-func clearHeld(cmd *cobra.Command, flags *nodesFlags, addresses []string, fingerprint string) error {
+func clearQuarantined(cmd *cobra.Command, flags *nodesFlags, addresses []string, fingerprint string) error {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
 	var failures []error
--- a/cmd/pollengauge/internal/cli/race.go
+++ b/cmd/pollengauge/internal/cli/race.go
@@ -22,8 +22,8 @@
 	At      time.Time    `json:"at"`
 }
 
-// tellRace prints both sides of a change that lost to a concurrent one.
-func (c *change) tellRace(lost *config.RaceError) error {
+// reportRace prints both sides of a change that lost to a concurrent one.
+func (c *change) reportRace(lost *config.RaceError) error {
 	told := race{
 		Expected: lost.Expected,
 		Stored:   lost.Theirs.Version,
--- a/cmd/pollengauge/internal/cli/rollback.go
+++ b/cmd/pollengauge/internal/cli/rollback.go
@@ -24,7 +24,7 @@
 			if err != nil || version == 0 {
 				return &ArgumentError{Name: "VERSION", Value: args[0], Want: "a version from history"}
 			}
-			return flags.run(cmd, func(c *change) (changed, error) { return c.rollback(version) })
+			return flags.run(cmd, func(c *change) (changeResult, error) { return c.rollback(version) })
 		},
 	}
 	flags.bind(cmd)
@@ -33,15 +33,15 @@
 	return cmd
 }
 
-func (c *change) rollback(version uint64) (changed, error) {
+func (c *change) rollback(version uint64) (changeResult, error) {
 	stored, err := config.Read(c.cmd.Context(), c.client)
 	if err != nil {
-		return changed{}, err
+		return changeResult{}, err
 	}
-	if err := c.expect(stored.Set.Version, stored.Set.Version); err != nil {
-		return changed{}, err
+	if err := c.setExpected(stored.Set.Version, stored.Set.Version); err != nil {
+		return changeResult{}, err
 	}
 	c.repeat = "pollengauge rollback " + strconv.FormatUint(version, 10)
 	result, err := config.Rollback(c.cmd.Context(), c.client, version, c.options())
-	return changeOf(result, stored.Set, result.Current), err
+	return changeResultOf(result, stored.Set, result.Current), err
 }
--- a/cmd/pollengauge/internal/cli/settings.go
+++ b/cmd/pollengauge/internal/cli/settings.go
@@ -33,19 +33,19 @@
 	name    string
 	kind    string
 	allowed string
-	shown   string
+	value   string
 	parse   func(string) bool
 }
 
 // String implements pflag.Value.
-func (s *setting) String() string { return s.shown }
+func (s *setting) String() string { return s.value }
 
 // Type implements pflag.Value.
 func (s *setting) Type() string { return s.kind }
 
 // Set implements pflag.Value.
 func (s *setting) Set(value string) error {
-	s.shown = value
+	s.value = value
 	if !s.parse(value) {
 		s.owner.problems = append(s.owner.problems, &node.SettingError{Name: s.name, Value: strconv.Quote(value), Allowed: s.allowed})
 	}
@@ -59,14 +59,14 @@
 }
 
 func (f *settingFlags) text(p *string, name, usage string) {
-	f.add(&setting{name: name, kind: "string", shown: *p, parse: func(v string) bool {
+	f.add(&setting{name: name, kind: "string", value: *p, parse: func(v string) bool {
 		*p = v
 		return true
 	}}, usage)
 }
 
 func (f *settingFlags) list(p *[]string, name, usage string) {
-	f.add(&setting{name: name, kind: "list", shown: strings.Join(*p, ","), parse: func(v string) bool {
+	f.add(&setting{name: name, kind: "list", value: strings.Join(*p, ","), parse: func(v string) bool {
 		*p = nil
 		for item := range strings.SplitSeq(v, ",") {
 			if item = strings.TrimSpace(item); item != "" {
@@ -80,7 +80,7 @@
 // number binds an integer flag. A value that can't be parsed is set to a number
 // outside every range, so that node.Settings.Check reports the allowed range.
 func (f *settingFlags) number(p *int, name, usage string) {
-	f.add(&setting{name: name, kind: "int", allowed: "a whole number", shown: strconv.Itoa(*p), parse: func(v string) bool {
+	f.add(&setting{name: name, kind: "int", allowed: "a whole number", value: strconv.Itoa(*p), parse: func(v string) bool {
 		n, err := strconv.Atoi(v)
 		if err != nil {
 			n = math.MinInt
@@ -91,7 +91,7 @@
 }
 
 func (f *settingFlags) ratio(p *float64, name, usage string) {
-	f.add(&setting{name: name, kind: "ratio", allowed: "0 to 1", shown: strconv.FormatFloat(*p, 'g', -1, 64), parse: func(v string) bool {
+	f.add(&setting{name: name, kind: "ratio", allowed: "0 to 1", value: strconv.FormatFloat(*p, 'g', -1, 64), parse: func(v string) bool {
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(n >= 0 && n <= 1) {
 			return false
@@ -104,7 +104,7 @@
 // amount binds a flag with a floating-point number. Like number, it sets a value that
 // can't be parsed to one outside every range.
 func (f *settingFlags) amount(p *float64, name, usage string) {
-	f.add(&setting{name: name, kind: "number", allowed: "a number", shown: strconv.FormatFloat(*p, 'g', -1, 64), parse: func(v string) bool {
+	f.add(&setting{name: name, kind: "number", allowed: "a number", value: strconv.FormatFloat(*p, 'g', -1, 64), parse: func(v string) bool {
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil {
 			n = math.Inf(-1)
@@ -115,7 +115,7 @@
 }
 
 func (f *settingFlags) duration(p *time.Duration, name, usage string) {
-	f.add(&setting{name: name, kind: "duration", allowed: "a duration such as 250ms or 30s", shown: p.String(), parse: func(v string) bool {
+	f.add(&setting{name: name, kind: "duration", allowed: "a duration such as 250ms or 30s", value: p.String(), parse: func(v string) bool {
 		d, err := time.ParseDuration(v)
 		if err != nil {
 			d = math.MinInt64
@@ -195,10 +195,10 @@
 	return problems
 }
 
-// strayVariables returns the sorted names of the environment variables with
+// unknownVariables returns the sorted names of the environment variables with
 // envPrefix that no setting reads. They cause a warning and not an error, because
 // during an upgrade two builds may share one environment.
-func (f *settingFlags) strayVariables() []string {
+func (f *settingFlags) unknownVariables() []string {
 	var stray []string
 	for _, entry := range os.Environ() {
 		name, value, _ := strings.Cut(entry, "=")
--- a/cmd/pollengauge/internal/cli/sidecar.go
+++ b/cmd/pollengauge/internal/cli/sidecar.go
@@ -10,9 +10,9 @@
 	"pollengauge.dev/platform"
 )
 
-// logPatience is how long the process waits at its exit for the log's reader to take
-// the remaining lines.
-const logPatience = 200 * time.Millisecond
+// logFlushTimeout is how long the process waits at its exit for the log's reader to
+// take the remaining lines.
+const logFlushTimeout = 200 * time.Millisecond
 
 func newSidecarCommand() *cobra.Command {
 	var options platform.Options
@@ -35,7 +35,7 @@
 				return out.result()
 			}
 			lines := observe.NewLineWriter(cmd.OutOrStdout(), 0, 0)
-			defer lines.Close(logPatience)
+			defer lines.Close(logFlushTimeout)
 			log, err := observe.NewLogger(observe.LoggerConfig{Output: lines, Format: observe.Logfmt})
 			if err != nil {
 				return err
--- a/cmd/pollengauge/internal/cli/standin.go
+++ b/cmd/pollengauge/internal/cli/standin.go
@@ -116,13 +116,13 @@
 	flags.IntVar(&settings.Slots, "slots", settings.Slots, "requests worked on at once")
 	flags.StringSliceVar(&calls, "calls", nil, "calls made for each request: service/path or METHOD:service/path, comma separated")
 	flags.DurationVar(&settings.Interval, "interval", settings.Interval, "time between two announcements")
-	flags.StringVar(&settings.EndsAt, "ends-at", "", "path whose requests make it crash; it listens again later")
+	flags.StringVar(&settings.CrashPath, "ends-at", "", "path whose requests make it crash; it listens again later")
 	return cmd
 }
 
-// upstreamDrain is the longest wait for requests in flight when the stand-in shuts
+// upstreamDrainTimeout is the longest wait for requests in flight when the stand-in shuts
 // down.
-const upstreamDrain = 30 * time.Second
+const upstreamDrainTimeout = 30 * time.Second
 
 func serveUpstream(cmd *cobra.Command, settings upstream.Settings) error {
 	u, err := upstream.Start(settings)
@@ -142,7 +142,7 @@
 		}
 		out.printf("announced to node %s\n", settings.NodeAdmin)
 	})
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(cmd.Context()), upstreamDrain)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(cmd.Context()), upstreamDrainTimeout)
 	defer cancel()
 	if err := u.Shutdown(ctx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return &OutputError{Cause: err}
--- a/cmd/pollengauge/internal/cli/status.go
+++ b/cmd/pollengauge/internal/cli/status.go
@@ -61,7 +61,7 @@
 func collectStates(ctx context.Context, addresses []string, timeout time.Duration) ([]nodeState, error) {
 	client := newNodeClient(timeout)
 	defer client.close()
-	replies := askAll(addresses, func(address string) (nodeState, error) { return askState(ctx, client, address) })
+	replies := queryAll(addresses, func(address string) (nodeState, error) { return queryState(ctx, client, address) })
 	states := make([]nodeState, len(replies))
 	for i, r := range replies {
 		states[i] = r.value
@@ -70,7 +70,7 @@
 	return states, err
 }
 
-func askState(ctx context.Context, client *nodeClient, address string) (nodeState, error) {
+func queryState(ctx context.Context, client *nodeClient, address string) (nodeState, error) {
 	state := nodeState{Address: address}
 	status, err := client.status(ctx, address)
 	if err != nil {
@@ -110,8 +110,8 @@
 }
 
 const (
-	stateColumn = 4
-	shownHash   = 8
+	stateColumn      = 4
+	hashPrefixLength = 8
 )
 
 func stateRow(s nodeState) []string {
@@ -133,7 +133,7 @@
 		strconv.Itoa(n.Keys.Running),
 		strconv.Itoa(n.Keys.Unknown),
 		strconv.FormatUint(s.Config.Version, 10),
-		s.Config.Hash[:min(shownHash, len(s.Config.Hash))],
+		s.Config.Hash[:min(hashPrefixLength, len(s.Config.Hash))],
 		s.Config.Source,
 		n.Node,
 	}
--- a/cmd/pollengauge/internal/cli/top.go
+++ b/cmd/pollengauge/internal/cli/top.go
@@ -115,7 +115,7 @@
 }
 
 func collectStatuses(ctx context.Context, client *nodeClient, addresses []string) ([]observe.NodeStatus, []string, error) {
-	return split(askAll(addresses, func(address string) (observe.NodeStatus, error) { return client.status(ctx, address) }))
+	return split(queryAll(addresses, func(address string) (observe.NodeStatus, error) { return client.status(ctx, address) }))
 }
 
 func (t *topScreen) render(cmd *cobra.Command, statuses, previous []observe.NodeStatus, unreachable []string) string {
--- a/cmd/pollengauge/internal/cli/tracelog.go
+++ b/cmd/pollengauge/internal/cli/tracelog.go
@@ -11,8 +11,8 @@
 	"github.com/spf13/cobra"
 )
 
-// maxLogLine bounds one line of a log file, in bytes.
-const maxLogLine = 1 << 20
+// maxLogLineBytes bounds one line of a log file, in bytes.
+const maxLogLineBytes = 1 << 20
 
 // NoTraceError means that no log line names the request.
 type NoTraceError struct{ Request string }
@@ -77,7 +77,7 @@
 func traceLines(id string, r io.Reader) ([]logLine, error) {
 	var found []logLine
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLogLine)
+	lines.Buffer(nil, maxLogLineBytes)
 	for lines.Scan() {
 		text := lines.Text()
 		if !strings.Contains(text, id) {
--- a/cmd/pollengauge/internal/cli/validate.go
+++ b/cmd/pollengauge/internal/cli/validate.go
@@ -64,17 +64,17 @@
 	case *config.ValidationError:
 		v.Problems = cause.Problems
 	case *config.ParseError:
-		v.unreadable(cause)
+		v.addParseErrors(cause)
 	case config.ParseErrors:
-		v.unreadable(cause...)
+		v.addParseErrors(cause...)
 	default:
 		v.Problems = []config.Problem{{Path: file, Want: cause.Error()}}
 	}
 	return v
 }
 
-// unreadable adds parse errors to the problems and sets Line to the first.
-func (v *validation) unreadable(places ...*config.ParseError) {
+// addParseErrors adds parse errors to the problems and sets Line to the first.
+func (v *validation) addParseErrors(places ...*config.ParseError) {
 	v.Line = places[0].Line
 	for _, p := range places {
 		v.Problems = append(v.Problems, config.Problem{Line: p.Line, Path: p.Field, Value: p.Value, Want: p.Want})
--- a/cmd/pollengauge/internal/upstream/announce.go
+++ b/cmd/pollengauge/internal/upstream/announce.go
@@ -19,16 +19,16 @@
 func (u *Upstream) Announce(ctx context.Context, report func(error)) {
 	tick := time.NewTicker(u.settings.Interval)
 	defer tick.Stop()
-	failing, begun := false, false
+	failing, reported := false, false
 	for {
 		err := u.announce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if !begun || failing != (err != nil) {
+		if !reported || failing != (err != nil) {
 			report(err)
 		}
-		failing, begun = err != nil, true
+		failing, reported = err != nil, true
 		select {
 		case <-ctx.Done():
 			return
@@ -39,7 +39,7 @@
 
 const (
 	announceTimeout = 2 * time.Second
-	maxDetail       = 4 << 10
+	maxDetailBytes  = 4 << 10
 )
 
 func (u *Upstream) announce(ctx context.Context) error {
@@ -65,7 +65,7 @@
 		return &AnnounceError{Node: u.settings.NodeAdmin, Cause: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	detail, err := io.ReadAll(io.LimitReader(resp.Body, maxDetail))
+	detail, err := io.ReadAll(io.LimitReader(resp.Body, maxDetailBytes))
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return &AnnounceError{Node: u.settings.NodeAdmin, Status: resp.StatusCode, Detail: strings.TrimSpace(string(detail)), Cause: err}
 	}
--- a/cmd/pollengauge/internal/upstream/settings.go
+++ b/cmd/pollengauge/internal/upstream/settings.go
@@ -27,9 +27,9 @@
 	Calls []Call
 	// Interval is the time between two announcements.
 	Interval time.Duration
-	// EndsAt is a path whose requests make the stand-in crash while it runs them;
-	// it listens again after endedFor. "" means none.
-	EndsAt string
+	// CrashPath is a path whose requests make the stand-in crash while it runs them;
+	// it listens again after crashDowntime. "" means none.
+	CrashPath string
 }
 
 // Call is one call to another service.
@@ -74,20 +74,20 @@
 // Check returns a *node.SettingsError that lists every wrong setting, or nil.
 func (s Settings) Check() error {
 	var problems []*node.SettingError
-	refuse := func(ok bool, name, value, allowed string) {
+	require := func(ok bool, name, value, allowed string) {
 		if !ok {
 			problems = append(problems, &node.SettingError{Name: name, Value: value, Allowed: allowed})
 		}
 	}
-	refuse(s.Service != "", "service", strconv.Quote(s.Service), "the service of its node")
+	require(s.Service != "", "service", strconv.Quote(s.Service), "the service of its node")
 	for _, a := range []struct{ name, addr string }{{"addr", s.Addr}, {"node-admin", s.NodeAdmin}, {"node-outbound", s.NodeOutbound}} {
 		_, _, err := net.SplitHostPort(a.addr)
-		refuse(err == nil, a.name, strconv.Quote(a.addr), "host:port")
+		require(err == nil, a.name, strconv.Quote(a.addr), "host:port")
 	}
-	refuse(s.Work >= 0 && s.Work <= maxWork, "work", s.Work.String(), "0s to "+maxWork.String())
-	refuse(s.Slots >= 1 && s.Slots <= maxSlots, "slots", strconv.Itoa(s.Slots), "1 to 100000")
-	refuse(s.EndsAt == "" || s.EndsAt[0] == '/', "ends-at", strconv.Quote(s.EndsAt), "a path that begins with a slash")
-	refuse(s.Interval >= minInterval && s.Interval <= maxInterval, "interval", s.Interval.String(), minInterval.String()+" to "+maxInterval.String())
+	require(s.Work >= 0 && s.Work <= maxWork, "work", s.Work.String(), "0s to "+maxWork.String())
+	require(s.Slots >= 1 && s.Slots <= maxSlots, "slots", strconv.Itoa(s.Slots), "1 to 100000")
+	require(s.CrashPath == "" || s.CrashPath[0] == '/', "ends-at", strconv.Quote(s.CrashPath), "a path that begins with a slash")
+	require(s.Interval >= minInterval && s.Interval <= maxInterval, "interval", s.Interval.String(), minInterval.String()+" to "+maxInterval.String())
 	if len(problems) == 0 {
 		return nil
 	}
--- a/cmd/pollengauge/internal/upstream/upstream.go
+++ b/cmd/pollengauge/internal/upstream/upstream.go
@@ -34,17 +34,17 @@
 	inFlight atomic.Int64
 
 	mu sync.Mutex
-	// server is the current incarnation, ended the last one that a request has
+	// server is the current incarnation, crashed the last one that a request has
 	// crashed. closed is set by Shutdown and Close, and prevents a restart. mu
 	// guards all three.
-	server, ended *http.Server
-	closed        bool
+	server, crashed *http.Server
+	closed          bool
 }
 
 const headerTimeout = 10 * time.Second
 
-// endedFor is how long the stand-in does not listen after a crash.
-const endedFor = 2 * time.Second
+// crashDowntime is how long the stand-in does not listen after a crash.
+const crashDowntime = 2 * time.Second
 
 // Start checks the settings and serves until Shutdown or Close.
 func Start(settings Settings) (*Upstream, error) {
@@ -62,13 +62,13 @@
 		slots:    semaphore.NewWeighted(int64(settings.Slots)),
 	}
 	u.work.Store(int64(settings.Work))
-	u.live(listener)
+	u.serveOn(listener)
 	return u, nil
 }
 
-// live serves on listener until Shutdown, Close or a request that crashes the
+// serveOn serves on listener until Shutdown, Close or a request that crashes the
 // stand-in. It closes listener if the stand-in is already closed.
-func (u *Upstream) live(listener net.Listener) {
+func (u *Upstream) serveOn(listener net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc(WorkPath, u.serveWork)
 	mux.HandleFunc("/", u.serve)
@@ -89,42 +89,42 @@
 // Shutdown stops listening and waits for the requests in flight.
 func (u *Upstream) Shutdown(ctx context.Context) error {
 	defer u.client.CloseIdleConnections()
-	return u.last().Shutdown(ctx)
+	return u.stopRestarts().Shutdown(ctx)
 }
 
 // Close stops immediately and breaks the connections in use.
 func (u *Upstream) Close() {
-	_ = u.last().Close()
+	_ = u.stopRestarts().Close()
 	u.client.CloseIdleConnections()
 }
 
-// last returns the current server and prevents that another is started.
-func (u *Upstream) last() *http.Server {
+// stopRestarts returns the current server and prevents that another is started.
+func (u *Upstream) stopRestarts() *http.Server {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.closed = true
 	return u.server
 }
 
-// end simulates a crash: it breaks all connections, and listens again after endedFor.
-// Of several requests that crash the same incarnation, only the first has an effect.
-func (u *Upstream) end() {
+// crash simulates a crash: it breaks all connections, and listens again after
+// crashDowntime. Of several requests that crash the same incarnation, only the first has an effect.
+func (u *Upstream) crash() {
 	u.mu.Lock()
 	server := u.server
-	again := u.ended == server
-	u.ended = server
+	again := u.crashed == server
+	u.crashed = server
 	u.mu.Unlock()
 	if again {
 		return
 	}
 	_ = server.Close()
-	time.AfterFunc(endedFor, func() {
+	time.AfterFunc(crashDowntime, func() {
 		listener, err := net.Listen("tcp", u.addr)
 		if err != nil {
 			log.Printf("stand-in upstream could not listen again after its simulated crash and stays down: %v", err)
 			return
 		}
-		u.live(listener)
+		u.serveOn(listener)
 	})
 }
 
@@ -159,8 +159,8 @@
 	if !objects.Pause(r.Context(), time.Duration(u.work.Load())) {
 		return
 	}
-	if u.settings.EndsAt != "" && r.URL.Path == u.settings.EndsAt {
-		u.end()
+	if u.settings.CrashPath != "" && r.URL.Path == u.settings.CrashPath {
+		u.crash()
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = fmt.Fprintf(w, "%s answers %s %s\n", u.settings.Service, r.Method, r.URL.Path)
@@ -178,8 +178,8 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	_, err = io.Copy(io.Discard, resp.Body)
-	outcome, unread := call.ParseOutcome(resp.Header.Get(call.HeaderOutcome))
-	if err == nil && unread == nil && outcome == call.Complete {
+	outcome, parseErr := call.ParseOutcome(resp.Header.Get(call.HeaderOutcome))
+	if err == nil && parseErr == nil && outcome == call.Complete {
 		return true
 	}
 	status := http.StatusBadGateway
