--- a/cmd/pollengauge/internal/cli/change.go
+++ b/cmd/pollengauge/internal/cli/change.go
@@ -92,8 +92,8 @@
 		return c.reportFailure(err)
 	}
 	result.Nodes, err = c.awaitInForce(result.Version)
-	if told := c.printResult(result); told != nil {
-		return told
+	if printErr := c.printResult(result); printErr != nil {
+		return printErr
 	}
 	return err
 }
@@ -165,8 +165,8 @@
 // and adds the command that settles a change whose fate is unknown.
 func (c *change) reportFailure(err error) error {
 	if race := (*config.RaceError)(nil); errors.As(err, &race) {
-		if told := c.reportRace(race); told != nil {
-			return told
+		if printErr := c.reportRace(race); printErr != nil {
+			return printErr
 		}
 	}
 	applied := (*config.ApplyError)(nil)
--- a/cmd/pollengauge/internal/cli/claims.go
+++ b/cmd/pollengauge/internal/cli/claims.go
@@ -39,8 +39,8 @@
 	claims = slices.DeleteFunc(claims, func(f fate) bool {
 		return slices.ContainsFunc(members, func(m member) bool { return m.status.Node == f.Home })
 	})
-	if told := printFates(cmd, claims, flags.json); told != nil {
-		return told
+	if printErr := printFates(cmd, claims, flags.json); printErr != nil {
+		return printErr
 	}
 	return errors.Join(failures...)
 }
--- a/cmd/pollengauge/internal/cli/config_test.go
+++ b/cmd/pollengauge/internal/cli/config_test.go
@@ -31,19 +31,19 @@
 
 	got = command(ctx, strings.Replace(smallSet, "priority: 2", "priority: 99, credit: -1", 1), "validate", "--json", "-f", "-")
 	c.Assert(got.code, qt.Equals, ExitUsage)
-	var told validation
-	c.Assert(json.Unmarshal([]byte(got.stdout), &told), qt.IsNil)
-	c.Assert(told.Valid, qt.IsFalse)
-	c.Assert(len(told.Problems), qt.Equals, 2)
-	c.Assert(told.Problems[0].Line, qt.Equals, 3)
+	var result validation
+	c.Assert(json.Unmarshal([]byte(got.stdout), &result), qt.IsNil)
+	c.Assert(result.Valid, qt.IsFalse)
+	c.Assert(len(result.Problems), qt.Equals, 2)
+	c.Assert(result.Problems[0].Line, qt.Equals, 3)
 
 	got = command(ctx, strings.NewReplacer("priority", "prioritaet", "method", "verb").Replace(smallSet), "validate", "--json", "-f", "-")
 	c.Assert(got.code, qt.Equals, ExitUsage)
 	c.Assert(got.stderr, qt.Matches, `(?s).*-: line 2: profiles\[0\].prioritaet: .*\n.*-: line 3: .*\n.*-: line 5: assignments\[0\].verb: .*`)
-	told = validation{}
-	c.Assert(json.Unmarshal([]byte(got.stdout), &told), qt.IsNil)
-	c.Assert(told.Line, qt.Equals, 2)
-	c.Assert(len(told.Problems), qt.Equals, 5)
+	result = validation{}
+	c.Assert(json.Unmarshal([]byte(got.stdout), &result), qt.IsNil)
+	c.Assert(result.Line, qt.Equals, 2)
+	c.Assert(len(result.Problems), qt.Equals, 5)
 }
 
 // Two operators edit the same version. The second apply must not overwrite the
@@ -87,15 +87,15 @@
 // The write takes effect, but its response is lost. The command must read back the
 // stored set: reporting a failure would be wrong, and writing again would apply the
 // change twice.
-func TestApplyWithLostAnswerAppliesOnce(t *testing.T) {
+func TestApplyWithLostResponseAppliesOnce(t *testing.T) {
 	c, ctx := testContext(t)
 	server, platform := startPlatform(c)
 	server.SetFaults(standin.Faults{DropNext: 1})
 	got := command(ctx, smallSet, "apply", platform, "-f", "-", "--json")
 	c.Assert(got.code, qt.Equals, ExitOK, qt.Commentf("%s", got.stderr))
-	var told changeResult
-	c.Assert(json.Unmarshal([]byte(got.stdout), &told), qt.IsNil)
-	c.Assert(told.Settled, qt.IsTrue)
+	var result changeResult
+	c.Assert(json.Unmarshal([]byte(got.stdout), &result), qt.IsNil)
+	c.Assert(result.Settled, qt.IsTrue)
 	document, err := config.Read(ctx, server)
 	c.Assert(err, qt.IsNil)
 	c.Assert(document.Changes, qt.HasLen, 1)
--- a/cmd/pollengauge/internal/cli/customers.go
+++ b/cmd/pollengauge/internal/cli/customers.go
@@ -28,8 +28,8 @@
 				return err
 			}
 			views, err := collectCustomers(cmd, flags, addresses)
-			if told := printCustomers(cmd, views, flags.json); told != nil {
-				return told
+			if printErr := printCustomers(cmd, views, flags.json); printErr != nil {
+				return printErr
 			}
 			return err
 		},
--- a/cmd/pollengauge/internal/cli/drain.go
+++ b/cmd/pollengauge/internal/cli/drain.go
@@ -77,8 +77,8 @@
 		states[i] = r.value
 	}
 	_, _, err := split(replies)
-	if told := d.print(cmd, states); told != nil {
-		return told
+	if printErr := d.print(cmd, states); printErr != nil {
+		return printErr
 	}
 	return unwrapSingle(err)
 }
--- a/cmd/pollengauge/internal/cli/fates.go
+++ b/cmd/pollengauge/internal/cli/fates.go
@@ -47,8 +47,8 @@
 				return runClaims(cmd, flags, addresses)
 			}
 			fates, err := collectFates(cmd, flags, addresses, query)
-			if told := printFates(cmd, fates, flags.json); told != nil {
-				return told
+			if printErr := printFates(cmd, fates, flags.json); printErr != nil {
+				return printErr
 			}
 			return err
 		},
--- a/cmd/pollengauge/internal/cli/hops.go
+++ b/cmd/pollengauge/internal/cli/hops.go
@@ -104,8 +104,8 @@
 	}))
 	slices.SortStableFunc(found.Hops, func(a, b observe.Hop) int { return b.At.Compare(a.At) })
 	found.Hops = found.Hops[:min(q.limit, len(found.Hops))]
-	if told := printHops(cmd, found, flags.json); told != nil {
-		return told
+	if printErr := printHops(cmd, found, flags.json); printErr != nil {
+		return printErr
 	}
 	return err
 }
--- a/cmd/pollengauge/internal/cli/node_test.go
+++ b/cmd/pollengauge/internal/cli/node_test.go
@@ -16,7 +16,7 @@
 // Several settings from flags and from the environment are invalid. All of them
 // must be reported at once with name, value and range; otherwise the operator would
 // need a restart to find each.
-func TestWrongSettingsAreToldTogether(t *testing.T) {
+func TestInvalidSettingsAreReportedTogether(t *testing.T) {
 	c, ctx := testContext(t)
 	t.Setenv("POLLENGAUGE_KEY_WINDOW", "1s")
 	t.Setenv("POLLENGAUGE_DRAIN_TIMEOUT", "soon")
@@ -39,7 +39,7 @@
 // Two listeners have the same address, and a variable is misspelt; each setting is
 // valid by itself. Without a check, the first would pass --check and make the node
 // fail at its start, and the second would silently leave the default in force.
-func TestSettingsThatPassOneByOne(t *testing.T) {
+func TestConflictingAndUnknownSettingsAreReported(t *testing.T) {
 	c, ctx := testContext(t)
 	t.Setenv("POLLENGAUGE_SERVICE", "filing")
 	t.Setenv("POLLENGAUGE_SLTS", "7")
@@ -55,7 +55,7 @@
 
 // A flag takes precedence over its environment variable, and a variable over the
 // default. An empty variable counts as not set.
-func TestFlagGoesBeforeVariable(t *testing.T) {
+func TestFlagOverridesVariable(t *testing.T) {
 	c, ctx := testContext(t)
 	t.Setenv("POLLENGAUGE_SERVICE", "filing")
 	t.Setenv("POLLENGAUGE_ZONE", "Not A Zone")
@@ -154,11 +154,11 @@
 func TestClaimsOfALostNode(t *testing.T) {
 	c, ctx := testContext(t)
 	_, platform := startPlatform(c)
-	stays := startNode(c, platform, "filing", nil)
-	lost := startNode(c, platform, "filing", []string{stays.Addr("gossip")})
-	got := command(ctx, filingSet, "apply", platform, "--nodes="+stays.Addr("admin")+","+lost.Addr("admin"), "-f", "-", "--wait", "10s")
+	survivor := startNode(c, platform, "filing", nil)
+	lost := startNode(c, platform, "filing", []string{survivor.Addr("gossip")})
+	got := command(ctx, filingSet, "apply", platform, "--nodes="+survivor.Addr("admin")+","+lost.Addr("admin"), "-f", "-", "--wait", "10s")
 	c.Assert(got.code, qt.Equals, ExitOK, qt.Commentf("%s", got.stderr))
-	nodes := "--nodes=" + stays.Addr("admin")
+	nodes := "--nodes=" + survivor.Addr("admin")
 	eventually(c, func() bool {
 		req, err := http.NewRequest(http.MethodPost, "http://"+lost.Addr("edge")+"/filings", nil)
 		c.Assert(err, qt.IsNil)
--- a/cmd/pollengauge/internal/cli/quarantine.go
+++ b/cmd/pollengauge/internal/cli/quarantine.go
@@ -46,8 +46,8 @@
 				return err
 			}
 			held, err := collectQuarantined(cmd, flags, addresses, suspects)
-			if told := printQuarantined(cmd, held, flags.json); told != nil {
-				return told
+			if printErr := printQuarantined(cmd, held, flags.json); printErr != nil {
+				return printErr
 			}
 			return err
 		},
--- a/cmd/pollengauge/internal/cli/race.go
+++ b/cmd/pollengauge/internal/cli/race.go
@@ -24,7 +24,7 @@
 
 // reportRace prints both sides of a change that lost to a concurrent one.
 func (c *change) reportRace(lost *config.RaceError) error {
-	told := race{
+	report := race{
 		Expected: lost.Expected,
 		Stored:   lost.Theirs.Version,
 		Between:  differencesOf(config.Diff(lost.Theirs, lost.Mine)),
@@ -34,13 +34,13 @@
 		At:       lost.Theirs.At,
 	}
 	if base, ok := c.base(lost.Expected); ok {
-		told.Yours = differencesOf(config.Diff(base, lost.Mine))
-		told.Theirs = differencesOf(config.Diff(base, lost.Theirs))
+		report.Yours = differencesOf(config.Diff(base, lost.Mine))
+		report.Theirs = differencesOf(config.Diff(base, lost.Theirs))
 	}
 	if c.flags.nodes.json {
-		return writeJSON(c.cmd.OutOrStdout(), told)
+		return writeJSON(c.cmd.OutOrStdout(), report)
 	}
-	return c.printRace(told)
+	return c.printRace(report)
 }
 
 // base returns the Set that both sides were made from, if it is still stored.
@@ -56,17 +56,17 @@
 	return set, err == nil
 }
 
-func (c *change) printRace(told race) error {
+func (c *change) printRace(report race) error {
 	out := &printer{w: c.cmd.OutOrStdout()}
-	if told.Yours != nil {
-		out.printf("yours, made from version %d:\n", told.Expected)
-		printSide(out, told.Yours)
-		out.printf("theirs, version %d by %s, %s, comment %q:\n", told.Stored, dash(told.Author), told.At.UTC().Format(time.RFC3339), told.Comment)
-		printSide(out, told.Theirs)
+	if report.Yours != nil {
+		out.printf("yours, made from version %d:\n", report.Expected)
+		printSide(out, report.Yours)
+		out.printf("theirs, version %d by %s, %s, comment %q:\n", report.Stored, dash(report.Author), report.At.UTC().Format(time.RFC3339), report.Comment)
+		printSide(out, report.Theirs)
 	}
 	out.printf("from theirs to yours:\n")
-	printSide(out, told.Between)
-	out.printf("nothing was changed; to replace theirs, repeat the command with --expect %d\n", told.Stored)
+	printSide(out, report.Between)
+	out.printf("nothing was changed; to replace theirs, repeat the command with --expect %d\n", report.Stored)
 	return out.result()
 }
 
--- a/cmd/pollengauge/internal/cli/status.go
+++ b/cmd/pollengauge/internal/cli/status.go
@@ -47,8 +47,8 @@
 				return err
 			}
 			states, err := collectStates(cmd.Context(), addresses, flags.timeout)
-			if told := printStates(cmd, states, flags.json); told != nil {
-				return told
+			if printErr := printStates(cmd, states, flags.json); printErr != nil {
+				return printErr
 			}
 			return err
 		},
--- a/cmd/pollengauge/internal/upstream/upstream.go
+++ b/cmd/pollengauge/internal/upstream/upstream.go
@@ -107,7 +107,8 @@
 }
 
 // crash simulates a crash: it breaks all connections, and listens again after
-// crashDowntime. Of several requests that crash the same incarnation, only the first has an effect.
+// crashDowntime. Of several requests that crash the same incarnation, only the first
+// has an effect.
 func (u *Upstream) crash() {
 	u.mu.Lock()
 	server := u.server
