--- a/cmd/pollengauge/internal/cli/drain.go
+++ b/cmd/pollengauge/internal/cli/drain.go
@@ -28,8 +28,8 @@
 	Address  string `json:"address"`
 	Draining bool   `json:"draining"`
 	InFlight int    `json:"inFlight"`
-	// Gone is true if the process has exited, as requested by --exit.
-	Gone   bool   `json:"gone"`
+	// Exited is true if the process has exited, as requested by --exit.
+	Exited bool   `json:"gone"`
 	TookMs int64  `json:"tookMs"`
 	Error  string `json:"error,omitempty"`
 }
@@ -102,7 +102,7 @@
 	}
 	state.Draining, state.InFlight = answer.Draining, answer.InFlight
 	if d.wait > 0 {
-		err = d.await(ctx, client, &state)
+		err = d.awaitDrained(ctx, client, &state)
 	}
 	state.TookMs = time.Since(start).Milliseconds()
 	if err != nil {
@@ -111,9 +111,9 @@
 	return state, err
 }
 
-// await polls the node until its last call has ended or, with --exit, until its
+// awaitDrained polls the node until its last call has ended or, with --exit, until its
 // process no longer responds.
-func (d *drainCommand) await(ctx context.Context, client *nodeClient, state *drainState) error {
+func (d *drainCommand) awaitDrained(ctx context.Context, client *nodeClient, state *drainState) error {
 	ctx, cancel := context.WithTimeout(ctx, d.wait)
 	defer cancel()
 	tick := time.NewTicker(drainPollInterval)
@@ -125,7 +125,7 @@
 			state.InFlight = status.InFlight + status.Queue
 		case d.exit && ctx.Err() == nil && as[*NodeError](err) && !errors.Is(err, context.DeadlineExceeded):
 			state.InFlight = 0
-			state.Gone = true
+			state.Exited = true
 			return nil
 		}
 		if err == nil && !d.exit && state.InFlight == 0 {
@@ -148,7 +148,7 @@
 		took := (time.Duration(s.TookMs) * time.Millisecond).String()
 		switch {
 		case s.Error != "":
-		case s.Gone:
+		case s.Exited:
 			out.printf("%s: ended after %s\n", s.Address, took)
 		case !s.Draining:
 			out.printf("%s: in service\n", s.Address)
--- a/cmd/pollengauge/internal/cli/errors.go
+++ b/cmd/pollengauge/internal/cli/errors.go
@@ -68,9 +68,9 @@
 
 func (*NodeError) exitCode() ExitCode { return ExitUnavailable }
 
-// AnswerError means that a node's address returned an error status, or a response
+// ResponseError means that a node's address returned an error status, or a response
 // that is not that of an admin API.
-type AnswerError struct {
+type ResponseError struct {
 	Node   string
 	Status int
 	// Detail is the error text of the response, "" if it had none.
@@ -78,7 +78,7 @@
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string {
+func (e *ResponseError) Error() string {
 	text := "node " + e.Node + " answered with status " + strconv.Itoa(e.Status)
 	if e.Detail != "" {
 		text += ": " + e.Detail
@@ -86,7 +86,7 @@
 	return text
 }
 
-func (*AnswerError) exitCode() ExitCode { return ExitFailed }
+func (*ResponseError) exitCode() ExitCode { return ExitFailed }
 
 // UnreachableError means that the requests to some of the nodes failed.
 type UnreachableError struct{ Failures []error }
--- a/cmd/pollengauge/internal/cli/fates.go
+++ b/cmd/pollengauge/internal/cli/fates.go
@@ -84,7 +84,7 @@
 // does not record when it was made.
 func sinceOf(f fate) string {
 	if f.Since.IsZero() {
-		return dash("")
+		return orDash("")
 	}
 	return f.Since.UTC().Format(time.RFC3339)
 }
@@ -96,7 +96,7 @@
 	rows := [][]string{{"KEY", "STATE", "REASON", "PROFILE", "REQUEST", "SINCE", "EXPIRES", "ADMIN", "HOME"}}
 	for _, f := range fates {
 		rows = append(rows, []string{
-			f.Key, f.State, dash(f.Reason), dash(f.Profile), dash(f.Request),
+			f.Key, f.State, orDash(f.Reason), orDash(f.Profile), orDash(f.Request),
 			sinceOf(f), f.Expires.UTC().Format(time.RFC3339),
 			f.Address, f.Home,
 		})
--- a/cmd/pollengauge/internal/cli/history.go
+++ b/cmd/pollengauge/internal/cli/history.go
@@ -60,10 +60,10 @@
 		rows = append(rows, []string{
 			strconv.FormatUint(e.Version, 10),
 			e.At.UTC().Format(time.RFC3339),
-			dash(e.Author),
+			orDash(e.Author),
 			yesNo(e.Kept),
 			e.ChangeID,
-			dash(e.Comment),
+			orDash(e.Comment),
 		})
 	}
 	out := &printer{w: cmd.OutOrStdout()}
--- a/cmd/pollengauge/internal/cli/hops.go
+++ b/cmd/pollengauge/internal/cli/hops.go
@@ -120,7 +120,7 @@
 			h.At.UTC().Format("15:04:05.000"),
 			h.RequestID, string(h.Kind), h.Service, h.Profile,
 			h.Level.String(), h.AdmitLevel.String(),
-			string(h.Decision), h.Outcome.String(), dash(string(h.Reason)),
+			string(h.Decision), h.Outcome.String(), orDash(string(h.Reason)),
 			h.Waited.Round(time.Microsecond).String(),
 			h.Took.Round(time.Microsecond).String(),
 			strconv.Itoa(h.Status),
--- a/cmd/pollengauge/internal/cli/nodes.go
+++ b/cmd/pollengauge/internal/cli/nodes.go
@@ -77,7 +77,7 @@
 }
 
 // callNode sends one request to a node's admin API and decodes its JSON response. A
-// failure is a *NodeError or an *AnswerError.
+// failure is a *NodeError or a *ResponseError.
 func callNode[T any](ctx context.Context, c *nodeClient, method, address, path string, query url.Values, body any) (T, error) {
 	var zero T
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -88,7 +88,7 @@
 	if err == nil {
 		return answer.(T), nil
 	}
-	if refused := (*AnswerError)(nil); errors.As(err, &refused) {
+	if refused := (*ResponseError)(nil); errors.As(err, &refused) {
 		return zero, refused
 	}
 	return zero, &NodeError{Node: address, Cause: err}
@@ -106,11 +106,11 @@
 	if resp.StatusCode != http.StatusOK {
 		var failed node.AdminError
 		_ = json.NewDecoder(body).Decode(&failed) // the status is enough if there is no error text
-		return nil, &AnswerError{Node: address, Status: resp.StatusCode, Detail: failed.Error}
+		return nil, &ResponseError{Node: address, Status: resp.StatusCode, Detail: failed.Error}
 	}
 	var value T
 	if err := json.NewDecoder(body).Decode(&value); err != nil {
-		return nil, &AnswerError{Node: address, Status: resp.StatusCode, Detail: "response is not the JSON of an admin API: " + err.Error()}
+		return nil, &ResponseError{Node: address, Status: resp.StatusCode, Detail: "response is not the JSON of an admin API: " + err.Error()}
 	}
 	return value, nil
 }
--- a/cmd/pollengauge/internal/cli/output.go
+++ b/cmd/pollengauge/internal/cli/output.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// dash returns s, or "-" for an empty table cell.
-func dash(s string) string {
+// orDash returns s, or "-" for an empty table cell.
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/cmd/pollengauge/internal/cli/quarantine.go
+++ b/cmd/pollengauge/internal/cli/quarantine.go
@@ -45,8 +45,8 @@
 			if err != nil {
 				return err
 			}
-			held, err := collectQuarantined(cmd, flags, addresses, suspects)
-			if printErr := printQuarantined(cmd, held, flags.json); printErr != nil {
+			requests, err := collectQuarantined(cmd, flags, addresses, suspects)
+			if printErr := printQuarantined(cmd, requests, flags.json); printErr != nil {
 				return printErr
 			}
 			return err
@@ -67,32 +67,32 @@
 		answer, err := client.quarantine(cmd.Context(), address, suspects)
 		return answer.Requests, err
 	}))
-	held := slices.Concat(lists...)
-	slices.SortStableFunc(held, func(a, b node.HeldView) int {
+	requests := slices.Concat(lists...)
+	slices.SortStableFunc(requests, func(a, b node.HeldView) int {
 		return cmp.Or(
 			cmp.Compare(b.Ends, a.Ends), cmp.Compare(a.Fingerprint, b.Fingerprint),
 			cmp.Compare(b.Request, a.Request), a.Since.Compare(b.Since),
 		)
 	})
-	seen := make(map[string]bool, len(held))
-	held = slices.DeleteFunc(held, func(h node.HeldView) bool {
+	seen := make(map[string]bool, len(requests))
+	requests = slices.DeleteFunc(requests, func(h node.HeldView) bool {
 		known := seen[h.Fingerprint]
 		seen[h.Fingerprint] = true
 		return known
 	})
-	return held, err
+	return requests, err
 }
 
-func printQuarantined(cmd *cobra.Command, held []node.HeldView, asJSON bool) error {
+func printQuarantined(cmd *cobra.Command, requests []node.HeldView, asJSON bool) error {
 	if asJSON {
-		return writeJSON(cmd.OutOrStdout(), append([]node.HeldView{}, held...))
+		return writeJSON(cmd.OutOrStdout(), append([]node.HeldView{}, requests...))
 	}
 	rows := [][]string{{"FINGERPRINT", "ENDS", "SINCE", "TRIAL IN", "REQUEST"}}
-	for _, h := range held {
+	for _, h := range requests {
 		left := time.Duration(h.TrialInMs) * time.Millisecond
 		rows = append(rows, []string{
 			h.Fingerprint, strconv.Itoa(h.Ends), h.Since.UTC().Format(time.RFC3339),
-			left.Round(time.Second).String(), dash(h.Request),
+			left.Round(time.Second).String(), orDash(h.Request),
 		})
 	}
 	out := &printer{w: cmd.OutOrStdout()}
--- a/cmd/pollengauge/internal/cli/race.go
+++ b/cmd/pollengauge/internal/cli/race.go
@@ -61,7 +61,7 @@
 	if report.Yours != nil {
 		out.printf("yours, made from version %d:\n", report.Expected)
 		printSide(out, report.Yours)
-		out.printf("theirs, version %d by %s, %s, comment %q:\n", report.Stored, dash(report.Author), report.At.UTC().Format(time.RFC3339), report.Comment)
+		out.printf("theirs, version %d by %s, %s, comment %q:\n", report.Stored, orDash(report.Author), report.At.UTC().Format(time.RFC3339), report.Comment)
 		printSide(out, report.Theirs)
 	}
 	out.printf("from theirs to yours:\n")
--- a/cmd/pollengauge/internal/cli/top.go
+++ b/cmd/pollengauge/internal/cli/top.go
@@ -90,13 +90,13 @@
 		}
 		return failed
 	}
-	return t.live(cmd, client, addresses, out)
+	return t.runLive(cmd, client, addresses, out)
 }
 
-// live writes screens until the command is interrupted. A node that returns no
+// runLive writes screens until the command is interrupted. A node that returns no
 // status does not stop it: the screen names the node, and the next screen queries it
 // again.
-func (t *topScreen) live(cmd *cobra.Command, client *nodeClient, addresses []string, out *printer) error {
+func (t *topScreen) runLive(cmd *cobra.Command, client *nodeClient, addresses []string, out *printer) error {
 	ctx := cmd.Context()
 	tick := time.NewTicker(t.interval)
 	defer tick.Stop()
