--- a/cmd/pollengauge/internal/cli/fates.go
+++ b/cmd/pollengauge/internal/cli/fates.go
@@ -80,7 +80,7 @@
 	return fates, err
 }
 
-// sinceOf formats the time since when the fate holds. It is "-" for a claim, which
+// sinceOf formats the time since which the fate holds. It is "-" for a claim, which
 // does not record when it was made.
 func sinceOf(f fate) string {
 	if f.Since.IsZero() {
