--- a/cmd/pollengauge/internal/cli/await.go
+++ b/cmd/pollengauge/internal/cli/await.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// nodeForce tells whether a node has a change in force.
-type nodeForce struct {
+// nodeInForce reports whether a node has a change in force.
+type nodeInForce struct {
 	Node    string `json:"node"`
 	InForce bool   `json:"inForce"`
-	// Version is the one in force, 0 if the node can't be asked.
+	// Version is the version in force, 0 if the node could not be queried.
 	Version uint64 `json:"version"`
-	// TookMs counts from the moment the change was known to be stored.
+	// TookMs is the time since the change was confirmed as stored.
 	TookMs int64  `json:"tookMs"`
 	Error  string `json:"error,omitempty"`
 }
 
-// String returns the line that operators see.
-func (n nodeForce) String() string {
+// String returns the line printed for operators.
+func (n nodeInForce) String() string {
 	took := (time.Duration(n.TookMs) * time.Millisecond).String()
 	switch {
 	case n.InForce:
@@ -29,35 +29,37 @@
 	return n.Node + ": still on version " + strconv.FormatUint(n.Version, 10) + " after " + took
 }
 
-// forcePoll is how often a node is asked whether the change is in force.
-const forcePoll = 25 * time.Millisecond
+// inForcePollInterval is the interval between two queries of a node for the version
+// in force.
+const inForcePollInterval = 25 * time.Millisecond
 
-// await asks the nodes until version is in force on each or the wait is over.
-func (c *change) await(version uint64) ([]nodeForce, error) {
+// awaitInForce polls all nodes at once until each has version in force or --wait
+// has passed. It returns each node's last state.
+func (c *change) awaitInForce(version uint64) ([]nodeInForce, error) {
 	if c.flags.wait == 0 || len(c.addresses) == 0 {
-		return []nodeForce{}, nil
+		return []nodeInForce{}, nil
 	}
 	ctx, cancel := context.WithTimeout(c.cmd.Context(), c.flags.wait)
 	defer cancel()
 	client := newNodeClient(c.flags.nodes.timeout)
 	defer client.close()
 	start := time.Now()
-	replies := askAll(c.addresses, func(address string) (nodeForce, error) {
+	replies := queryAll(c.addresses, func(address string) (nodeInForce, error) {
 		return awaitNode(ctx, client, address, version, start)
 	})
-	states := make([]nodeForce, len(replies))
+	states := make([]nodeInForce, len(replies))
 	for i, r := range replies {
 		states[i] = r.value
 	}
-	return states, c.notInForce(version, replies)
+	return states, c.inForceError(version, replies)
 }
 
-// awaitNode asks one node until it has version in force. A node that can't be
-// reached is asked again, as it may be restarting.
-func awaitNode(ctx context.Context, client *nodeClient, address string, version uint64, start time.Time) (nodeForce, error) {
-	tick := time.NewTicker(forcePoll)
+// awaitNode polls one node until it has version in force or ctx ends. It retries
+// an unreachable node, which may be restarting.
+func awaitNode(ctx context.Context, client *nodeClient, address string, version uint64, start time.Time) (nodeInForce, error) {
+	tick := time.NewTicker(inForcePollInterval)
 	defer tick.Stop()
-	state := nodeForce{Node: address}
+	state := nodeInForce{Node: address}
 	var failure error
 	for {
 		answer, err := client.config(ctx, address)
@@ -84,7 +86,9 @@
 	}
 }
 
-func (c *change) notInForce(version uint64, replies []reply[nodeForce]) error {
+// inForceError returns an error that names the nodes that could not be queried and
+// those still on an older version, or nil if every node has version in force.
+func (c *change) inForceError(version uint64, replies []reply[nodeInForce]) error {
 	var late []string
 	var failures []error
 	for _, r := range replies {
--- a/cmd/pollengauge/internal/cli/bench_experiment.go
+++ b/cmd/pollengauge/internal/cli/bench_experiment.go
@@ -16,7 +16,7 @@
 	"pollengauge.dev/bench/experiment/workload"
 )
 
-// Files in the directory of an experiment's results.
+// Names of the files in the results directory of an experiment.
 const (
 	playsFile   = "plays.jsonl"
 	resultsFile = "results.json"
@@ -28,8 +28,7 @@
 	maxSeeds     = 10_000
 )
 
-// experimentCommand is what the flags of one run of "bench experiment" are bound
-// to.
+// experimentCommand holds the flag values of one run of "bench experiment".
 type experimentCommand struct {
 	seeds    int
 	parallel int
@@ -92,14 +91,14 @@
 	}
 	data, err := readFile(cmd.InOrStdin(), file)
 	if err == nil {
-		// A bad file must not leave a directory behind.
+		// Parse first, so that an invalid file leaves no results directory behind.
 		_, err = workload.Parse(data)
 	}
 	if err != nil {
 		return experiment.Config{}, &FileError{File: file, Cause: err}
 	}
 	if c.out == "" {
-		c.out = resultsOf(file)
+		c.out = resultsDirOf(file)
 	}
 	const dirMode = 0o755
 	if err := os.MkdirAll(c.out, dirMode); err != nil {
@@ -114,8 +113,8 @@
 	}, nil
 }
 
-// resultsOf is the directory for the results of a file.
-func resultsOf(file string) string {
+// resultsDirOf returns the default results directory for a workload file.
+func resultsDirOf(file string) string {
 	name := filepath.Base(file)
 	if file == stdinName {
 		name = "stdin"
@@ -123,7 +122,7 @@
 	return strings.TrimSuffix(name, filepath.Ext(name)) + ".results"
 }
 
-// write keeps the results as files and prints them.
+// write stores the results as files and prints them.
 func (c *experimentCommand) write(cmd *cobra.Command, report *experiment.Report) error {
 	if err := writeTo(filepath.Join(c.out, resultsFile), func(w io.Writer) error { return writeJSON(w, report) }); err != nil {
 		return err
@@ -140,15 +139,16 @@
 	return out.result()
 }
 
-// writeTo replaces a file.
+// writeTo creates or truncates a file and writes its content. A failure is an
+// *OutputError.
 func writeTo(path string, write func(io.Writer) error) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return &OutputError{Cause: err}
 	}
 	err = write(f)
-	if closed := f.Close(); err == nil && closed != nil {
-		err = closed
+	if closeErr := f.Close(); err == nil && closeErr != nil {
+		err = closeErr
 	}
 	if err != nil {
 		return &OutputError{Cause: err}
@@ -156,7 +156,8 @@
 	return nil
 }
 
-// experimentError tells a run that can't be made as asked from one that failed.
+// experimentError returns a *FileError if the workload file is invalid and a
+// *BenchmarkError if the run failed.
 func experimentError(file string, err error) error {
 	if refused := (*workload.Error)(nil); errors.As(err, &refused) {
 		return &FileError{File: file, Cause: refused}
@@ -164,18 +165,18 @@
 	return &BenchmarkError{Cause: err}
 }
 
-// progress shows how far an experiment is: on a terminal in one line that
-// changes, elsewhere a line for each play.
+// progress prints the progress of an experiment: on a terminal as one line that
+// is overwritten, elsewhere as one line per play.
 type progress struct {
-	w        io.Writer
-	terminal bool
-	began    time.Time
-	// before counts the plays of earlier runs.
-	before int
+	w         io.Writer
+	terminal  bool
+	startedAt time.Time
+	// earlierPlays is the number of plays that earlier runs have completed.
+	earlierPlays int
 }
 
 func newProgress(w io.Writer) *progress {
-	return &progress{w: w, terminal: isTerminal(w), began: time.Now()}
+	return &progress{w: w, terminal: isTerminal(w), startedAt: time.Now()}
 }
 
 func isTerminal(w io.Writer) bool {
@@ -189,7 +190,7 @@
 
 func (p *progress) show(now experiment.Progress) {
 	if now.Last.Variant == "" {
-		p.before = now.Done
+		p.earlierPlays = now.Done
 		if now.Done > 0 {
 			p.line(strconv.Itoa(now.Done)+" of "+strconv.Itoa(now.Total)+" plays were done before", true)
 		}
@@ -203,19 +204,20 @@
 	text := strconv.Itoa(now.Done) + " of " + strconv.Itoa(now.Total) + " plays, " + last.Variant +
 		" seed " + strconv.FormatUint(last.Seed, 10) + " took " + last.Took.Round(time.Millisecond).String()
 	if left := now.Total - now.Done; left > 0 {
-		each := time.Since(p.began) / time.Duration(now.Done-p.before)
+		each := time.Since(p.startedAt) / time.Duration(now.Done-p.earlierPlays)
 		text += ", about " + (each * time.Duration(left)).Round(time.Second).String() + " left"
 	}
 	return text
 }
 
-// line shows a text. On a terminal the next one takes its place, unless it stays.
-func (p *progress) line(text string, stays bool) {
+// line writes one line of progress. On a terminal the next line overwrites it
+// unless permanent is set.
+func (p *progress) line(text string, permanent bool) {
 	if p.terminal {
 		const clearLine = "\r\x1b[K"
 		text = clearLine + text
 	}
-	if stays || !p.terminal {
+	if permanent || !p.terminal {
 		text += "\n"
 	}
 	_, _ = io.WriteString(p.w, text)
--- a/cmd/pollengauge/internal/cli/drain.go
+++ b/cmd/pollengauge/internal/cli/drain.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	defaultDrainWait = 30 * time.Second
-	drainPoll        = 50 * time.Millisecond
+	defaultDrainWait  = 30 * time.Second
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// drainer is one run of drain.
-type drainer struct {
+// drainCommand holds the flag values of one run of drain.
+type drainCommand struct {
 	nodes  nodesFlags
 	cancel bool
 	exit   bool
 	wait   time.Duration
 }
 
-// drained is the JSON for one node.
-type drained struct {
+// drainState is the state of one node after a drain command, and its JSON.
+type drainState struct {
 	Address  string `json:"address"`
 	Draining bool   `json:"draining"`
 	InFlight int    `json:"inFlight"`
-	// Gone: the process has ended, as --exit asked.
-	Gone   bool   `json:"gone"`
+	// Exited is true if the process has exited, as requested by --exit.
+	Exited bool   `json:"gone"`
 	TookMs int64  `json:"tookMs"`
 	Error  string `json:"error,omitempty"`
 }
 
 func newDrainCommand() *cobra.Command {
-	d := &drainer{}
+	d := &drainCommand{}
 	cmd := &cobra.Command{
 		Use:   "drain NODE...",
 		Short: "Take nodes out of service without cutting off a call",
@@ -60,7 +60,7 @@
 	return cmd
 }
 
-func (d *drainer) run(cmd *cobra.Command, addresses []string) error {
+func (d *drainCommand) run(cmd *cobra.Command, addresses []string) error {
 	for _, address := range addresses {
 		if err := checkAddress("NODE", address); err != nil {
 			return err
@@ -71,29 +71,30 @@
 	}
 	client := newNodeClient(d.nodes.timeout)
 	defer client.close()
-	replies := askAll(addresses, func(address string) (drained, error) { return d.drain(cmd.Context(), client, address) })
-	states := make([]drained, len(replies))
+	replies := queryAll(addresses, func(address string) (drainState, error) { return d.drain(cmd.Context(), client, address) })
+	states := make([]drainState, len(replies))
 	for i, r := range replies {
 		states[i] = r.value
 	}
 	_, _, err := split(replies)
-	if told := d.tell(cmd, states); told != nil {
-		return told
+	if printErr := d.print(cmd, states); printErr != nil {
+		return printErr
 	}
-	return single(err)
+	return unwrapSingle(err)
 }
 
-// single gives one failure its own exit code.
-func single(err error) error {
+// unwrapSingle returns the only failure of an *UnreachableError itself, so that its own
+// exit code applies. Other errors are returned unchanged.
+func unwrapSingle(err error) error {
 	if several, ok := err.(*UnreachableError); ok && len(several.Failures) == 1 {
 		return several.Failures[0]
 	}
 	return err
 }
 
-func (d *drainer) drain(ctx context.Context, client *nodeClient, address string) (drained, error) {
+func (d *drainCommand) drain(ctx context.Context, client *nodeClient, address string) (drainState, error) {
 	start := time.Now()
-	state := drained{Address: address}
+	state := drainState{Address: address}
 	answer, err := client.drain(ctx, address, node.DrainRequest{Draining: !d.cancel, Exit: d.exit})
 	if err != nil {
 		state.Error = err.Error()
@@ -101,7 +102,7 @@
 	}
 	state.Draining, state.InFlight = answer.Draining, answer.InFlight
 	if d.wait > 0 {
-		err = d.await(ctx, client, &state)
+		err = d.awaitDrained(ctx, client, &state)
 	}
 	state.TookMs = time.Since(start).Milliseconds()
 	if err != nil {
@@ -110,12 +111,12 @@
 	return state, err
 }
 
-// await looks until the last call has ended and, with --exit, the process no
-// longer answers.
-func (d *drainer) await(ctx context.Context, client *nodeClient, state *drained) error {
+// awaitDrained polls the node until its last call has ended or, with --exit, until its
+// process no longer responds.
+func (d *drainCommand) awaitDrained(ctx context.Context, client *nodeClient, state *drainState) error {
 	ctx, cancel := context.WithTimeout(ctx, d.wait)
 	defer cancel()
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for {
 		status, err := client.status(ctx, state.Address)
@@ -124,7 +125,7 @@
 			state.InFlight = status.InFlight + status.Queue
 		case d.exit && ctx.Err() == nil && as[*NodeError](err) && !errors.Is(err, context.DeadlineExceeded):
 			state.InFlight = 0
-			state.Gone = true
+			state.Exited = true
 			return nil
 		}
 		if err == nil && !d.exit && state.InFlight == 0 {
@@ -138,7 +139,7 @@
 	}
 }
 
-func (d *drainer) tell(cmd *cobra.Command, states []drained) error {
+func (d *drainCommand) print(cmd *cobra.Command, states []drainState) error {
 	if d.nodes.json {
 		return writeJSON(cmd.OutOrStdout(), states)
 	}
@@ -147,7 +148,7 @@
 		took := (time.Duration(s.TookMs) * time.Millisecond).String()
 		switch {
 		case s.Error != "":
-		case s.Gone:
+		case s.Exited:
 			out.printf("%s: ended after %s\n", s.Address, took)
 		case !s.Draining:
 			out.printf("%s: in service\n", s.Address)
@@ -163,7 +164,7 @@
 	cmd := &cobra.Command{
 		Use:   "key NODE",
 		Short: "Mint an idempotency key",
-		Long: `Mint an idempotency key whose home is the node with this admin address. A
+		Long: `Mint an idempotency key that is owned by the node with this admin address. A
 caller sends it as Idempotency-Key; whichever node gets it, the call runs at
 most once. Callers mint their own at the edge: POST /.well-known/pollengauge/key.`,
 		Example: `  curl -X POST -H "Idempotency-Key: $(pollengauge key 127.0.0.1:8104)" http://127.0.0.1:8100/filings`,
--- a/cmd/pollengauge/internal/cli/fates.go
+++ b/cmd/pollengauge/internal/cli/fates.go
@@ -10,9 +10,9 @@
 	"pollengauge.dev/node"
 )
 
-// fate is one key's fate and the node that told it.
+// fate is the fate of one idempotency key and the node that reported it.
 type fate struct {
-	// Address is the admin listener of the node that holds the key.
+	// Address is the admin listener of the node that reported the fate.
 	Address string `json:"address"`
 	node.FateView
 }
@@ -47,8 +47,8 @@
 				return runClaims(cmd, flags, addresses)
 			}
 			fates, err := collectFates(cmd, flags, addresses, query)
-			if told := printFates(cmd, fates, flags.json); told != nil {
-				return told
+			if printErr := printFates(cmd, fates, flags.json); printErr != nil {
+				return printErr
 			}
 			return err
 		},
@@ -65,7 +65,7 @@
 func collectFates(cmd *cobra.Command, flags *nodesFlags, addresses []string, query map[string]string) ([]fate, error) {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
-	lists, _, err := split(askAll(addresses, func(address string) ([]fate, error) {
+	lists, _, err := split(queryAll(addresses, func(address string) ([]fate, error) {
 		answer, err := client.fates(cmd.Context(), address, queryOf(query))
 		fates := make([]fate, len(answer.Fates))
 		for i, view := range answer.Fates {
@@ -80,10 +80,11 @@
 	return fates, err
 }
 
-// sinceOf is empty for a claim, which does not say when it was made.
+// sinceOf formats the time since which the fate holds. It is "-" for a claim, which
+// does not record when it was made.
 func sinceOf(f fate) string {
 	if f.Since.IsZero() {
-		return dash("")
+		return orDash("")
 	}
 	return f.Since.UTC().Format(time.RFC3339)
 }
@@ -95,7 +96,7 @@
 	rows := [][]string{{"KEY", "STATE", "REASON", "PROFILE", "REQUEST", "SINCE", "EXPIRES", "ADMIN", "HOME"}}
 	for _, f := range fates {
 		rows = append(rows, []string{
-			f.Key, f.State, dash(f.Reason), dash(f.Profile), dash(f.Request),
+			f.Key, f.State, orDash(f.Reason), orDash(f.Profile), orDash(f.Request),
 			sinceOf(f), f.Expires.UTC().Format(time.RFC3339),
 			f.Address, f.Home,
 		})
--- a/cmd/pollengauge/internal/cli/file.go
+++ b/cmd/pollengauge/internal/cli/file.go
@@ -13,9 +13,9 @@
 // stdinName is the file name that stands for standard input.
 const stdinName = "-"
 
-// maxFile bounds what is read of a file: YAML with comments takes more room
-// than the encoded Set.
-const maxFile = 4 * config.MaxEncoded
+// maxFileBytes is the largest file accepted, in bytes. It is a multiple of the limit of
+// an encoded Set because YAML with comments takes more space.
+const maxFileBytes = 4 * config.MaxEncoded
 
 func bindFile(cmd *cobra.Command, file *string) {
 	cmd.Flags().StringVarP(file, "file", "f", "", "profile set as YAML or, by the name *.json, as JSON; - reads YAML or JSON from stdin")
@@ -48,14 +48,15 @@
 }
 
 func readBounded(r io.Reader) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(r, maxFile+1))
-	if err == nil && len(data) > maxFile {
+	data, err := io.ReadAll(io.LimitReader(r, maxFileBytes+1))
+	if err == nil && len(data) > maxFileBytes {
 		err = &config.EncodingError{Want: "at most 1 MiB"}
 	}
 	return data, err
 }
 
-// formatOf goes by the name. YAML is taken for stdin, as it contains JSON.
+// formatOf returns JSON for names that end in .json and YAML for all others,
+// including stdin: YAML is a superset of JSON.
 func formatOf(file string) config.Format {
 	if filepath.Ext(file) == ".json" {
 		return config.JSON
--- a/cmd/pollengauge/internal/cli/history.go
+++ b/cmd/pollengauge/internal/cli/history.go
@@ -10,10 +10,11 @@
 	"pollengauge.dev/config"
 )
 
-// historyEntry is the JSON of one change.
+// historyEntry is one change of the configuration, and its JSON.
 type historyEntry struct {
 	config.Change
-	// Kept tells whether get and rollback can still take the version.
+	// Kept reports whether the version is still stored, so that get and rollback can
+	// use it.
 	Kept bool `json:"kept"`
 }
 
@@ -59,10 +60,10 @@
 		rows = append(rows, []string{
 			strconv.FormatUint(e.Version, 10),
 			e.At.UTC().Format(time.RFC3339),
-			dash(e.Author),
+			orDash(e.Author),
 			yesNo(e.Kept),
 			e.ChangeID,
-			dash(e.Comment),
+			orDash(e.Comment),
 		})
 	}
 	out := &printer{w: cmd.OutOrStdout()}
--- a/cmd/pollengauge/internal/cli/hops.go
+++ b/cmd/pollengauge/internal/cli/hops.go
@@ -11,7 +11,7 @@
 	"pollengauge.dev/observe"
 )
 
-// hopsQuery filters recent hops.
+// hopsQuery holds the filters of the hops command.
 type hopsQuery struct {
 	profile, decision, outcome, reason, kind string
 	limit                                    int
@@ -61,15 +61,16 @@
 	return cmd
 }
 
-// The values that the filters of hops take.
+// The values that the filters of hops accept.
 var (
 	hopDecisions = []string{"admitted", "delayed", "refused", "replayed", "forwarded", "stale"}
 	hopOutcomes  = []string{"complete", "not-run", "unknown"}
 	hopKinds     = []string{"root", "inbound", "outbound", "attempt"}
 )
 
-// check refuses a value that no hop can have. Passed on, a slip of the pen
-// would look like a graph in which nothing was refused.
+// check rejects a value that no hop can have. Without the check, a typo such as
+// --decision refsued would return an empty list and look like a graph without
+// refusals.
 func (q *hopsQuery) check() error {
 	for _, filter := range []struct {
 		flag, value string
@@ -97,14 +98,14 @@
 		"kind":     q.kind,
 		"limit":    strconv.Itoa(q.limit),
 	})
-	found, err := gather("", askAll(addresses, func(address string) ([]observe.Hop, error) {
+	found, err := mergeHops("", queryAll(addresses, func(address string) ([]observe.Hop, error) {
 		answer, err := client.hops(cmd.Context(), address, query)
 		return answer.Hops, err
 	}))
 	slices.SortStableFunc(found.Hops, func(a, b observe.Hop) int { return b.At.Compare(a.At) })
 	found.Hops = found.Hops[:min(q.limit, len(found.Hops))]
-	if told := printHops(cmd, found, flags.json); told != nil {
-		return told
+	if printErr := printHops(cmd, found, flags.json); printErr != nil {
+		return printErr
 	}
 	return err
 }
@@ -119,7 +120,7 @@
 			h.At.UTC().Format("15:04:05.000"),
 			h.RequestID, string(h.Kind), h.Service, h.Profile,
 			h.Level.String(), h.AdmitLevel.String(),
-			string(h.Decision), h.Outcome.String(), dash(string(h.Reason)),
+			string(h.Decision), h.Outcome.String(), orDash(string(h.Reason)),
 			h.Waited.Round(time.Microsecond).String(),
 			h.Took.Round(time.Microsecond).String(),
 			strconv.Itoa(h.Status),
--- a/cmd/pollengauge/internal/cli/nodes.go
+++ b/cmd/pollengauge/internal/cli/nodes.go
@@ -16,11 +16,11 @@
 	"pollengauge.dev/observe"
 )
 
-// maxAdminAnswer bounds what is read of one answer. A thousand hops take
-// about half a megabyte.
-const maxAdminAnswer = 16 << 20
+// maxResponseBytes is the most bytes read of one response. A thousand hops take about
+// half a megabyte.
+const maxResponseBytes = 16 << 20
 
-// nodeClient asks the admin APIs of nodes.
+// nodeClient is a client of the nodes' admin APIs.
 type nodeClient struct {
 	http    *http.Client
 	timeout time.Duration
@@ -76,19 +76,19 @@
 	return callNode[node.KeyResponse](ctx, c, http.MethodPost, address, node.PathKey, nil, struct{}{})
 }
 
-// callNode makes one call of an admin API. A failure is a *NodeError or an
-// *AnswerError.
+// callNode sends one request to a node's admin API and decodes its JSON response. A
+// failure is a *NodeError or a *ResponseError.
 func callNode[T any](ctx context.Context, c *nodeClient, method, address, path string, query url.Values, body any) (T, error) {
 	var zero T
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	target := &url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}
-	decode := func(_ context.Context, resp *http.Response) (any, error) { return decodeAnswer[T](address, resp) }
+	decode := func(_ context.Context, resp *http.Response) (any, error) { return decodeResponse[T](address, resp) }
 	answer, err := kithttp.NewClient(method, target, encodeBody, decode, kithttp.SetClient(c.http)).Endpoint()(ctx, body)
 	if err == nil {
 		return answer.(T), nil
 	}
-	if refused := (*AnswerError)(nil); errors.As(err, &refused) {
+	if refused := (*ResponseError)(nil); errors.As(err, &refused) {
 		return zero, refused
 	}
 	return zero, &NodeError{Node: address, Cause: err}
@@ -101,40 +101,41 @@
 	return kithttp.EncodeJSONRequest(ctx, r, body)
 }
 
-func decodeAnswer[T any](address string, resp *http.Response) (any, error) {
-	body := io.LimitReader(resp.Body, maxAdminAnswer)
+func decodeResponse[T any](address string, resp *http.Response) (any, error) {
+	body := io.LimitReader(resp.Body, maxResponseBytes)
 	if resp.StatusCode != http.StatusOK {
 		var failed node.AdminError
-		_ = json.NewDecoder(body).Decode(&failed) // the status says enough
-		return nil, &AnswerError{Node: address, Status: resp.StatusCode, Detail: failed.Error}
+		_ = json.NewDecoder(body).Decode(&failed) // the status is enough if there is no error text
+		return nil, &ResponseError{Node: address, Status: resp.StatusCode, Detail: failed.Error}
 	}
 	var value T
 	if err := json.NewDecoder(body).Decode(&value); err != nil {
-		return nil, &AnswerError{Node: address, Status: resp.StatusCode, Detail: "not the JSON of an admin API: " + err.Error()}
+		return nil, &ResponseError{Node: address, Status: resp.StatusCode, Detail: "response is not the JSON of an admin API: " + err.Error()}
 	}
 	return value, nil
 }
 
-// maxAsked bounds the nodes that are asked at the same time.
-const maxAsked = 64
+// maxConcurrentQueries is the maximum number of concurrent requests to nodes.
+const maxConcurrentQueries = 64
 
-// reply is what one node answered.
+// reply is the result of querying one node.
 type reply[T any] struct {
 	node  string
 	value T
 	err   error
 }
 
-// askAll asks all nodes at once and returns the replies in their order.
-func askAll[T any](addresses []string, ask func(address string) (T, error)) []reply[T] {
+// queryAll queries the nodes concurrently, at most maxConcurrentQueries at a time,
+// and returns their replies in the order of addresses.
+func queryAll[T any](addresses []string, query func(address string) (T, error)) []reply[T] {
 	replies := make([]reply[T], len(addresses))
-	room := make(chan struct{}, maxAsked)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	var group sync.WaitGroup
 	for i, address := range addresses {
-		room <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-room }()
-			value, err := ask(address)
+			defer func() { <-slots }()
+			value, err := query(address)
 			replies[i] = reply[T]{node: address, value: value, err: err}
 		})
 	}
@@ -142,7 +143,8 @@
 	return replies
 }
 
-// split separates the values from the nodes that gave none.
+// split separates the values from the nodes that failed. If any failed, err is an
+// *UnreachableError with all failures.
 func split[T any](replies []reply[T]) (values []T, unreachable []string, err error) {
 	var failures []error
 	for _, r := range replies {
--- a/cmd/pollengauge/internal/cli/quarantine.go
+++ b/cmd/pollengauge/internal/cli/quarantine.go
@@ -15,9 +15,9 @@
 func newQuarantineCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "quarantine",
-		Short: "List and clear requests under which upstreams end",
-		Long: `List and clear the requests that are held back because upstreams ended in turn
-while they ran them. A fingerprint stands for a request's method, host, path,
+		Short: "List and clear requests that crash upstreams",
+		Long: `List and clear the requests that are held back because one upstream after another
+crashed while running them. A fingerprint stands for a request's method, host, path,
 query, caller and body. How to go about it is in docs/OPERATIONS.md.`,
 		Example: `  pollengauge quarantine list
   pollengauge quarantine clear 9c1e03a77d2b5f10`,
@@ -35,7 +35,8 @@
 		Use:   "list",
 		Short: "List the requests that are held back",
 		Long: `List the requests that are held back, as the nodes know them, each once: those
-with most ends first. REQUEST is told by nodes whose own upstream ended.`,
+with the most crashes (ENDS) first. REQUEST is known to nodes whose own upstream
+crashed.`,
 		Example: `  pollengauge quarantine list
   pollengauge quarantine list --suspects --json`,
 		Args: cobra.NoArgs,
@@ -44,53 +45,54 @@
 			if err != nil {
 				return err
 			}
-			held, err := collectHeld(cmd, flags, addresses, suspects)
-			if told := printHeld(cmd, held, flags.json); told != nil {
-				return told
+			requests, err := collectQuarantined(cmd, flags, addresses, suspects)
+			if printErr := printQuarantined(cmd, requests, flags.json); printErr != nil {
+				return printErr
 			}
 			return err
 		},
 	}
 	flags.bind(cmd)
 	flags.bindJSON(cmd)
-	cmd.Flags().BoolVar(&suspects, "suspects", false, "list the requests as well under which one upstream has ended")
+	cmd.Flags().BoolVar(&suspects, "suspects", false, "also list the requests that have crashed only one upstream")
 	return cmd
 }
 
-// collectHeld asks all nodes and keeps what the best informed one says of each request.
-func collectHeld(cmd *cobra.Command, flags *nodesFlags, addresses []string, suspects bool) ([]node.HeldView, error) {
+// collectQuarantined queries all nodes and returns one view of each quarantined request:
+// the one with the most crashes, and among those one that names the request.
+func collectQuarantined(cmd *cobra.Command, flags *nodesFlags, addresses []string, suspects bool) ([]node.HeldView, error) {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
-	lists, _, err := split(askAll(addresses, func(address string) ([]node.HeldView, error) {
+	lists, _, err := split(queryAll(addresses, func(address string) ([]node.HeldView, error) {
 		answer, err := client.quarantine(cmd.Context(), address, suspects)
 		return answer.Requests, err
 	}))
-	held := slices.Concat(lists...)
-	slices.SortStableFunc(held, func(a, b node.HeldView) int {
+	requests := slices.Concat(lists...)
+	slices.SortStableFunc(requests, func(a, b node.HeldView) int {
 		return cmp.Or(
 			cmp.Compare(b.Ends, a.Ends), cmp.Compare(a.Fingerprint, b.Fingerprint),
 			cmp.Compare(b.Request, a.Request), a.Since.Compare(b.Since),
 		)
 	})
-	seen := make(map[string]bool, len(held))
-	held = slices.DeleteFunc(held, func(h node.HeldView) bool {
+	seen := make(map[string]bool, len(requests))
+	requests = slices.DeleteFunc(requests, func(h node.HeldView) bool {
 		known := seen[h.Fingerprint]
 		seen[h.Fingerprint] = true
 		return known
 	})
-	return held, err
+	return requests, err
 }
 
-func printHeld(cmd *cobra.Command, held []node.HeldView, asJSON bool) error {
+func printQuarantined(cmd *cobra.Command, requests []node.HeldView, asJSON bool) error {
 	if asJSON {
-		return writeJSON(cmd.OutOrStdout(), append([]node.HeldView{}, held...))
+		return writeJSON(cmd.OutOrStdout(), append([]node.HeldView{}, requests...))
 	}
 	rows := [][]string{{"FINGERPRINT", "ENDS", "SINCE", "TRIAL IN", "REQUEST"}}
-	for _, h := range held {
+	for _, h := range requests {
 		left := time.Duration(h.TrialInMs) * time.Millisecond
 		rows = append(rows, []string{
 			h.Fingerprint, strconv.Itoa(h.Ends), h.Since.UTC().Format(time.RFC3339),
-			left.Round(time.Second).String(), dash(h.Request),
+			left.Round(time.Second).String(), orDash(h.Request),
 		})
 	}
 	out := &printer{w: cmd.OutOrStdout()}
@@ -103,7 +105,7 @@
 	cmd := &cobra.Command{
 		Use:     "clear FINGERPRINT",
 		Short:   "Let a request run again that is held back",
-		Long:    `Let a request run again, at all upstreams: what they ended under is mended. The first of the nodes that knows the request tells the others.`,
+		Long:    `Let a request run again, at all upstreams. Use it after the fault that made them crash is fixed. The first of the nodes that knows the request notifies the others.`,
 		Example: `  pollengauge quarantine clear 9c1e03a77d2b5f10`,
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -114,15 +116,16 @@
 			if err != nil {
 				return err
 			}
-			return clearHeld(cmd, flags, addresses, args[0])
+			return clearQuarantined(cmd, flags, addresses, args[0])
 		},
 	}
 	flags.bind(cmd)
 	return cmd
 }
 
-// clearHeld asks the nodes in turn until one knows the request.
-func clearHeld(cmd *cobra.Command, flags *nodesFlags, addresses []string, fingerprint string) error {
+// clearQuarantined asks one node after another to clear the request until one of them
+// knows it.
+func clearQuarantined(cmd *cobra.Command, flags *nodesFlags, addresses []string, fingerprint string) error {
 	client := newNodeClient(flags.timeout)
 	defer client.close()
 	var failures []error
@@ -143,12 +146,13 @@
 	return &UnknownRequestError{Fingerprint: fingerprint}
 }
 
-// UnknownRequestError means that none of the nodes asked holds a request back.
+// UnknownRequestError means that none of the nodes queried has the request in
+// quarantine.
 type UnknownRequestError struct{ Fingerprint string }
 
 // Error implements error.
 func (e *UnknownRequestError) Error() string {
-	return "none of the nodes asked knows request " + e.Fingerprint
+	return "none of the nodes queried knows request " + e.Fingerprint
 }
 
 func (*UnknownRequestError) exitCode() ExitCode { return ExitNotFound }
--- a/cmd/pollengauge/internal/cli/status.go
+++ b/cmd/pollengauge/internal/cli/status.go
@@ -12,7 +12,7 @@
 	"pollengauge.dev/observe"
 )
 
-// nodeState is one row of status, and its JSON.
+// nodeState is the state of one node: a row of the status table, and its JSON.
 type nodeState struct {
 	Address string              `json:"address"`
 	Status  *observe.NodeStatus `json:"status"`
@@ -20,14 +20,14 @@
 	Error   string              `json:"error,omitempty"`
 }
 
-// configState tells which configuration a node has in force.
+// configState identifies the configuration that a node has in force.
 type configState struct {
 	Version  uint64 `json:"version"`
 	ChangeID string `json:"changeId"`
 	Hash     string `json:"hash"`
 	Source   string `json:"source"`
-	// Heard is false while the built-in default is in force because no
-	// stored set was ever heard of.
+	// Heard is false while the built-in default is in force because the node has
+	// never received a stored set.
 	Heard bool `json:"heard"`
 }
 
@@ -47,8 +47,8 @@
 				return err
 			}
 			states, err := collectStates(cmd.Context(), addresses, flags.timeout)
-			if told := printStates(cmd, states, flags.json); told != nil {
-				return told
+			if printErr := printStates(cmd, states, flags.json); printErr != nil {
+				return printErr
 			}
 			return err
 		},
@@ -61,7 +61,7 @@
 func collectStates(ctx context.Context, addresses []string, timeout time.Duration) ([]nodeState, error) {
 	client := newNodeClient(timeout)
 	defer client.close()
-	replies := askAll(addresses, func(address string) (nodeState, error) { return askState(ctx, client, address) })
+	replies := queryAll(addresses, func(address string) (nodeState, error) { return queryState(ctx, client, address) })
 	states := make([]nodeState, len(replies))
 	for i, r := range replies {
 		states[i] = r.value
@@ -70,7 +70,7 @@
 	return states, err
 }
 
-func askState(ctx context.Context, client *nodeClient, address string) (nodeState, error) {
+func queryState(ctx context.Context, client *nodeClient, address string) (nodeState, error) {
 	state := nodeState{Address: address}
 	status, err := client.status(ctx, address)
 	if err != nil {
@@ -110,8 +110,8 @@
 }
 
 const (
-	stateColumn = 4
-	shownHash   = 8
+	stateColumn      = 4
+	hashPrefixLength = 8
 )
 
 func stateRow(s nodeState) []string {
@@ -133,7 +133,7 @@
 		strconv.Itoa(n.Keys.Running),
 		strconv.Itoa(n.Keys.Unknown),
 		strconv.FormatUint(s.Config.Version, 10),
-		s.Config.Hash[:min(shownHash, len(s.Config.Hash))],
+		s.Config.Hash[:min(hashPrefixLength, len(s.Config.Hash))],
 		s.Config.Source,
 		n.Node,
 	}
--- a/cmd/pollengauge/internal/upstream/announce.go
+++ b/cmd/pollengauge/internal/upstream/announce.go
@@ -12,22 +12,23 @@
 	"pollengauge.dev/node"
 )
 
-// Announce announces the stand-in to its node until ctx is done. It goes on
-// for ever because the node may be restarted and then knows nothing. report
-// is told of the first failure of a row, and with nil when it has ended.
+// Announce announces the stand-in to its node at every Interval until ctx is done,
+// because a node that restarts loses earlier announcements. It calls report after
+// the first announcement and whenever success and failure alternate: with the first
+// error of a series, and with nil when announcements succeed.
 func (u *Upstream) Announce(ctx context.Context, report func(error)) {
 	tick := time.NewTicker(u.settings.Interval)
 	defer tick.Stop()
-	failing, begun := false, false
+	failing, reported := false, false
 	for {
 		err := u.announce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if !begun || failing != (err != nil) {
+		if !reported || failing != (err != nil) {
 			report(err)
 		}
-		failing, begun = err != nil, true
+		failing, reported = err != nil, true
 		select {
 		case <-ctx.Done():
 			return
@@ -38,7 +39,7 @@
 
 const (
 	announceTimeout = 2 * time.Second
-	maxDetail       = 4 << 10
+	maxDetailBytes  = 4 << 10
 )
 
 func (u *Upstream) announce(ctx context.Context) error {
@@ -64,7 +65,7 @@
 		return &AnnounceError{Node: u.settings.NodeAdmin, Cause: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	detail, err := io.ReadAll(io.LimitReader(resp.Body, maxDetail))
+	detail, err := io.ReadAll(io.LimitReader(resp.Body, maxDetailBytes))
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return &AnnounceError{Node: u.settings.NodeAdmin, Status: resp.StatusCode, Detail: strings.TrimSpace(string(detail)), Cause: err}
 	}
--- a/cmd/pollengauge/internal/upstream/settings.go
+++ b/cmd/pollengauge/internal/upstream/settings.go
@@ -10,26 +10,26 @@
 	"pollengauge.dev/node"
 )
 
-// Settings describe one stand-in.
+// Settings configure one stand-in.
 type Settings struct {
 	Service string
-	// Addr is where it listens, host:port.
+	// Addr is the address to listen on, host:port.
 	Addr string
 	// NodeAdmin and NodeOutbound are its node's listeners, host:port.
 	NodeAdmin    string
 	NodeOutbound string
-	// Work is the time that each request takes. It can be changed live by
-	// PUT to WorkPath.
+	// Work is the time that each request takes. A PUT to WorkPath changes it at
+	// run time.
 	Work time.Duration
-	// Slots is how many requests it works on at once; more wait.
+	// Slots is the number of requests served at once; further requests wait.
 	Slots int
-	// Calls are made one after the other before the work.
+	// Calls are made one after the other for each request, before the work.
 	Calls []Call
 	// Interval is the time between two announcements.
 	Interval time.Duration
-	// EndsAt is a path under which the stand-in ends while it runs the request, and
-	// is back after endedFor; "" for none.
-	EndsAt string
+	// CrashPath is a path whose requests make the stand-in crash while it runs them;
+	// it listens again after crashDowntime. "" means none.
+	CrashPath string
 }
 
 // Call is one call to another service.
@@ -40,7 +40,7 @@
 	Path string
 }
 
-// String returns the form that ParseCall reads.
+// String returns the form that ParseCall parses.
 func (c Call) String() string {
 	text := c.Service + c.Path
 	if c.Method == http.MethodGet {
@@ -51,7 +51,8 @@
 
 var callPattern = regexp.MustCompile(`^(?:(GET|POST|PUT|PATCH|DELETE):)?([a-z0-9][a-z0-9-]{0,62})(/[!-~]*)$`)
 
-// ParseCall reads "service/path", which is a GET, or "POST:service/path".
+// ParseCall parses "service/path", which is a GET, or a form with a method such as
+// "POST:service/path".
 func ParseCall(text string) (Call, error) {
 	parts := callPattern.FindStringSubmatch(text)
 	if parts == nil {
@@ -73,27 +74,27 @@
 // Check returns a *node.SettingsError that lists every wrong setting, or nil.
 func (s Settings) Check() error {
 	var problems []*node.SettingError
-	refuse := func(ok bool, name, value, allowed string) {
+	require := func(ok bool, name, value, allowed string) {
 		if !ok {
 			problems = append(problems, &node.SettingError{Name: name, Value: value, Allowed: allowed})
 		}
 	}
-	refuse(s.Service != "", "service", strconv.Quote(s.Service), "the service of its node")
+	require(s.Service != "", "service", strconv.Quote(s.Service), "the service of its node")
 	for _, a := range []struct{ name, addr string }{{"addr", s.Addr}, {"node-admin", s.NodeAdmin}, {"node-outbound", s.NodeOutbound}} {
 		_, _, err := net.SplitHostPort(a.addr)
-		refuse(err == nil, a.name, strconv.Quote(a.addr), "host:port")
+		require(err == nil, a.name, strconv.Quote(a.addr), "host:port")
 	}
-	refuse(s.Work >= 0 && s.Work <= maxWork, "work", s.Work.String(), "0s to "+maxWork.String())
-	refuse(s.Slots >= 1 && s.Slots <= maxSlots, "slots", strconv.Itoa(s.Slots), "1 to 100000")
-	refuse(s.EndsAt == "" || s.EndsAt[0] == '/', "ends-at", strconv.Quote(s.EndsAt), "a path that begins with a slash")
-	refuse(s.Interval >= minInterval && s.Interval <= maxInterval, "interval", s.Interval.String(), minInterval.String()+" to "+maxInterval.String())
+	require(s.Work >= 0 && s.Work <= maxWork, "work", s.Work.String(), "0s to "+maxWork.String())
+	require(s.Slots >= 1 && s.Slots <= maxSlots, "slots", strconv.Itoa(s.Slots), "1 to 100000")
+	require(s.CrashPath == "" || s.CrashPath[0] == '/', "ends-at", strconv.Quote(s.CrashPath), "a path that begins with a slash")
+	require(s.Interval >= minInterval && s.Interval <= maxInterval, "interval", s.Interval.String(), minInterval.String()+" to "+maxInterval.String())
 	if len(problems) == 0 {
 		return nil
 	}
 	return &node.SettingsError{Problems: problems}
 }
 
-// ListenError tells that the stand-in could not listen.
+// ListenError means that the stand-in could not listen on its address.
 type ListenError struct {
 	Addr  string
 	Cause error
@@ -105,10 +106,10 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// AnnounceError tells that the node did not take an announcement.
+// AnnounceError means that the node did not accept an announcement.
 type AnnounceError struct {
 	Node string
-	// Status is the node's answer, 0 if there was none.
+	// Status is the status of the node's response, 0 if there was none.
 	Status int
 	Detail string
 	Cause  error
