--- a/objects/address.go
+++ b/objects/address.go
@@ -1,17 +1,19 @@
 package objects
 
-// Bounds that every store keeps to.
+// Limits that every Store enforces.
 const (
-	// MaxValue is the largest value of an object, in bytes. In base64, with
-	// the JSON around it, it stays within the megabyte that a store takes.
+	// MaxValue is the maximum size of an object's value, in bytes. Encoded in
+	// base64 and wrapped in JSON, a value of this size stays within the one
+	// megabyte that a store accepts.
 	MaxValue = 750_000
-	// maxKind and maxName bound the two parts of an object's address, in bytes.
+	// maxKind and maxName are the maximum lengths of an object's kind and name,
+	// in bytes.
 	maxKind = 63
 	maxName = 253
 )
 
-// CheckAddress returns an *InvalidError unless kind and name can address an
-// object. A Store calls it before it spends a call.
+// CheckAddress returns an *InvalidError unless kind and name are both well
+// formed. A Store calls it before it spends a call of its budget.
 func CheckAddress(kind, name string) error {
 	if err := CheckKind(kind); err != nil {
 		return err
@@ -30,23 +32,25 @@
 	return nil
 }
 
-// CheckPrefix returns an *InvalidError unless prefix can start a name.
+// CheckPrefix returns an *InvalidError unless prefix is empty or a prefix of a
+// valid name.
 func CheckPrefix(prefix string) error {
 	if !validPrefix(prefix) {
-		return &InvalidError{Field: "prefix", Value: prefix, Want: "the start of a name, or nothing"}
+		return &InvalidError{Field: "prefix", Value: prefix, Want: "a prefix of a valid name, or empty"}
 	}
 	return nil
 }
 
-// CheckVersion returns an *InvalidError for version 0, which no object has.
+// CheckVersion returns an *InvalidError for version 0, which no stored object
+// has.
 func CheckVersion(version uint64) error {
 	if version == 0 {
-		return &InvalidError{Field: "version", Value: "0", Want: "the version that was read"}
+		return &InvalidError{Field: "version", Value: "0", Want: "the version returned by a read"}
 	}
 	return nil
 }
 
-// CheckValue returns a *TooLargeError for a value over MaxValue.
+// CheckValue returns a *TooLargeError if value is longer than MaxValue.
 func CheckValue(value []byte) error {
 	if len(value) > MaxValue {
 		return &TooLargeError{What: "value", Size: int64(len(value)), Limit: MaxValue}
@@ -54,7 +58,7 @@
 	return nil
 }
 
-// validKind reports whether s can be a kind: lower-case letters, digits and
+// validKind reports whether s is a valid kind: lower-case letters, digits and
 // dashes, starting with a letter.
 func validKind(s string) bool {
 	if s == "" || len(s) > maxKind || s[0] < 'a' || s[0] > 'z' {
@@ -68,14 +72,14 @@
 	return true
 }
 
-// validName reports whether s can be a name: letters, digits and -_.:~,
-// starting with a letter or digit. So a name is never "." or "..", which a
-// server's path cleaning would take for another address.
+// validName reports whether s is a valid name: letters, digits and -_.:~,
+// starting with a letter or digit. This excludes "." and "..", which a server
+// that cleans URL paths would resolve to a different address.
 func validName(s string) bool {
 	return validPrefix(s) && s != ""
 }
 
-// validPrefix is validName, but allows the empty prefix.
+// validPrefix reports whether s is a valid name or empty.
 func validPrefix(s string) bool {
 	if len(s) > maxName {
 		return false
--- a/objects/backoff.go
+++ b/objects/backoff.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Defaults of Backoff.
+// Default values of the fields of Backoff.
 const (
 	DefaultBackoffBase = 200 * time.Millisecond
 	DefaultBackoffMax  = 30 * time.Second
 )
 
-// Backoff computes exponential delays with full jitter. It is a plain value
-// without state, and only Wait uses the clock; the zero value uses the
-// defaults.
+// Backoff computes exponential delays with full jitter. It has no state, and
+// only its method Wait uses the clock. The zero value uses the defaults.
 type Backoff struct {
-	// Base bounds the first delay. Lower finds a short outage's end sooner;
-	// higher spares a struggling platform. Zero means DefaultBackoffBase.
+	// Base is the upper bound of the first delay. A lower value detects the end
+	// of a short outage sooner; a higher value reduces the load on an overloaded
+	// platform. Zero means DefaultBackoffBase.
 	Base time.Duration
-	// Max bounds every delay. With n callers waiting, the platform sees about
-	// 2n/Max calls a second in a long outage, and recovery is noticed Max/2
-	// late on average. Zero means DefaultBackoffMax.
+	// Max is the upper bound of every delay. With n callers waiting in a long
+	// outage, the platform receives about 2n/Max calls a second, and a caller
+	// detects the recovery Max/2 late on average. Zero means DefaultBackoffMax.
 	Max time.Duration
 }
 
-// Ceiling returns the upper bound of the delay after the given number of
-// failures in a row, counted from 0.
+// Ceiling returns the upper bound of the delay before a retry. The attempt counts
+// the consecutive failures from 0, so it is 0 after the first failure.
 func (b Backoff) Ceiling(attempt int) time.Duration {
 	ceiling := b.Base
 	if ceiling <= 0 {
@@ -45,19 +45,20 @@
 	return min(ceiling, limit)
 }
 
-// Delay draws a delay uniformly between 0 and the ceiling. Half-fixed delays
-// would keep callers that failed together in step; full jitter spreads their
-// return over the whole interval.
+// Delay returns a random delay, uniform between 0 and Ceiling(attempt). Full
+// jitter spreads the retries of callers that failed at the same time over the
+// whole interval; with a partly fixed delay they would stay synchronized.
 func (b Backoff) Delay(attempt int, r *rand.Rand) time.Duration {
 	return time.Duration(r.Int64N(int64(b.Ceiling(attempt)) + 1))
 }
 
-// Wait waits for one Delay and returns true, or false as soon as ctx ends.
+// Wait sleeps for one Delay and returns true, or returns false as soon as ctx
+// is done.
 func (b Backoff) Wait(ctx context.Context, attempt int, r *rand.Rand) bool {
 	return Pause(ctx, b.Delay(attempt, r))
 }
 
-// Pause waits for d and returns true, or false as soon as ctx ends.
+// Pause sleeps for d and returns true, or returns false as soon as ctx is done.
 func Pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/objects/budget.go
+++ b/objects/budget.go
@@ -10,44 +10,49 @@
 )
 
 const (
-	// budgetStep is the least time between two changes of a budget. Shorter
-	// adapts faster, and overshoots the more the more clients adapt at once.
+	// budgetStep is the minimum time between two changes of a budget's rate. A
+	// shorter time adapts faster, but overshoots more when many clients adapt
+	// at the same time.
 	budgetStep = time.Second
-	// budgetGrowth and budgetCut multiply a rate when it grows and when the
-	// platform says 429.
+	// budgetGrowth is the factor by which a rate grows, and budgetCut the
+	// factor by which it is reduced when the platform responds with 429.
 	budgetGrowth = 2
 	budgetCut    = 0.5
-	// minBudgetGrowth is the least growth, in calls a second. Doubling a share
-	// of less than one a second would take many seconds to become of use.
+	// minBudgetGrowth is the minimum increase of a rate, in calls a second. A
+	// rate below one call a second that only doubled would take many seconds to
+	// reach a useful value.
 	minBudgetGrowth = 5
 )
 
-// budget bounds the calls of one kind, reads or writes.
+// budget limits the rate of a client's reads or of its writes.
 //
-// A fixed share for each of many clients wastes what most of them leave: a
-// few nodes that claim keys for their callers would be held to a fraction of
-// a write a second on an idle platform. A budget therefore grows, up to its
-// maximum, while it is used up and the platform takes the calls, and is halved
-// when the platform says 429, never below its share.
+// Fixed equal shares waste the capacity that most clients leave unused: a few
+// nodes that claim idempotency keys for their callers would be limited to a
+// fraction of a write a second on an idle platform. The rate of a budget
+// therefore starts at its share and grows up to its maximum while the budget is
+// used up and the platform accepts the calls. When the platform responds with
+// 429 the rate is halved, but never to less than the share.
 type budget struct {
 	limiter *rate.Limiter
-	// share and maximum bound the limiter's rate.
+	// share and maximum are the lower and upper bounds of the limiter's rate.
 	share   rate.Limit
 	maximum rate.Limit
 
-	// mu is held while the rate is changed; changed is when it last was.
+	// mu guards changed, the time of the last rate change, and serializes rate
+	// changes.
 	mu      sync.Mutex
 	changed time.Time
 }
 
-// newBudget returns a budget that starts at share. A maximum below it, such
-// as 0, keeps the budget fixed.
+// newBudget returns a budget whose rate starts at share. A maximum below share,
+// such as 0, makes the rate fixed.
 func newBudget(share, maximum rate.Limit, burst int) *budget {
 	return &budget{limiter: rate.NewLimiter(share, burst), share: share, maximum: max(maximum, share)}
 }
 
-// spend takes one call and returns 0, or takes none, lets the budget grow and
-// returns the time until there would have been one.
+// spend takes one call from the budget and returns 0. If the budget is used up,
+// spend takes nothing, increases the rate and returns the time until a call
+// would have been available at the previous rate.
 func (b *budget) spend(now time.Time) (wait time.Duration) {
 	reservation := b.limiter.ReserveN(now, 1)
 	wait = reservation.DelayFrom(now)
@@ -59,13 +64,13 @@
 	return wait
 }
 
-// charge takes a call that was made without asking.
+// charge deducts a call that was made without calling spend first.
 func (b *budget) charge() { b.limiter.Reserve() }
 
-// refused notes that the platform said it gets too many calls.
+// refused reduces the rate after the platform has responded with 429.
 func (b *budget) refused(now time.Time) { b.change(now, b.limiter.Limit()*budgetCut) }
 
-// change sets the rate, at most once each budgetStep.
+// change sets the rate within its bounds, at most once per budgetStep.
 func (b *budget) change(now time.Time, limit rate.Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -76,7 +81,8 @@
 	b.limiter.SetLimitAt(now, min(max(limit, b.share), b.maximum))
 }
 
-// tooMany reports whether err is the platform's own refusal for its rates.
+// tooMany reports whether the platform rejected a call with 429 because its rate
+// limit was exceeded.
 func tooMany(err error) bool {
 	var status *StatusError
 	return errors.As(err, &status) && status.Status == http.StatusTooManyRequests
--- a/objects/budget_test.go
+++ b/objects/budget_test.go
@@ -7,9 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A node whose callers bring keys needs far more writes than an even share of
-// the platform's rate. Its callers see refusals until the budget has grown;
-// when the platform says 429 it falls back, and never under its share.
+// A node whose callers send idempotency keys needs far more writes than an equal
+// share of the platform's rate. Its calls are rejected until the budget has
+// grown. When the platform responds with 429 the rate must fall, but never below
+// the share.
 func TestBudgetGrowsUntilThePlatformRefuses(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/objects/client.go
+++ b/objects/client.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// maxPages bounds one List. Stores give hundreds of objects a page.
+// maxPages is the maximum number of pages that one List reads. Stores return
+// hundreds of objects per page.
 const maxPages = 256
 
-// Client is a Store that speaks the object API over HTTP. All methods may be
-// called concurrently.
+// Client is a Store that calls the platform's object API over HTTP. All methods
+// may be called concurrently.
 type Client struct {
 	options  Options
 	base     string
@@ -23,8 +24,8 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a client. It makes no call, so it succeeds while the
-// platform is down. A malformed option is an *InvalidError.
+// NewClient returns a client. It makes no call, so it also succeeds while the
+// platform is down. It returns an *InvalidError for a malformed option.
 func NewClient(options Options) (*Client, error) {
 	options = options.withDefaults()
 	base, err := options.base()
@@ -40,10 +41,10 @@
 	}, nil
 }
 
-// Close drops idle connections. Calls in flight go on.
+// Close closes idle connections. Calls in flight continue.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Stats returns the counters.
+// Stats returns a snapshot of the counters.
 func (c *Client) Stats() Stats { return c.counters.snapshot() }
 
 // Get implements Store.
@@ -55,7 +56,7 @@
 	return c.one(ctx, q)
 }
 
-// one makes a call that is answered with one object.
+// one makes a call whose response contains one object, and returns the object.
 func (c *Client) one(ctx context.Context, q Query) (Object, error) {
 	return finish(c, q, func() (Object, error) {
 		a, r, err := c.exchange(ctx, q, c.options.Timeout)
@@ -66,7 +67,7 @@
 	})
 }
 
-// List implements Store. Each page is one call of the budget.
+// List implements Store. Each page counts as one call against the read budget.
 func (c *Client) List(ctx context.Context, kind, prefix string) ([]Object, uint64, error) {
 	if err := CheckKind(kind); err != nil {
 		return nil, 0, err
@@ -82,9 +83,9 @@
 		if err != nil {
 			return nil, 0, err
 		}
-		// Pages may be read at different revisions. Watching from the first
-		// one's repeats a few events, but a later one's would miss changes
-		// to the pages that had already been read.
+		// Pages may be read at different revisions. Watching from the revision
+		// of the first page repeats a few events; watching from that of a later
+		// page would miss changes to objects on the pages read before it.
 		if page == 0 {
 			first = got.revision
 		}
@@ -100,7 +101,7 @@
 type listPage struct {
 	objects  []Object
 	revision uint64
-	// next is the name after which the list goes on, "" at its end.
+	// next is the name after which the next page starts, "" if there is none.
 	next string
 }
 
@@ -150,8 +151,9 @@
 	return o, err
 }
 
-// completed adds the stored object to a conflict whose answer did not have it.
-// Callers decide by it who won. If it can't be read, that error is told: the
+// completed reads the stored object and adds it to a conflict whose response did
+// not contain it. Callers need the object to find out which writer won. If the
+// read fails, completed returns the read's error, which is safe because the
 // write itself changed nothing.
 func (c *Client) completed(ctx context.Context, conflict *ConflictError) error {
 	current, err := c.Get(ctx, conflict.Kind, conflict.Name)
@@ -181,7 +183,8 @@
 	return err
 }
 
-// watchWait draws how long the next watch waits.
+// watchWait returns how long the next watch waits: Options.WatchWait or, chosen
+// at random, Options.ShortWatchWait.
 func (c *Client) watchWait() time.Duration {
 	short, long := c.options.ShortWatchWait, c.options.WatchWait
 	if short > 0 && rand.Int64N(int64(short+long)) < int64(long) {
@@ -190,7 +193,7 @@
 	return c.options.WatchWait
 }
 
-// Watch implements Store. It waits up to Options.WatchWait.
+// Watch implements Store. It waits for events for up to Options.WatchWait.
 func (c *Client) Watch(ctx context.Context, kind string, from uint64) ([]Event, uint64, error) {
 	if err := CheckKind(kind); err != nil {
 		return nil, 0, err
@@ -213,7 +216,9 @@
 	return events, next, nil
 }
 
-// finish runs one call, marks an unproved write as ambiguous and counts the result.
+// finish runs one call and counts its error. A write whose response is malformed
+// becomes an *AmbiguousError, because such a response does not prove whether the
+// write took effect. A response with status 429 reduces the call budget.
 func finish[T any](c *Client, q Query, run func() (T, error)) (T, error) {
 	result, err := run()
 	if err == nil {
--- a/objects/client_test.go
+++ b/objects/client_test.go
@@ -47,17 +47,18 @@
 	return "http://" + addr
 }
 
-// appendID returns a change that appends one id, and the test for it.
+// appendID returns the mutate and isMine functions for a change that appends id
+// to the value.
 func appendID(id string) (func(objects.Object) ([]byte, error), func(objects.Object) bool) {
 	mutate := func(o objects.Object) ([]byte, error) { return append(o.Value, id...), nil }
 	isMine := func(o objects.Object) bool { return strings.Contains(string(o.Value), id) }
 	return mutate, isMine
 }
 
-// The caller changes an object, and the answer never comes: the write took
-// effect and the answer was dropped, or the request was lost before it. The
-// change must be there once at the end, since a second application would undo
-// or double what others see.
+// A caller changes an object and gets no response: either the write took effect
+// and the response was dropped, or the request was lost. The change must be
+// applied exactly once, because a second application would revert other changes
+// or double this one.
 func TestAmbiguousWriteIsSettledOnce(t *testing.T) {
 	for name, faults := range map[string]standin.Faults{
 		"answer dropped": {DropNext: 1},
@@ -86,7 +87,7 @@
 	}
 }
 
-// updateStore puts a step of the test in place of Update.
+// updateStore is a Store whose Update is replaced by a function of the test.
 type updateStore struct {
 	objects.Store
 	update func(context.Context, objects.Object) (objects.Object, error)
@@ -96,9 +97,10 @@
 	return s.update(ctx, o)
 }
 
-// The platform is so slow that the caller gives up on a write which is still
-// under way. It reads back the old object and sends the write again, and then
-// the first one lands. The two share their condition, so only one may count.
+// The platform is so slow that the caller gives up on a write that is still in
+// transit. The caller reads back the old object and sends the write again, and
+// then the first write arrives. Both expect the same version, so only one of them
+// may take effect.
 func TestLateWriteIsNotAppliedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -124,9 +126,9 @@
 	})
 }
 
-// The answer is dropped, and before the caller reads back, another writer
-// replaces the object. The change may or may not have been there, so the
-// caller must hear that the fate is unknown, and nothing is written again.
+// The response to a write is dropped, and another writer replaces the object
+// before the caller reads it back. The caller cannot know whether the change had
+// been applied, so it must get an *AmbiguousError and nothing is written again.
 func TestOverwrittenAmbiguousWriteStaysAmbiguous(t *testing.T) {
 	c := qt.New(t)
 	memory := standin.NewMemory()
@@ -147,8 +149,9 @@
 	c.Assert(string(stored.Value), qt.Equals, "other")
 }
 
-// Two operators change one object. The loser must get the winner's object
-// with the refusal, for every kind of write, and nothing of its own is kept.
+// Two operators change the same object. For every kind of write, the ConflictError
+// of the second operator must contain the stored object of the first, and the
+// second write must leave no trace.
 func TestConflictCarriesCurrent(t *testing.T) {
 	c := qt.New(t)
 	_, client := startStandin(c, objects.Options{})
@@ -174,11 +177,11 @@
 	c.Assert(again.Version > won.Version, qt.IsTrue)
 }
 
-// The platform refuses, first as down and then as over its rate, and at last
-// can't be reached at all. Each time the caller learns that its write had no
-// effect (never that it is ambiguous), with the platform's Retry-After; once
-// healed the same client goes on. Only a write that was sent to a platform
-// too slow to answer is ambiguous.
+// The platform rejects calls, first because it is down and then because its rate
+// limit is exceeded, and finally cannot be reached at all. Each time the caller
+// must get an UnavailableError, never an AmbiguousError, with the platform's
+// Retry-After, and after the outage the same client must work again. Only a write
+// sent to a platform that is too slow to respond is ambiguous.
 func TestOutageThenRecovery(t *testing.T) {
 	c := qt.New(t)
 	server := standin.New(standin.Options{})
@@ -213,8 +216,9 @@
 	c.Assert(client.Stats().Ambiguous, qt.Equals, uint64(0))
 }
 
-// A client over its own budget is refused at once and sends nothing, so one
-// node in a loop can't use up the rates that the fleet shares.
+// A call over the client's own budget must be rejected at once without sending
+// anything, so that one node in a loop cannot use up the rate limits that all
+// nodes share.
 func TestBudget(t *testing.T) {
 	c := qt.New(t)
 	server, client := startStandin(c, objects.Options{ReadRate: 0.001, WriteRate: 0.001, Burst: 2, WatchWait: time.Millisecond})
@@ -226,15 +230,16 @@
 	_, err = client.Get(background, "config", "main")
 	c.Assert(err, qt.ErrorAs, &refused)
 	c.Assert(refused.RetryAfter > 0, qt.IsTrue)
-	_, err = client.Create(background, "config", "main", nil) // writes have their own
+	_, err = client.Create(background, "config", "main", nil) // writes have a budget of their own
 	c.Assert(err, qt.IsNil)
 	c.Assert(server.Stats().Calls[objects.OpGet], qt.Equals, uint64(0))
 	c.Assert(client.Stats(), qt.Equals, objects.Stats{Reads: 2, Watches: 1, Writes: 1, OverBudget: 1})
 }
 
-// The platform reads a write on a kept-alive connection and hangs up. net/http
-// would send some requests again by itself; for a write that took effect this
-// is a second one that nobody counted. Each write must arrive exactly once.
+// The platform reads a write on a reused keep-alive connection and closes the
+// connection. net/http resends some requests by itself in this case, which would
+// repeat a write that had taken effect without anyone counting it. Each write must
+// arrive exactly once.
 func TestTransportNeverReplaysWrites(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -276,7 +281,7 @@
 		},
 		func() error { return client.Delete(background, "config", "main", 1) },
 	} {
-		_, _, err := client.List(background, "config", "") // leaves a connection to reuse
+		_, _, err := client.List(background, "config", "") // leaves an idle connection that the write reuses
 		c.Assert(err, qt.IsNil)
 		c.Assert(write(), qt.ErrorAs, new(*objects.AmbiguousError))
 	}
@@ -284,9 +289,10 @@
 	c.Assert(reused.Load(), qt.Equals, int64(4), qt.Commentf("the test must exercise reused connections"))
 }
 
-// Something answers, but not as the API does. A read must fail with a typed
-// error and a bounded amount read; a write must count as ambiguous, since a
-// bare error or half an answer doesn't prove that it had no effect.
+// A server responds, but not according to the API. A read must fail with an error
+// of the documented type after a bounded number of bytes. A write must be
+// ambiguous, because an error status without the API's body or a malformed
+// response does not prove that the write had no effect.
 func TestHostileAnswers(t *testing.T) {
 	object := `{"metadata":{"name":"main","revision":9},"specification":{"pollengauge_value":"eA=="}}`
 	for name, tc := range map[string]struct {
@@ -323,10 +329,10 @@
 	}
 }
 
-// A list takes several answers, and an object that the first one showed is
-// deleted before the next. The list is put together in order, and a watch
-// from its revision must tell of the deletion: from a later page's revision
-// it would not, and the object would seem to exist for ever.
+// A list takes several pages, and an object on the first page is deleted before
+// the second page is read. The objects must be complete and in order, and a watch
+// from the list's revision must return the deletion. A watch from the revision of
+// a later page would miss it, and the object would seem to exist forever.
 func TestChangeBetweenPagesIsNotMissed(t *testing.T) {
 	c := qt.New(t)
 	server := standin.New(standin.Options{})
@@ -338,8 +344,8 @@
 		}
 	}))
 	defer paged.Close()
-	// Ten megabytes of JSON take longer than the default timeout on a machine
-	// that is busy.
+	// On a busy machine, ten megabytes of JSON take longer than the default
+	// timeout.
 	client := newClient(c, objects.Options{Endpoint: paged.URL, Timeout: time.Minute, WatchWait: time.Second})
 	value := make([]byte, objects.MaxValue)
 	for i := range 9 {
@@ -364,9 +370,10 @@
 	c.Assert(err, qt.ErrorAs, new(*objects.InvalidError))
 }
 
-// An event answers all watchers at once, and the platform then drops their
-// watches without a word. If all waited for as long, a change would be known
-// nowhere until then: some of a handful of watchers must ask again soon.
+// An event ends the watches of all watchers at once, and the platform then drops
+// their next watches without a response. If all of these waited equally long, no
+// node would learn of a change until the wait had passed. Some of a handful of
+// watchers must therefore start a new watch soon.
 func TestSomeWatchesAreShort(t *testing.T) {
 	c := qt.New(t)
 	server := standin.New(standin.Options{})
@@ -384,8 +391,9 @@
 	c.Check(waits["1"] > 0 && waits["2"] > 0 && len(waits) == 2, qt.IsTrue, qt.Commentf("%v", waits))
 }
 
-// Of a dozen watchers whose long watches wait six times as long as their short ones,
-// nearly all were in a long one at any moment. As much time has to go to short ones.
+// If long and short watches were equally frequent and a long one waited six times
+// as long, nearly all of a dozen watchers would be in a long watch at any moment.
+// Watchers must spend as much time in short watches as in long ones.
 func TestWatchersSpendHalfOfTheirTimeInShortWatches(t *testing.T) {
 	c := qt.New(t)
 	var spent [2]time.Duration
--- a/objects/decode.go
+++ b/objects/decode.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// object returns the one object of a reply, checked against the query.
+// object returns the only object of a reply after checking it against the query.
 func (q Query) object(a Answer, r Reply) (Object, error) {
 	if len(r.Objects) != 1 {
-		return Object{}, q.Malformed(a, "not one object", nil)
+		return Object{}, q.Malformed(a, "response does not contain exactly one object", nil)
 	}
 	o := r.Objects[0]
 	if problem := q.problem(o); problem != "" {
@@ -17,9 +17,9 @@
 	return o, nil
 }
 
-// page returns the objects of one page of a list that have the prefix. Names
-// must ascend across pages, so a store that repeats a page can't keep a client
-// listing for ever.
+// page returns the objects on one page of a list whose names have the query's
+// prefix. Names must ascend across pages; otherwise a store that repeats a page
+// could make a client list forever.
 func (q Query) page(a Answer, r Reply) ([]Object, error) {
 	last := q.After
 	var kept []Object
@@ -40,15 +40,16 @@
 		}
 	}
 	if r.More && len(r.Objects) == 0 {
-		return nil, q.Malformed(a, "an empty page that goes on", nil)
+		return nil, q.Malformed(a, "empty page announces a next page", nil)
 	}
 	return kept, nil
 }
 
-// events checks the reply to a watch.
+// events returns the events of a reply to a watch after checking them against
+// the query.
 func (q Query) events(a Answer, r Reply) ([]Event, error) {
 	if r.Revision < q.From {
-		return nil, q.Malformed(a, "next revision went back", nil)
+		return nil, q.Malformed(a, "next revision is lower than the requested one", nil)
 	}
 	var kept []Event
 	for _, e := range r.Events {
@@ -63,11 +64,13 @@
 	return kept, nil
 }
 
-// foreign tells whether an object has a name that this project never gives or asks
-// for. It is some other writer's, and must not keep those beside it from being read.
+// foreign reports whether an object has a name that this project never writes or
+// requests. Such an object belongs to another writer, and is skipped so that it
+// does not prevent the objects beside it from being read.
 func foreign(o Object) bool { return o.Name != "" && !validName(o.Name) }
 
-// problem tells why an object can't be the answer to q, "" if it can.
+// problem returns the reason why an object cannot be part of the response to q,
+// or "" if it can.
 func (q Query) problem(o Object) string {
 	switch {
 	case o.Kind != q.Kind:
--- a/objects/decode_test.go
+++ b/objects/decode_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A store answers with an object that was not asked for, one that goes back, or
-// pages without end. Taken for the answer, a caller would act on another
-// object's value, or list for ever.
+// A store responds with an object that was not requested, with a version or
+// revision that went back, or with an endless sequence of pages. If the client
+// accepted these, its caller would act on another object's value or list forever.
 func TestRepliesAreCheckedAgainstTheQuery(t *testing.T) {
 	c := qt.New(t)
 	update := Query{Op: OpUpdate, Kind: "config", Name: "main", Expected: 3}
@@ -33,9 +33,9 @@
 
 	list := Query{Op: OpList, Kind: "config", prefix: "ma", After: "main"}
 	_, err = list.page(Answer{}, Reply{Objects: []Object{good}})
-	c.Check(err, qt.ErrorAs, new(*ProtocolError), qt.Commentf("a page again"))
+	c.Check(err, qt.ErrorAs, new(*ProtocolError), qt.Commentf("repeated page"))
 	_, err = list.page(Answer{}, Reply{More: true})
-	c.Check(err, qt.ErrorAs, new(*ProtocolError), qt.Commentf("pages without end"))
+	c.Check(err, qt.ErrorAs, new(*ProtocolError), qt.Commentf("empty page with a next page"))
 	outside := Object{Kind: "config", Name: "other", Version: 1, Revision: 1}
 	inside := Object{Kind: "config", Name: "maple", Version: 1, Revision: 1}
 	kept, err := Query{Op: OpList, Kind: "config", prefix: "ma"}.page(Answer{}, Reply{Objects: []Object{inside, outside}})
@@ -43,7 +43,7 @@
 	c.Check(kept, qt.DeepEquals, []Object{inside})
 
 	_, err = Query{Op: OpWatch, Kind: "config", From: 5}.events(Answer{}, Reply{Revision: 4})
-	c.Check(err, qt.ErrorAs, new(*ProtocolError), qt.Commentf("a watch that goes back"))
+	c.Check(err, qt.ErrorAs, new(*ProtocolError), qt.Commentf("watch revision goes back"))
 }
 
 func TestBackoffIsBoundedAndSpread(t *testing.T) {
@@ -61,8 +61,9 @@
 	c.Assert(low < b.Max/20 && high > b.Max*19/20 && high <= b.Max, qt.IsTrue)
 }
 
-// A flood of deletions must not grow the view without bound, and a list from
-// a lagging replica must not take the handler back to older versions.
+// The memory that a view uses for tombstones must stay bounded however many
+// objects are deleted, and a list from a lagging replica must not revert the
+// handler to older versions.
 func TestViewForgetsTombstonesAndRefusesStaleLists(t *testing.T) {
 	c := qt.New(t)
 	v := newView()
--- a/objects/errors.go
+++ b/objects/errors.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// maxShownValue is the most of a value that an error shows, in bytes.
+// maxShownValue is the maximum number of bytes of a value that an error text
+// includes.
 const maxShownValue = 40
 
-// ConflictError means that a conditional write was refused because the stored
-// object isn't the expected one. Nothing was changed.
+// ConflictError means that a conditional write was rejected because the stored
+// object does not have the expected version. Nothing was changed.
 type ConflictError struct {
 	Op       Op
 	Kind     string
@@ -23,7 +24,7 @@
 	return string(e.Op) + " " + e.Kind + "/" + e.Name + ": expected version " + decimal(e.Expected) + ", stored is " + decimal(e.Current.Version)
 }
 
-// NotFoundError means that the object doesn't exist. Nothing was changed.
+// NotFoundError means that the object does not exist. Nothing was changed.
 type NotFoundError struct {
 	Op   Op
 	Kind string
@@ -35,12 +36,13 @@
 	return string(e.Op) + " " + e.Kind + "/" + e.Name + ": no such object"
 }
 
-// UnavailableError means that the platform could not be reached, refused for
-// now, or gave no answer to a read. A write that ends in it had no effect.
+// UnavailableError means that the platform could not be reached, rejected the
+// call temporarily, or sent no response to a read. A write that fails with this
+// error had no effect.
 type UnavailableError struct {
 	Op    Op
 	Cause error
-	// RetryAfter is what the platform asked for; 0 if it asked for nothing.
+	// RetryAfter is the delay that the platform requested, 0 if none.
 	RetryAfter time.Duration
 }
 
@@ -52,7 +54,8 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// StatusError is the cause when the platform itself refused.
+// StatusError is the Cause of an *UnavailableError when the platform itself
+// rejected the call.
 type StatusError struct {
 	Status int
 	Code   string
@@ -63,8 +66,9 @@
 	return "status " + strconv.Itoa(e.Status) + " " + shorten(e.Code)
 }
 
-// AmbiguousError means that a write was sent and no usable answer came: it
-// took effect, or will, or never will. Only reading back can tell.
+// AmbiguousError means that a write was sent and no usable response arrived. The
+// write may have taken effect, may still do so, or may never do so. The caller
+// has to read the object back to find out.
 type AmbiguousError struct {
 	Op       Op
 	Kind     string
@@ -75,16 +79,17 @@
 
 // Error implements error.
 func (e *AmbiguousError) Error() string {
-	return string(e.Op) + " " + e.Kind + "/" + e.Name + ": sent, fate unknown" + because(e.Cause)
+	return string(e.Op) + " " + e.Kind + "/" + e.Name + ": write sent, outcome unknown" + because(e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *AmbiguousError) Unwrap() error { return e.Cause }
 
-// RateError means that the client's own call budget is used up. Nothing was sent.
+// RateError means that the client's own call budget is used up. Nothing was
+// sent.
 type RateError struct {
 	Op Op
-	// RetryAfter is the time until the budget has room for a call.
+	// RetryAfter is the time until the budget allows the next call.
 	RetryAfter time.Duration
 }
 
@@ -93,28 +98,28 @@
 	return string(e.Op) + ": call budget used up, next call in " + e.RetryAfter.String()
 }
 
-// CompactedError means that the events after From are no longer kept. List
-// again and watch from the list's revision.
+// CompactedError means that the store no longer retains all events after the
+// revision From. The caller must list again and watch from the list's revision.
 type CompactedError struct {
 	Kind string
 	From uint64
-	// Oldest is the lowest revision that can still be watched from.
+	// Oldest is the lowest revision from which a watch can still start.
 	Oldest uint64
 }
 
 // Error implements error.
 func (e *CompactedError) Error() string {
-	return "watch " + e.Kind + ": events after revision " + decimal(e.From) + " are gone, want a revision from " + decimal(e.Oldest)
+	return "watch " + e.Kind + ": events after revision " + decimal(e.From) + " are no longer retained, oldest revision to watch from is " + decimal(e.Oldest)
 }
 
-// TooLargeError means that a value, an answer or a list is over its limit.
+// TooLargeError means that a value, a response or a list exceeds its limit.
 type TooLargeError struct {
 	What string
-	// Size and Limit are in bytes, or in pages for a list. Size is 0 if not
-	// known.
+	// Size and Limit are in bytes, or in pages for a list. Size is 0 if it is
+	// unknown.
 	Size  int64
 	Limit int64
-	// Unit is empty for bytes.
+	// Unit is the unit of Size and Limit; empty means bytes.
 	Unit string
 }
 
@@ -131,8 +136,9 @@
 	return text + ": want at most " + strconv.FormatInt(e.Limit, 10) + " " + unit
 }
 
-// ProtocolError means that an answer could not be understood. For a write it
-// is the cause of an *AmbiguousError, as such an answer proves nothing.
+// ProtocolError means that a response was malformed. For a write it is the Cause
+// of an *AmbiguousError, because a malformed response does not prove whether the
+// write took effect.
 type ProtocolError struct {
 	Op     Op
 	Status int
@@ -142,13 +148,14 @@
 
 // Error implements error.
 func (e *ProtocolError) Error() string {
-	return string(e.Op) + ": malformed answer with status " + strconv.Itoa(e.Status) + ": " + e.Detail + because(e.Cause)
+	return string(e.Op) + ": malformed response with status " + strconv.Itoa(e.Status) + ": " + e.Detail + because(e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *ProtocolError) Unwrap() error { return e.Cause }
 
-// InvalidError means that an argument or option is malformed. Nothing was changed.
+// InvalidError means that an argument or option is malformed. Nothing was
+// changed.
 type InvalidError struct {
 	Field string
 	Value string
@@ -160,8 +167,8 @@
 	return e.Field + ": " + strconv.Quote(shorten(e.Value)) + ": want " + e.Want
 }
 
-// StaleError means that a list is older than what a watcher has already
-// seen, so it was not used.
+// StaleError means that a list is older than the latest revision that a watcher
+// has seen. The watcher ignored the list.
 type StaleError struct {
 	Kind     string
 	Revision uint64
@@ -170,7 +177,7 @@
 
 // Error implements error.
 func (e *StaleError) Error() string {
-	return "list " + e.Kind + ": revision " + decimal(e.Revision) + " is older than " + decimal(e.Seen) + ", already seen"
+	return "list " + e.Kind + ": revision " + decimal(e.Revision) + " is older than " + decimal(e.Seen) + ", which was already seen"
 }
 
 func because(cause error) string {
@@ -182,7 +189,8 @@
 
 func decimal(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// shorten keeps hostile input from filling a log.
+// shorten truncates s to maxShownValue bytes, so that malicious input cannot
+// flood a log.
 func shorten(s string) string {
 	if len(s) > maxShownValue {
 		return s[:maxShownValue] + "..."
--- a/objects/example_test.go
+++ b/objects/example_test.go
@@ -11,8 +11,8 @@
 	"pollengauge.dev/standin"
 )
 
-// A change is applied once although the first answer is lost, and a watcher
-// sees it.
+// UpdateSettled applies a change once although the first response is lost, and
+// a watcher receives the change.
 func Example() {
 	server := standin.New(standin.Options{})
 	addr, err := server.Start("127.0.0.1:0")
--- a/objects/exchange.go
+++ b/objects/exchange.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// idleTimeout is shorter than servers usually keep idle connections, so
-	// a write seldom meets a connection that the platform is just closing,
-	// which would make it ambiguous for nothing.
+	// idleTimeout is shorter than the usual idle timeout of servers. A write
+	// therefore rarely uses a connection that the platform is just closing,
+	// which would make the write ambiguous without need.
 	idleTimeout  = 5 * time.Second
 	maxIdleConns = 4
 	maxHeader    = 16 << 10
 )
 
-// newHTTPClient builds the only way out. Redirects are not followed: a 307
-// would make net/http send a write a second time.
+// newHTTPClient returns the HTTP client for all calls of a Client. It does not
+// follow redirects: on a 307, net/http would send a write a second time.
 func newHTTPClient(options Options) *http.Client {
 	dialer := livedial.Dialer(options.Timeout)
 	return &http.Client{
@@ -35,15 +35,17 @@
 			IdleConnTimeout:        idleTimeout,
 			MaxResponseHeaderBytes: maxHeader,
 			DisableCompression:     true,
-			// HTTP/1.1 only: HTTP/2 has replay rules of its own.
+			// A non-nil map restricts the client to HTTP/1.1. For HTTP/2,
+			// net/http has additional rules for replaying requests.
 			TLSNextProto: map[string]func(string, *tls.Conn) http.RoundTripper{},
 		},
 	}
 }
 
-// exchange sends one call, reads the whole answer and decodes it. A write that
-// got a connection and no whole answer is an *AmbiguousError; one that got no
-// connection can't have taken effect and is an *UnavailableError.
+// exchange sends one call, reads the complete response and decodes it. A write
+// that obtained a connection but no complete response returns an
+// *AmbiguousError. A write that obtained no connection cannot have taken effect
+// and returns an *UnavailableError.
 func (c *Client) exchange(ctx context.Context, q Query, timeout time.Duration) (Answer, Reply, error) {
 	m, err := c.options.Wire.Encode(q)
 	if err != nil {
@@ -69,8 +71,8 @@
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
 		attempts++
 		c.counters.sent(q.Op)
-		// net/http repeats a GET when a reused connection breaks. The
-		// platform counts both, so the budget is charged for both.
+		// net/http repeats a GET when a reused connection breaks. The platform
+		// counts both requests, so both are charged to the budget.
 		if attempts > 1 {
 			c.budget(q.Op).charge()
 		}
@@ -92,9 +94,10 @@
 	return Answer{}, &UnavailableError{Op: q.Op, Cause: err}
 }
 
-// newRequest gives a write a body that net/http can't rewind. With GetBody
-// set, the transport may send the request again on its own when a reused
-// connection breaks, and a write that took effect would be tried twice.
+// newRequest returns the HTTP request for m, with a body that net/http cannot
+// rewind. If GetBody were set, the transport might resend the request by itself
+// when a reused connection breaks, and so repeat a write that had already taken
+// effect.
 func (c *Client) newRequest(ctx context.Context, m Message) (*http.Request, error) {
 	var body io.Reader
 	if m.Body != nil {
@@ -128,7 +131,8 @@
 	return Answer{Status: resp.StatusCode, RetryAfter: resp.Header.Get("Retry-After"), Body: body}, nil
 }
 
-// spend takes one call from the budget, or says when there will be one.
+// spend takes one call from the budget for op, or returns a *RateError with the
+// time until the budget allows the next call.
 func (c *Client) spend(op Op) error {
 	wait := c.budget(op).spend(time.Now())
 	if wait == 0 {
--- a/objects/progress.go
+++ b/objects/progress.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// longestAnswer is how many timeouts an answer that goes on arriving may take. It
-// ends one that would drip for ever.
+// longestAnswer is the number of timeouts that a response may take while parts of
+// it keep arriving. It ends a response that would trickle in forever.
 const longestAnswer = 16
 
-// progress ends a call that waits: for the begin of its answer, or for more of it.
+// progress cancels a call whose response does not begin in time, or stalls.
 //
-// The failure: an object has grown long and the link to the platform is narrow. Its
-// answer takes longer than a call may, is cut off and asked for anew, for ever, and
-// no node ever reads the object.
+// A fixed timeout for the whole call would fail for a large object on a slow link
+// to the platform: each response would take longer than the timeout, be cut off
+// and be requested again, forever, and no node would ever read the object.
 type progress struct {
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
-	// pause is the longest time without more of an answer that has begun.
+	// pause is the maximum time between two parts of a response.
 	pause time.Duration
 }
 
-// startProgress gives a call wait until its answer begins to arrive.
+// startProgress returns a progress that cancels its context unless the response
+// begins to arrive within wait.
 func startProgress(ctx context.Context, wait, pause time.Duration) *progress {
 	p := &progress{pause: pause}
 	p.ctx, p.cancel = context.WithCancelCause(ctx)
@@ -36,7 +37,7 @@
 	p.cancel(nil)
 }
 
-// watch returns a reader that notes what arrives.
+// watch returns a reader of body that restarts the timer whenever data arrives.
 func (p *progress) watch(body io.Reader) io.Reader { return &progressReader{body: body, progress: p} }
 
 type progressReader struct {
@@ -47,7 +48,7 @@
 // Read implements io.Reader.
 func (r *progressReader) Read(to []byte) (int, error) {
 	n, err := r.body.Read(to)
-	// A timer that has fired has ended the call.
+	// If the timer has already fired, the call is cancelled and stays so.
 	if n > 0 && r.progress.timer.Stop() {
 		r.progress.timer.Reset(r.progress.pause)
 	}
--- a/objects/progress_test.go
+++ b/objects/progress_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// slowAnswers is a platform whose answers arrive in parts, each after a pause.
+// slowAnswers is a platform whose responses arrive in parts, each after a pause.
 type slowAnswers struct {
 	parts int
 	pause time.Duration
@@ -43,7 +43,8 @@
 	}
 }
 
-// wholeAnswer is a wire that takes any answer.
+// wholeAnswer is a Wire that accepts any response and returns its whole body as
+// the object's value.
 type wholeAnswer struct{ Wire }
 
 // Encode implements Wire.
@@ -56,9 +57,10 @@
 	return Reply{Objects: []Object{{Kind: "k", Name: "n", Version: 1, Revision: 1, Value: a.Body}}}, nil
 }
 
-// An object has grown long, and the link to the platform is narrow: its answer takes
-// three times the timeout of a call, and never stalls. Cut off, it would be asked for
-// anew for ever. An answer that stalls, or that would drip for ever, must still end.
+// A large object on a slow link to the platform: the response takes three times
+// the timeout of a call but never stalls. If it were cut off, the client would
+// request it again forever. A response that stalls, or that would trickle in
+// forever, must still end the call.
 func TestAnswersEndForWantOfProgressOnly(t *testing.T) {
 	const timeout = time.Second
 	for _, tc := range []struct {
--- a/objects/settle.go
+++ b/objects/settle.go
@@ -5,24 +5,26 @@
 	"errors"
 )
 
-// maxRaces is how many lost races UpdateSettled takes before it gives the
-// conflict to its caller. Each lost race is another writer's success, so a
-// writer that loses this often meets far too many others on one object.
+// maxRaces is the number of lost races after which UpdateSettled returns the next
+// conflict to its caller. Another writer wins each race that UpdateSettled loses,
+// so more losses mean that far too many writers change the same object.
 const maxRaces = 16
 
-// UpdateSettled changes one object by conditional writes, and settles a write
-// whose answer was lost by reading back, so the change is never applied twice.
+// UpdateSettled changes one object with conditional writes. If the response to a
+// write is lost, it reads the object back to find out whether the write took
+// effect, so that the change is never applied twice.
 //
-// mutate gets the stored object (Version 0 if there is none) and returns the
-// new value; it may be called again after a lost race and must not have
-// effects of its own. isMine reports whether an object already holds this
-// change, for example by a change id in the value.
+// mutate receives the stored object (Version 0 if there is none) and returns the
+// new value. It may be called again after a lost race and must not have side
+// effects. isMine reports whether an object already contains this change, for
+// example by looking for a change ID in the value.
 //
-// While the platform is down after an ambiguous write, UpdateSettled goes on
-// reading back until ctx is done. It then returns the *AmbiguousError, as it
-// does when another writer has replaced the object before it could be read
-// back: nobody can tell then whether the change had been there. An object
-// that UpdateSettled may create must not be deleted while it runs.
+// If the platform is down after an ambiguous write, UpdateSettled retries the
+// read until ctx is done and then returns the *AmbiguousError. It also returns
+// the *AmbiguousError if another writer has replaced the object before it could
+// be read back, because the object then no longer shows whether the change had
+// been applied. An object that UpdateSettled may create must not be deleted
+// while it runs.
 func UpdateSettled(ctx context.Context, store Store, kind, name string, mutate func(Object) ([]byte, error), isMine func(Object) bool) (Object, error) {
 	s := settler{ctx: ctx, store: store, kind: kind, name: name}
 	current, err := s.read()
@@ -53,7 +55,7 @@
 	name  string
 }
 
-// read returns the stored object, with Version 0 if there is none.
+// read returns the stored object, or one with Version 0 if there is none.
 func (s *settler) read() (Object, error) {
 	o, err := s.store.Get(s.ctx, s.kind, s.name)
 	if missing := (*NotFoundError)(nil); errors.As(err, &missing) {
@@ -70,9 +72,10 @@
 	return s.store.Update(s.ctx, base)
 }
 
-// write puts value over base and settles an ambiguous answer. If the stored
-// object still is base, the write is sent again on the same condition: should
-// the first one arrive late, only one of the two can meet that version.
+// write replaces base with value, and reads the object back if the outcome is
+// ambiguous. If the stored object is still base, write sends the value again with
+// the same expected version: should the first write arrive late, only one of the
+// two can find that version and take effect.
 func (s *settler) write(base Object, value []byte, isMine func(Object) bool) (Object, error) {
 	rnd := newRand()
 	var ambiguous *AmbiguousError
@@ -101,7 +104,8 @@
 	}
 }
 
-// readBack reads until the platform answers or ctx is done.
+// readBack retries reading the object until the platform responds. It returns
+// ambiguous once ctx is done.
 func (s *settler) readBack(ambiguous *AmbiguousError) (Object, error) {
 	rnd := newRand()
 	for attempt := 0; ; attempt++ {
--- a/objects/silent_test.go
+++ b/objects/silent_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// silentStore hears nothing in watches, while its objects change.
+// silentStore is a Store whose watches get no response while its object changes.
 type silentStore struct {
 	Store
 	lists int
@@ -25,8 +25,9 @@
 	return nil, 0, &UnavailableError{Op: OpWatch}
 }
 
-// The platform drops its history and hears nothing in watches for a while. A watcher that
-// only watched again after one without an answer learned of a change a second later.
+// The platform drops its event history, and its watches get no response for a
+// while. A watcher that reacted to an unanswered watch only with another watch
+// would learn of a change a second later; it must list instead.
 func TestSilentWatchIsFollowedByAList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &silentStore{}
--- a/objects/stats.go
+++ b/objects/stats.go
@@ -5,18 +5,18 @@
 	"sync/atomic"
 )
 
-// Stats is a snapshot of a client's counters since it was made.
+// Stats is a snapshot of a client's counters since the client was created.
 type Stats struct {
-	// Reads and Writes are calls that got a connection, counted as the
-	// platform counts them: each page of a list and each waiting watch is one.
+	// Reads and Writes count the calls that obtained a connection, in the same
+	// way as the platform: each page of a list and each watch counts as one.
 	Reads  uint64
 	Writes uint64
-	// Watches is the part of Reads that were watches.
+	// Watches is the number of Reads that were watches.
 	Watches uint64
-	// Events is what watches delivered, repeated ones included.
+	// Events counts the events that watches returned, including repeated ones.
 	Events uint64
-	// The others count calls by the error that they ended in. Malformed also
-	// counts malformed answers to writes, which are Ambiguous.
+	// The remaining fields count failed calls by the type of error. A malformed
+	// response to a write counts as both Malformed and Ambiguous.
 	Conflicts   uint64
 	NotFound    uint64
 	Unavailable uint64
--- a/objects/view.go
+++ b/objects/view.go
@@ -1,23 +1,25 @@
 package objects
 
-// maxTombstones bounds what a view remembers of deleted objects. Over it the
-// watcher lists again, which moves the floor and frees them.
+// maxTombstones is the number of deleted objects that a view may remember. Above
+// it the watcher lists again, which raises the view's floor and so allows the
+// view to forget the deleted objects.
 const maxTombstones = 4096
 
-// view is what a watcher knows of one kind. It decides which events are news;
-// it does no I/O and is used by one goroutine.
+// view is a watcher's knowledge of the objects of one kind. It decides which
+// events are new to the handler. It does no I/O and must only be used by one
+// goroutine.
 type view struct {
 	seen map[string]mark
-	// floor is the revision of the last list. An event at or below it for an
-	// object that is not in seen is an old one: had the object still existed
-	// then, the list would have shown it.
+	// floor is the revision of the last list. An event with this or a lower
+	// revision for an object that is not in seen is outdated: if the object had
+	// still existed at that revision, the list would have contained it.
 	floor uint64
-	// revision is the highest one seen.
+	// revision is the highest revision seen.
 	revision   uint64
 	tombstones int
 }
 
-// mark is what is remembered of one object.
+// mark is the latest known state of one object.
 type mark struct {
 	revision uint64
 	deleted  bool
@@ -25,9 +27,9 @@
 
 func newView() *view { return &view{seen: make(map[string]mark)} }
 
-// accept reports whether an event is news, and remembers it. A repeated or
-// late event has a revision that is not above the remembered one; without
-// this check a late event would bring an older value, or a deleted object, back.
+// accept reports whether an event is new, and if so records it. The revision of a
+// repeated or late event is not higher than the recorded one. Without this check
+// a late event would revert an object to an older value or restore a deleted one.
 func (v *view) accept(event Event) bool {
 	o := event.Object
 	known, ok := v.seen[o.Name]
@@ -41,11 +43,11 @@
 	return true
 }
 
-// replace takes a list in and returns what differs from what was known,
-// deletions included.
+// replace replaces the view with the contents of a list and returns the
+// differences as events, including deletions.
 func (v *view) replace(kind string, objects []Object, revision uint64) ([]Event, error) {
-	// A list older than what was already handled, as a lagging replica gives
-	// it, would undo changes and delete objects that exist.
+	// A list from a lagging replica may be older than events that were already
+	// handled. Using it would undo changes and delete objects that exist.
 	if revision < v.revision {
 		return nil, &StaleError{Kind: kind, Revision: revision, Seen: v.revision}
 	}
--- a/objects/watcher.go
+++ b/objects/watcher.go
@@ -7,46 +7,50 @@
 	"time"
 )
 
-// DefaultSpread spreads 560 watchers over about 1,100 calls a second after an
-// event, which leaves the platform about half of its reads.
+// DefaultSpread is the default of Watcher.Spread. With it, 560 watchers make about
+// 1,100 calls a second after an event, which leaves about half of the platform's
+// read rate to others.
 const DefaultSpread = 500 * time.Millisecond
 
-// Watcher keeps a handler told of all objects of one kind: it lists, watches
-// from the list's revision, and lists again when the platform no longer has
-// the events, or has more than one answer holds. Run may be called once.
+// Watcher notifies a handler of changes to all objects of one kind. It lists the
+// objects and watches from the list's revision. It lists again when the platform
+// no longer has the following events, when these exceed the size limit of a
+// response, or when a watch got no response. Run may be called once.
 //
-// The handler runs on Run's goroutine, one event at a time. For each object
-// it sees ascending revisions only, whatever is delivered twice, late or out
-// of order; it may miss versions in between, never the last one. After an
-// outage it is told of what changed meanwhile, deletions included.
+// The handler runs on Run's goroutine, one event at a time. For each object it
+// receives ascending revisions only, even if events are delivered twice, late or
+// out of order. It may miss intermediate versions but never the last one. After
+// an outage it receives the changes made in the meantime, including deletions.
 type Watcher struct {
 	Store  Store
 	Kind   string
 	Handle func(Event)
-	// OnSync, if set, is called after each list with its revision. After the
-	// first call the handler knows every object that existed at the start.
+	// OnSync, if set, is called after each list with the list's revision. Before
+	// the first call of OnSync the handler has received every object that
+	// existed at the start.
 	OnSync func(revision uint64)
-	// OnError, if set, is told of each failed call before the retry.
+	// OnError, if set, is called with the error of each failed call before the
+	// retry.
 	OnError func(error)
-	// Backoff spaces retries.
+	// Backoff computes the delays between retries.
 	Backoff Backoff
-	// Spread is the longest random pause before watching again. An event
-	// answers all waiting watches at once; longer flattens the burst in
-	// which they come back, shorter makes the next change seen sooner. Zero
-	// means DefaultSpread, negative none.
+	// Spread is the maximum of the random delay before the next watch. An event
+	// ends all waiting watches at once. A longer delay flattens the burst of new
+	// watches; a shorter delay lets the watcher receive the next change sooner.
+	// Zero means DefaultSpread, a negative value means no delay.
 	Spread time.Duration
-	// Rand is the source of jitter, used by Run's goroutine alone. Nil means
-	// a randomly seeded one.
+	// Rand is the source of jitter, used only by Run's goroutine. Nil means a
+	// randomly seeded source.
 	Rand *rand.Rand
 }
 
-// RunWatch runs a Watcher with defaults until ctx is done.
+// RunWatch runs a Watcher with default settings until ctx is done.
 func RunWatch(ctx context.Context, store Store, kind string, handle func(Event)) {
 	w := &Watcher{Store: store, Kind: kind, Handle: handle}
 	w.Run(ctx)
 }
 
-// Run returns when ctx is done.
+// Run lists and watches until ctx is done.
 func (w *Watcher) Run(ctx context.Context) {
 	r := &watchRun{Watcher: w, view: newView(), rand: w.Rand}
 	if r.rand == nil {
@@ -67,7 +71,7 @@
 	failures int
 }
 
-// step makes one call and returns how long to wait before the next.
+// step makes one call and returns the delay before the next one.
 func (r *watchRun) step(ctx context.Context) time.Duration {
 	if !r.listed {
 		return r.after(ctx, r.list(ctx))
@@ -76,8 +80,9 @@
 	if err != nil {
 		return r.after(ctx, err)
 	}
-	// Only a good watch ends a row of failures: a platform whose history is
-	// shorter than one round would otherwise be listed without pause.
+	// Only a successful watch resets the number of failures. If a list did so
+	// too, a watcher would list again and again with hardly any delay on a
+	// platform whose event history does not reach from a list to the next watch.
 	r.failures = 0
 	if r.view.overTombstones() {
 		r.listed = false
@@ -120,14 +125,16 @@
 	return nil
 }
 
-// after returns the wait after a list or a failed call.
+// after returns the delay after a list or a failed call, and decides whether the
+// next call is a list.
 func (r *watchRun) after(ctx context.Context, err error) time.Duration {
 	if err == nil || ctx.Err() != nil {
 		return 0
 	}
-	// Events that are gone, or too many for one answer, are so at each try from the
-	// same revision. A list has the newest state of each object alone. It is made
-	// after a watch without an answer as well: the next one may hear as little.
+	// If the events after a revision are compacted or too large for one response,
+	// another watch from that revision fails in the same way, while a list
+	// contains only the latest state of each object. The watcher also lists after
+	// a watch without a response, because the next watch may get none either.
 	if errors.As(err, new(*CompactedError)) || errors.As(err, new(*TooLargeError)) || errors.As(err, new(*UnavailableError)) {
 		r.listed = false
 	}
@@ -150,7 +157,7 @@
 	return time.Duration(r.rand.Int64N(int64(limit) + 1))
 }
 
-// askedDelay is how long an error asks to wait at least.
+// askedDelay returns the minimum delay that an error requests before a retry.
 func askedDelay(err error) time.Duration {
 	switch e := err.(type) {
 	case *UnavailableError:
--- a/objects/watcher_test.go
+++ b/objects/watcher_test.go
@@ -15,7 +15,8 @@
 	"pollengauge.dev/standin"
 )
 
-// replica is a handler's copy of the store, checking as it goes.
+// replica is a copy of the store built from a watcher's events. It checks that the
+// revisions of each object ascend.
 type replica struct {
 	c         *qt.C
 	values    map[string]string
@@ -47,10 +48,10 @@
 	return values
 }
 
-// While objects are created, updated, deleted and created again, the platform
-// goes down, is slow, forgets its history, and delivers events twice, late
-// and out of order. The handler must never see an object go back, and once
-// the faults end its copy must equal the store.
+// While objects are created, updated, deleted and created again, the platform goes
+// down, is slow, drops its event history, and delivers events twice, late and out
+// of order. The handler must never receive an older revision of an object after a
+// newer one, and after the faults its copy must equal the store.
 func TestWatcherConvergesUnderFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -90,10 +91,10 @@
 	}
 }
 
-// 560 watchers wait when an event answers them all, and later the platform is
-// down for ten minutes, which refuses them all at the same moment. If they
-// came back together, they would use up its reads as soon as it is up. At no
-// time may a tenth of a second hold more than its share of 2,000 reads a second.
+// An event ends the watches of 560 watchers at once, and later the platform goes
+// down for ten minutes, which fails all watches at the same moment. If the watchers
+// retried simultaneously, they would use up the platform's read rate as soon as it
+// is up again. No tenth of a second may contain more than a tenth of 2,000 reads.
 func TestWatchersComeBackSpreadOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -125,14 +126,14 @@
 		memory.SetFaults(standin.Faults{})
 		memory.Create(background, "config", "second", nil)
 		recovery := peak(600)
-		t.Logf("most calls in 100 ms: after an event %d, after the outage %d", event, recovery)
+		t.Logf("maximum calls in 100 ms: %d after an event, %d after the outage", event, recovery)
 		c.Assert(event <= 200 && recovery <= 200, qt.IsTrue)
 		c.Assert(news.Load(), qt.Equals, int64(2*560))
 	})
 }
 
-// shortAnswers is a store whose watches answer with few events at most; those
-// with more are longer than what a client reads.
+// shortAnswers is a store whose watches fail with a TooLargeError if they would
+// return more than most events, as if the response exceeded the client's limit.
 type shortAnswers struct {
 	objects.Store
 	most int
@@ -146,10 +147,11 @@
 	return events, next, err
 }
 
-// A node is cut off while operators change a large configuration again and again.
-// The changes that it missed are together longer than any answer that it reads, and
-// asked for from the same point they stay so: it knew of no later change, until it
-// was started anew. The newest state is all that it needs.
+// A node cannot reach the platform while operators change a large configuration
+// many times. The missed events together exceed the size limit of a response, and
+// every watch from the same revision fails in the same way: the node would learn of
+// no later change until its next restart. It must list instead, because it needs
+// only the latest state.
 func TestWatcherCatchesUpWithMoreThanAnAnswerHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/objects/wire.go
+++ b/objects/wire.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// Wire is how one store speaks HTTP: it puts queries into messages and reads
-// the answers. A Wire decides nothing about retries, budgets or unknown
-// fates; that is the Client's part. Its methods may be called concurrently.
+// Wire is the HTTP encoding of a store's API: it encodes queries as messages and
+// decodes the responses. Retries, budgets and writes with an unknown outcome are
+// not its concern but the Client's. Its methods may be called concurrently.
 type Wire interface {
 	// Encode returns the message for q.
 	Encode(q Query) (Message, error)
-	// Decode reads the answer to q. A refusal of the store is one of this
-	// package's errors, and each of them but *ProtocolError states that a
-	// write changed nothing.
+	// Decode decodes the response to q. If the store rejected the query, Decode
+	// returns one of this package's errors. Each of them except *ProtocolError
+	// guarantees that a write changed nothing.
 	Decode(q Query, a Answer) (Reply, error)
 }
 
@@ -22,52 +22,54 @@
 	Kind string
 	// Name is empty for a list and a watch.
 	Name string
-	// After is the last name of the page before, in a list.
+	// After is the last name on the previous page of a list, empty for the first
+	// page.
 	After string
-	// Expected is the version that an update or a delete replaces, 0 for a
-	// create.
+	// Expected is the version that the stored object must have for an update or
+	// a delete, 0 for a create.
 	Expected uint64
-	// Value is what a create or an update writes.
+	// Value is the value that a create or an update writes.
 	Value []byte
-	// From is the revision after which a watch wants events, and Wait how long
-	// it waits for one.
+	// From is the revision after which a watch returns events. Wait is how long
+	// the watch waits for the first event.
 	From uint64
 	Wait time.Duration
 
 	prefix string
 }
 
-// Message is what to send for one query.
+// Message is the HTTP request for one query.
 type Message struct {
 	Method string
-	// Path has the query string too.
+	// Path includes the query string.
 	Path string
-	// Body is nil for none. It is JSON.
+	// Body is JSON, or nil for a request without a body.
 	Body []byte
 }
 
-// Answer is what came back, read whole.
+// Answer is a complete HTTP response.
 type Answer struct {
 	Status int
-	// RetryAfter is the header's value as it came.
+	// RetryAfter is the unparsed value of the Retry-After header.
 	RetryAfter string
 	Body       []byte
 }
 
-// Reply is a decoded answer.
+// Reply is a decoded response.
 type Reply struct {
-	// Objects has the one object of a get, create or update, or the page of a
-	// list.
+	// Objects contains the object of a get, create or update, or the objects on
+	// one page of a list.
 	Objects []Object
-	// Events are those of a watch.
+	// Events are the events returned by a watch.
 	Events []Event
-	// Revision is the store's, in a list and a watch.
+	// Revision is the store's revision as of a list, or the revision from which
+	// the next watch starts.
 	Revision uint64
-	// More tells that a list goes on after its last object.
+	// More reports whether a list continues after the last of Objects.
 	More bool
 }
 
-// Malformed returns the error for an answer that could not be understood.
+// Malformed returns the *ProtocolError for a malformed response to q.
 func (q Query) Malformed(a Answer, detail string, cause error) error {
 	return &ProtocolError{Op: q.Op, Status: a.Status, Detail: detail, Cause: cause}
 }
