--- a/livedial/livedial.go
+++ b/livedial/livedial.go
@@ -1,10 +1,11 @@
-// Package livedial opens TCP connections that notice when their peer falls
-// silent.
+// Package livedial configures TCP connections that fail soon after their peer
+// becomes unreachable.
 //
-// The failure: a VM loses power or is cut off, and nothing resets its
-// connections. A call on one of them waits for its whole timeout, and so does
-// the next. Keep-alive probes end an idle connection, and the bound on
-// unacknowledged data one in use, some two seconds after the peer was lost.
+// If a VM loses power or its network connection, nothing resets its TCP
+// connections, and each call on one of them would wait for its whole timeout. With
+// the options set by Dialer and ListenConfig, keep-alive probes close an idle
+// connection, and TCP_USER_TIMEOUT, the limit on unacknowledged data, closes a
+// connection in use, about two seconds after the peer was lost.
 package livedial
 
 import (
@@ -16,33 +17,34 @@
 )
 
 const (
-	// KeepAliveIdle is how long a connection is quiet before it is probed, and
-	// KeepAliveInterval the time between probes. KeepAliveCount probes without
-	// an answer end it.
+	// KeepAliveIdle is how long a connection is idle before the first probe,
+	// KeepAliveInterval is the time between probes, and KeepAliveCount is the
+	// number of unanswered probes after which the connection is closed.
 	KeepAliveIdle     = time.Second
 	KeepAliveInterval = 500 * time.Millisecond
 	KeepAliveCount    = 3
-	// UserTimeout is how long sent data may stay unacknowledged. Packets that
-	// are lost one by one are sent again within a few hundred milliseconds.
+	// UserTimeout is how long sent data may stay unacknowledged before the
+	// connection is closed. It tolerates the loss of single packets, which TCP
+	// retransmits within a few hundred milliseconds.
 	UserTimeout = 2 * time.Second
 )
 
-// Dialer returns a dialer whose attempts end after timeout.
+// Dialer returns a dialer whose attempts fail after timeout. Its connections use
+// keep-alive probes and UserTimeout.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive(), Control: control}
 }
 
-// ListenConfig returns what listens for connections that are probed. The bound
-// on unacknowledged data is for those that dial: who answers has bounds of its
-// own on writing.
+// ListenConfig returns a listen configuration whose connections use keep-alive
+// probes. It does not set UserTimeout: a server has write timeouts of its own.
 func ListenConfig() *net.ListenConfig { return &net.ListenConfig{KeepAliveConfig: keepAlive()} }
 
 func keepAlive() net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: KeepAliveIdle, Interval: KeepAliveInterval, Count: KeepAliveCount}
 }
 
-// control sets what package net has no field for. A system without the option
-// keeps the probes.
+// control sets TCP_USER_TIMEOUT, for which package net has no field. It ignores
+// errors: on a system without this option the keep-alive probes still work.
 func control(_, _ string, conn syscall.RawConn) error {
 	return conn.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UserTimeout.Milliseconds()))
--- a/livedial/livedial_test.go
+++ b/livedial/livedial_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// A connection without these options hangs for minutes once its peer is gone.
+// Without these options a connection hangs for minutes after its peer is lost.
 func TestConnectionsCarryTheOptions(t *testing.T) {
 	c := qt.New(t)
 	listener, err := ListenConfig().Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 	}
 }
 
-// option reads one TCP option of a connection.
+// option returns the value of one TCP option of a connection.
 func option(c *qt.C, conn net.Conn, name int) int {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	c.Assert(err, qt.IsNil)
