--- a/standin/admit.go
+++ b/standin/admit.go
@@ -8,19 +8,21 @@
 	"pollengauge.dev/objects"
 )
 
-// Stats counts calls since the start.
+// Stats counts the calls since the store was created.
 type Stats struct {
-	// Calls are all that arrived, refused ones included.
+	// Calls counts all calls that arrived, including rejected ones.
 	Calls map[objects.Op]uint64 `json:"calls"`
-	// RefusedRate and RefusedDown are the calls that were refused.
+	// RefusedRate and RefusedDown count the calls that were rejected because
+	// the rate limit was exceeded, or because of Faults.Down.
 	RefusedRate uint64 `json:"refused_rate"`
 	RefusedDown uint64 `json:"refused_down"`
-	// Dropped and Lost are writes left without an answer.
+	// Dropped and Lost count the writes that got no response: a dropped write
+	// took effect, a lost one did not.
 	Dropped uint64 `json:"dropped"`
 	Lost    uint64 `json:"lost"`
 }
 
-// Stats returns the counters.
+// Stats returns a snapshot of the counters.
 func (m *Memory) Stats() Stats {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -29,8 +31,8 @@
 	return stats
 }
 
-// admit counts a call and refuses it if the store is down or over its rate.
-// It returns how long to delay the call, and a write's fate.
+// admit counts a call and rejects it if the store is down or its rate limit is
+// exceeded. It returns the injected delay and, for a write, the injected outcome.
 func (m *Memory) admit(op objects.Op) (time.Duration, fate, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/standin/events.go
+++ b/standin/events.go
@@ -8,17 +8,19 @@
 	"pollengauge.dev/objects"
 )
 
-// delivery is an event at its place among the revisions that watches go by.
-// For a late event the place is above the event's own revision.
+// delivery is an event in the log. Watches select deliveries by place, the store's
+// revision at which the event was delivered. For a late event the place is higher
+// than the event's own revision.
 type delivery struct {
 	place uint64
 	event objects.Event
 }
 
-// publish delivers an event now, twice or late, as the faults say.
+// publish delivers an event once, twice or late, according to the faults.
 func (m *Memory) publish(event objects.Event) {
 	if takeNext(&m.faults.LateNext) {
-		// At least a nanosecond, for the reason given in applyAt.
+		// The delay is at least a nanosecond, because a timer must not have
+		// expired already when it is created; applyAt gives the reason.
 		time.AfterFunc(max(millis(m.faults.LateMillis), 1), func() { m.publishLate(event) })
 		return
 	}
@@ -31,8 +33,8 @@
 func (m *Memory) publishLate(event objects.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	// A revision of its own, so that watches which are already past the
-	// event's revision still get it.
+	// The delivery gets a new revision, so that watches from a revision after
+	// the event's own still return it.
 	m.revision++
 	m.record(event)
 }
@@ -53,15 +55,17 @@
 	}
 }
 
-// since returns the kind's events after from, where the next watch starts,
-// and a channel that is closed when there may be more.
+// since returns the events of a kind after the revision from, the revision from
+// which the next watch starts, and a channel that is closed when there may be
+// more events.
 func (m *Memory) since(kind string, from uint64) (events []objects.Event, next uint64, changed <-chan struct{}, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.faults.Down {
 		return nil, from, nil, unavailable(objects.OpWatch, http.StatusServiceUnavailable)
 	}
-	// A revision that this store has not reached comes from another history.
+	// A revision that this store has not reached yet belongs to the history of
+	// another store.
 	if from < m.compacted || from > m.revision {
 		return nil, from, nil, &objects.CompactedError{Kind: kind, From: from, Oldest: m.compacted}
 	}
@@ -71,8 +75,9 @@
 		if d.place <= from || d.event.Object.Kind != kind {
 			continue
 		}
-		// A page ends between two places only, or the second copy at one
-		// place would be skipped.
+		// A page must not end between two deliveries with the same place:
+		// the next watch would skip the second one, the copy of a duplicated
+		// event.
 		if (len(events) >= maxPage || size >= maxPageBytes) && d.place > next {
 			break
 		}
--- a/standin/example_test.go
+++ b/standin/example_test.go
@@ -8,7 +8,7 @@
 	"pollengauge.dev/standin"
 )
 
-// A write whose answer is lost is ambiguous, although it took effect.
+// A write whose response is lost is ambiguous although it took effect.
 func Example() {
 	store := standin.NewMemory()
 	store.SetFaults(standin.Faults{DropNext: 1})
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -2,45 +2,49 @@
 
 import "time"
 
-// Faults is what can go wrong on purpose. Setting new Faults replaces the old
-// ones as a whole, so the zero value heals everything.
+// Faults configures the faults that the store injects. New Faults replace all
+// previous ones, so setting the zero value removes all faults.
 type Faults struct {
-	// Down refuses every call with 503 and ends the waiting watches.
+	// Down rejects every call with 503 and ends the waiting watches.
 	Down bool `json:"down,omitempty"`
-	// DelayMillis slows every call. A write whose caller gives up meanwhile
-	// still takes effect.
+	// DelayMillis delays every call. A write still takes effect if its caller
+	// gives up during the delay.
 	DelayMillis int `json:"delay_ms,omitempty"`
-	// DropNext drops the answers to the next writes after they took effect.
+	// DropNext is the number of next writes whose responses are dropped after
+	// the writes took effect.
 	DropNext int `json:"drop_next,omitempty"`
-	// DropProbability does the same to a random part of the writes, 0 to 1.
+	// DropProbability is the probability, from 0 to 1, that the response to a
+	// write is dropped after the write took effect.
 	DropProbability float64 `json:"drop_probability,omitempty"`
-	// LoseNext loses the next writes before they take effect; no answer either.
+	// LoseNext is the number of next writes that are lost: they neither take
+	// effect nor get a response.
 	LoseNext int `json:"lose_next,omitempty"`
-	// DuplicateNext delivers the next events twice.
+	// DuplicateNext is the number of next events that are delivered twice.
 	DuplicateNext int `json:"duplicate_next,omitempty"`
-	// LateNext holds the next events back for LateMillis. Events that come
-	// in between overtake them.
+	// LateNext is the number of next events that are delivered LateMillis late.
+	// Events published in the meantime overtake them.
 	LateNext   int `json:"late_next,omitempty"`
 	LateMillis int `json:"late_ms,omitempty"`
-	// ReadRate and WriteRate replace the configured rates, in calls a second.
+	// ReadRate and WriteRate, if set, replace the rate limits of Options, in
+	// calls a second.
 	ReadRate  float64 `json:"read_rate,omitempty"`
 	WriteRate float64 `json:"write_rate,omitempty"`
-	// Compact forgets all events once.
+	// Compact deletes all retained events, once.
 	Compact bool `json:"compact,omitempty"`
 }
 
-// fate says what becomes of a write and its answer.
+// fate is the injected outcome of a write and its response.
 type fate uint8
 
 const (
 	fateAnswered fate = iota
-	fateDropped       // takes effect, no answer
-	fateLost          // no effect, no answer
+	fateDropped       // takes effect, no response
+	fateLost          // no effect, no response
 )
 
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// takeNext uses up one of a counted fault.
+// takeNext reports whether a counted fault has occurrences left, and uses up one.
 func takeNext(n *int) bool {
 	if *n <= 0 {
 		return false
--- a/standin/foreign_test.go
+++ b/standin/foreign_test.go
@@ -13,9 +13,9 @@
 	"pollengauge.dev/platform/store"
 )
 
-// Another program keeps entries of its own in the platform's store, in JSON of
-// its own. It reads back what it wrote: the store knows nothing of the form in
-// which this project's values stand.
+// Another program stores its own entries in the platform's store, in its own JSON
+// format. It must read back exactly the JSON that it wrote, because the store does
+// not know the format in which this project wraps its values.
 func TestEntriesOfOtherWritersAreReadAsWritten(t *testing.T) {
 	c := qt.New(t)
 	s := New(Options{})
@@ -35,7 +35,8 @@
 	}
 }
 
-// This project's values come back byte for byte, also those that are JSON.
+// This project's values must be read back byte for byte, even if they are JSON
+// themselves.
 func TestOwnValuesAreReadByteForByte(t *testing.T) {
 	c := qt.New(t)
 	for _, value := range []string{"", "\x00\xff", "null", `{"a":1}`, `{ "a" : "<" }`, `{"pollengauge_value":"AA=="}`} {
--- a/standin/memory.go
+++ b/standin/memory.go
@@ -8,16 +8,16 @@
 	"pollengauge.dev/objects"
 )
 
-// memoryWait is how long a watch of a Memory waits.
+// memoryWait is how long Memory.Watch waits for events.
 const memoryWait = 30 * time.Second
 
 var _ objects.Store = (*Memory)(nil)
 
-// LostError is the cause of the ambiguous errors that Faults bring about.
+// LostError is the Cause of an *objects.AmbiguousError that Faults produced.
 type LostError struct{}
 
 // Error implements error.
-func (*LostError) Error() string { return "the answer was lost" }
+func (*LostError) Error() string { return "response lost by an injected fault" }
 
 // NewMemory returns an empty Memory without rate limits.
 func NewMemory() *Memory {
@@ -82,7 +82,8 @@
 	return objects, revision, more, nil
 }
 
-// watch is one long poll: it returns at the first events, or none after wait.
+// watch makes one long poll. It returns as soon as there are events, or without
+// events after wait.
 func (m *Memory) watch(ctx context.Context, kind string, from uint64, wait time.Duration) ([]objects.Event, uint64, error) {
 	if err := objects.CheckKind(kind); err != nil {
 		return nil, from, err
@@ -90,7 +91,8 @@
 	if err := m.read(ctx, objects.OpWatch); err != nil {
 		return nil, from, err
 	}
-	// At least a nanosecond, for the reason given in applyAt.
+	// The wait is at least a nanosecond, because a timer must not have expired
+	// already when it is created; applyAt gives the reason.
 	timer := time.NewTimer(max(wait, 1))
 	defer timer.Stop()
 	for {
@@ -108,7 +110,7 @@
 	}
 }
 
-// read admits a read and delays it.
+// read admits a read and waits for the injected delay.
 func (m *Memory) read(ctx context.Context, op objects.Op) error {
 	delay, _, err := m.admit(op)
 	if err != nil {
@@ -120,8 +122,9 @@
 	return nil
 }
 
-// write lets a write whose caller gives up during the delay land in its own
-// time, as a platform does once it has the request.
+// write admits a write, waits for the injected delay and applies the write. If
+// the caller gives up during the delay, the write is still applied at the end of
+// the delay, as on a platform that has received the request.
 func (m *Memory) write(ctx context.Context, op objects.Op, o objects.Object) (objects.Object, error) {
 	if err := objects.CheckAddress(o.Kind, o.Name); err != nil {
 		return objects.Object{}, err
@@ -153,13 +156,14 @@
 	return written, err
 }
 
-// applyAt applies a write at a time that may have come.
+// applyAt applies a write at the given time, or at once if the time has passed.
 func (m *Memory) applyAt(at time.Time, op objects.Op, o objects.Object) {
 	left := time.Until(at)
 	if left <= 0 {
-		// No timer that has expired already: under testing/synctest it runs on
-		// its creator's thread, and two that do so at once share one context
-		// of the race detector, which crashes the process.
+		// A timer that has already expired when it is created must be avoided:
+		// under testing/synctest its function runs on the thread that created
+		// it, and two such functions at once share one context of the race
+		// detector, which crashes the process.
 		m.apply(op, o)
 		return
 	}
--- a/standin/options.go
+++ b/standin/options.go
@@ -2,25 +2,27 @@
 
 import "golang.org/x/time/rate"
 
-// Defaults of Options.
+// Default values of Options: rates in calls a second, history in events.
 const (
 	DefaultReadRate  = 2000
 	DefaultWriteRate = 400
 	DefaultHistory   = 4096
-	// burstShare of a second's calls may come at once.
+	// burstShare is the divisor of a rate that gives its burst: a tenth of a
+	// second's calls may arrive at once.
 	burstShare = 10
 )
 
-// Options sets up a stand-in. The zero value stands for the platform's sizes.
+// Options configures a Server or a Memory. The zero value selects the defaults,
+// which are the limits of the platform.
 type Options struct {
-	// ReadRate and WriteRate are calls a second over which it refuses; a
-	// waiting watch is one read. Zero means the defaults, math.Inf(1) none.
+	// ReadRate and WriteRate are the rate limits in calls a second. A watch
+	// counts as one read. Zero means the default, math.Inf(1) no limit.
 	ReadRate  float64
 	WriteRate float64
-	// History is how many events are kept for watches. Fewer means that a
-	// watcher which was away finds itself compacted sooner.
+	// History is the number of events retained for watches. With fewer, a
+	// watcher that was disconnected gets an *objects.CompactedError sooner.
 	History int
-	// Seed of everything random.
+	// Seed is the seed of the random source for Faults.DropProbability.
 	Seed uint64
 }
 
@@ -37,7 +39,8 @@
 	return o
 }
 
-// newLimiter takes the fault's rate if there is one.
+// newLimiter returns a limiter for the rate set by a fault, or for the configured
+// rate if fault is 0.
 func newLimiter(fault, configured float64) *rate.Limiter {
 	perSecond := configured
 	if fault > 0 {
--- a/standin/server.go
+++ b/standin/server.go
@@ -15,19 +15,21 @@
 )
 
 const (
-	// maxBody holds the largest value in base64 and the JSON around it.
+	// maxBody is the maximum size of a request body, in bytes. It is enough for
+	// the largest value in base64, wrapped in JSON.
 	maxBody       = objects.MaxValue/3*4 + 4096
 	headerTimeout = 5 * time.Second
 )
 
-// Bounds on one answer: objects or events, and the bytes of their values.
+// Limits of one response: the number of objects or events, and the bytes of their
+// values.
 const (
 	maxPage      = 500
 	maxPageBytes = 1_000_000
 )
 
-// Server puts a Memory behind the object API, with /faults and /stats beside
-// it. It is an http.Handler; Start serves it on an address.
+// Server serves a Memory over the HTTP object API, along with /faults and /stats.
+// It is an http.Handler; Start serves it on an address.
 type Server struct {
 	*Memory
 	mux  *http.ServeMux
@@ -60,8 +62,8 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
 
-// Start listens on addr, for example 127.0.0.1:0, serves until Close, and
-// returns the address that it got.
+// Start listens on addr, for example 127.0.0.1:0, and returns the address on which
+// it listens. The server runs until Close.
 func (s *Server) Start(addr string) (string, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -71,7 +73,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Close stops listening and breaks all connections.
+// Close stops listening and closes all connections.
 func (s *Server) Close() error { return s.http.Close() }
 
 // ServeHTTP implements http.Handler.
@@ -82,7 +84,7 @@
 	answerObject(w, o, err)
 }
 
-// serveKind serves a list, or a watch if the query asks for one.
+// serveKind serves a list, or a watch if the URL's query contains one.
 func (s *Server) serveKind(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Has(store.QueryWatch) {
 		s.serveWatch(w, r)
@@ -145,12 +147,13 @@
 	s.serveWrite(w, r, objects.OpDelete, objects.Object{Name: r.PathValue("name"), Version: version})
 }
 
-// serveWrite carries on when the caller is gone: the write takes effect anyway.
+// serveWrite serves a create, update or delete. The write takes effect even if the
+// caller disconnects.
 func (s *Server) serveWrite(w http.ResponseWriter, r *http.Request, op objects.Op, o objects.Object) {
 	o.Kind = r.PathValue("kind")
 	written, err := s.write(context.WithoutCancel(r.Context()), op, o)
 	if _, unanswered := err.(*objects.AmbiguousError); unanswered {
-		panic(http.ErrAbortHandler) // closes the connection
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	answerObject(w, written, err)
 }
@@ -181,8 +184,8 @@
 	answer(w, list)
 }
 
-// toWire puts an object into the store's form. A value that is not this
-// project's own goes as the JSON that it is.
+// toWire converts an object to the JSON type of the HTTP API. The value of an
+// object that another program wrote is sent as the JSON that was written.
 func toWire(o objects.Object) (store.Object, error) {
 	specification, err := specify(o.Value)
 	return store.Object{
@@ -191,11 +194,9 @@
 	}, err
 }
 
-// specify returns a value as the JSON that it is, where that comes back byte
-// for byte, and in this project's form otherwise.
-//
-// The failure: entries of other writers were given back in this project's form,
-// which their writers can't read.
+// specify returns value itself if it is JSON that a client reads back byte for
+// byte, and value wrapped in this project's format otherwise. If the entries of
+// other programs were wrapped as well, these programs could not read them.
 func specify(value []byte) (json.RawMessage, error) {
 	plain, err := json.Marshal(json.RawMessage(value))
 	if err == nil && bytes.Equal(plain, value) && bytes.Equal(store.Unwrap(value), value) {
@@ -204,16 +205,17 @@
 	return store.Wrap(value)
 }
 
-// compact returns JSON in the one spelling in which it is served.
+// compact returns JSON as json.Marshal encodes it, which is how it is served:
+// without insignificant white space and with HTML characters escaped.
 func compact(specification json.RawMessage) json.RawMessage {
 	plain, err := json.Marshal(specification)
 	if err != nil {
-		return specification // a body that was read as JSON holds none such
+		return specification // can't happen: the body was decoded as JSON
 	}
 	return plain
 }
 
-// serveFaults shows the faults, or sets them on POST.
+// serveFaults returns the faults, after setting them on POST.
 func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		var f Faults
@@ -245,7 +247,7 @@
 func answerWith(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(v) // a caller that is gone needs no answer
+	json.NewEncoder(w).Encode(v) // an error means that the caller has disconnected
 }
 
 func answerObject(w http.ResponseWriter, o objects.Object, err error) {
@@ -259,12 +261,13 @@
 	refuse(w, err)
 }
 
-// errorBody is the body of a refusal. Callers go by the status.
+// errorBody is the body of an error response. Clients use only the status.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// refuse is the inverse of how the client reads an error answer.
+// refuse writes the error response for err. Its statuses are the inverse of the
+// client's mapping from statuses to errors.
 func refuse(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	switch e := err.(type) {
@@ -287,8 +290,9 @@
 	answerWith(w, status, errorBody{Error: err.Error()})
 }
 
-// refuseConflict sends the stored object along, but not to a create: the
-// store's page promises it for a condition that isn't met.
+// refuseConflict writes the response to a conflict. It contains the stored object,
+// except for a create: the documentation of the store's API promises the object
+// only for a condition that is not met.
 func refuseConflict(w http.ResponseWriter, e *objects.ConflictError) {
 	current, err := toWire(e.Current)
 	if e.Op == objects.OpCreate || err != nil {
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -34,8 +34,8 @@
 	return recorder.Code
 }
 
-// Callers that break the API's rules must be refused with a code, and nothing
-// may be stored or counted against the rates.
+// Calls that violate the rules of the API must be rejected with the right status,
+// without storing anything and without counting against the rate limits.
 func TestBadRequestsAreRefused(t *testing.T) {
 	c := qt.New(t)
 	server := standin.New(standin.Options{})
@@ -67,7 +67,7 @@
 	c.Assert(server.Stats().Calls, qt.HasLen, 0)
 }
 
-// An operator sets faults over HTTP while clients run, and heals them.
+// An operator sets faults over HTTP while clients run, and removes them again.
 func TestFaultsOverHTTP(t *testing.T) {
 	c := qt.New(t)
 	server := standin.New(standin.Options{})
@@ -89,8 +89,8 @@
 	c.Assert(server.Stats().RefusedDown, qt.Equals, uint64(1))
 }
 
-// The rates refuse what is over them and admit what is within, and a waiting
-// watch costs one read however long it waits.
+// Calls over the rate limits must be rejected and calls within them admitted. A
+// watch must count as one read, however long it waits.
 func TestRates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -119,10 +119,10 @@
 	return ok
 }
 
-// Many callers give up at the very moment at which their writes arrive. Each
-// is told that the fate is unknown or that the write is done; all writes take
-// effect. A timer set for that moment had expired already, and two such timers
-// at once crash a process that runs under the race detector.
+// Many callers give up at the same moment at which their writes arrive. Each must
+// get either success or an AmbiguousError, and all writes must take effect. A timer
+// created for that moment has already expired, and two such timers at once crash a
+// process that runs under the race detector.
 func TestCallersGiveUpAsWritesArrive(t *testing.T) {
 	const callers = 200
 	for range 5 {
@@ -149,9 +149,10 @@
 	}
 }
 
-// Against a plain model: whatever the order of writes, a version is never
-// used twice for one object, not even after delete and create, and the
-// events kept, applied in order, lead from any listed state to the present.
+// Compares the store with a simple model. For any order of writes, a version must
+// never be used twice for the same object, not even after delete and create.
+// Applying the retained events in order must lead from any previously listed state
+// to the current one.
 func TestEventsLeadToThePresent(t *testing.T) {
 	for seed := range uint64(20) {
 		c := qt.New(t)
--- a/standin/store.go
+++ b/standin/store.go
@@ -13,11 +13,11 @@
 	"pollengauge.dev/objects"
 )
 
-// Memory is a objects.Store without HTTP.
+// Memory is an objects.Store that needs no HTTP.
 type Memory struct {
 	options Options
 
-	mu       sync.Mutex // one is enough at the platform's rates
+	mu       sync.Mutex // guards all fields below; one lock is enough at the platform's rates
 	rand     *rand.Rand
 	faults   Faults
 	reads    *rate.Limiter
@@ -26,15 +26,16 @@
 	objects  map[string]map[string]objects.Object
 	revision uint64
 	log      []delivery
-	// compacted is the highest place that was dropped from log.
+	// compacted is the highest place of the deliveries removed from log.
 	compacted uint64
 	changed   map[string]chan struct{} // closed at the kind's next event
 }
 
-// page bounds one answer.
+// page is the limit of one response: a number of objects and the bytes of their
+// values.
 type page struct{ objects, bytes int }
 
-// NewMemoryWith returns an empty Memory with options.
+// NewMemoryWith returns an empty Memory with the given options.
 func NewMemoryWith(options Options) *Memory {
 	options = options.withDefaults()
 	m := &Memory{
@@ -48,7 +49,8 @@
 	return m
 }
 
-// SetFaults replaces the faults. Waiting watches notice.
+// SetFaults replaces the faults and wakes waiting watches, so that the new faults
+// apply to them.
 func (m *Memory) SetFaults(f Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,7 +67,8 @@
 	}
 }
 
-// Faults returns the faults that are left.
+// Faults returns the current faults. Counted faults contain the number of
+// occurrences left.
 func (m *Memory) Faults() Faults {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -82,7 +85,8 @@
 	return cloned(o), nil
 }
 
-// scan returns one page of objects after the name after, in order.
+// scan returns one page of the objects whose names start with prefix and sort after
+// the name after, in order of their names.
 func (m *Memory) scan(kind, prefix, after string, limit page) (objects []objects.Object, revision uint64, more bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,7 +105,8 @@
 	return objects, m.revision, false
 }
 
-// apply does a create, update or delete of version o.Version, 0 for a create.
+// apply executes a create, update or delete if the stored version is o.Version,
+// which is 0 for a create.
 func (m *Memory) apply(op objects.Op, o objects.Object) (objects.Object, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,8 +119,9 @@
 	}
 	m.revision++
 	o = cloned(o)
-	// One number for both, as the platform has it: versions rise across
-	// delete and create without remembering what was deleted.
+	// Version and revision are the same number, as on the platform. Versions
+	// therefore increase across a delete and a create without a record of the
+	// deleted objects.
 	o.Revision = m.revision
 	o.Version = m.revision
 	if op == objects.OpDelete {
