--- a/livedial/livedial.go
+++ b/livedial/livedial.go
@@ -32,7 +32,7 @@
 // Dialer returns a dialer whose attempts fail after timeout. Its connections use
 // keep-alive probes and UserTimeout.
 func Dialer(timeout time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive(), Control: control}
+	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive(), Control: setUserTimeout}
 }
 
 // ListenConfig returns a listen configuration whose connections use keep-alive
@@ -43,9 +43,9 @@
 	return net.KeepAliveConfig{Enable: true, Idle: KeepAliveIdle, Interval: KeepAliveInterval, Count: KeepAliveCount}
 }
 
-// control sets TCP_USER_TIMEOUT, for which package net has no field. It ignores
-// errors: on a system without this option the keep-alive probes still work.
-func control(_, _ string, conn syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, for which package net has no field. It
+// ignores errors: on a system without this option the keep-alive probes still work.
+func setUserTimeout(_, _ string, conn syscall.RawConn) error {
 	return conn.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UserTimeout.Milliseconds()))
 	})
--- a/livedial/livedial_test.go
+++ b/livedial/livedial_test.go
@@ -11,7 +11,7 @@
 )
 
 // Without these options a connection hangs for minutes after its peer is lost.
-func TestConnectionsCarryTheOptions(t *testing.T) {
+func TestConnectionsHaveSocketOptions(t *testing.T) {
 	c := qt.New(t)
 	listener, err := ListenConfig().Listen(context.Background(), "tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
--- a/objects/address.go
+++ b/objects/address.go
@@ -65,7 +65,7 @@
 		return false
 	}
 	for i := range len(s) {
-		if !lower(s[i]) && !digit(s[i]) && s[i] != '-' {
+		if !isLower(s[i]) && !isDigit(s[i]) && s[i] != '-' {
 			return false
 		}
 	}
@@ -85,15 +85,15 @@
 		return false
 	}
 	for i := range len(s) {
-		if !nameByte(s[i], i == 0) {
+		if !isNameByte(s[i], i == 0) {
 			return false
 		}
 	}
 	return true
 }
 
-func nameByte(b byte, first bool) bool {
-	if lower(b) || digit(b) || (b >= 'A' && b <= 'Z') {
+func isNameByte(b byte, first bool) bool {
+	if isLower(b) || isDigit(b) || (b >= 'A' && b <= 'Z') {
 		return true
 	}
 	if first {
@@ -102,6 +102,6 @@
 	return b == '-' || b == '_' || b == '.' || b == ':' || b == '~'
 }
 
-func lower(b byte) bool { return b >= 'a' && b <= 'z' }
+func isLower(b byte) bool { return b >= 'a' && b <= 'z' }
 
-func digit(b byte) bool { return b >= '0' && b <= '9' }
+func isDigit(b byte) bool { return b >= '0' && b <= '9' }
--- a/objects/budget.go
+++ b/objects/budget.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// budgetStep is the minimum time between two changes of a budget's rate. A
-	// shorter time adapts faster, but overshoots more when many clients adapt
-	// at the same time.
-	budgetStep = time.Second
-	// budgetGrowth is the factor by which a rate grows, and budgetCut the
-	// factor by which it is reduced when the platform responds with 429.
-	budgetGrowth = 2
-	budgetCut    = 0.5
+	// budgetChangeInterval is the minimum time between two changes of a budget's
+	// rate. A shorter time adapts faster, but overshoots more when many clients
+	// adapt at the same time.
+	budgetChangeInterval = time.Second
+	// A rate is multiplied by budgetGrowthFactor when it grows, and by
+	// budgetReductionFactor when the platform responds with 429.
+	budgetGrowthFactor    = 2
+	budgetReductionFactor = 0.5
 	// minBudgetGrowth is the minimum increase of a rate, in calls a second. A
 	// rate below one call a second that only doubled would take many seconds to
 	// reach a useful value.
@@ -38,10 +38,10 @@
 	share   rate.Limit
 	maximum rate.Limit
 
-	// mu guards changed, the time of the last rate change, and serializes rate
+	// mu guards lastChange, the time of the last rate change, and serializes rate
 	// changes.
-	mu      sync.Mutex
-	changed time.Time
+	mu         sync.Mutex
+	lastChange time.Time
 }
 
 // newBudget returns a budget whose rate starts at share. A maximum below share,
@@ -60,30 +60,31 @@
 		return 0
 	}
 	reservation.CancelAt(now)
-	b.change(now, max(b.limiter.Limit()*budgetGrowth, b.limiter.Limit()+minBudgetGrowth))
+	b.setRate(now, max(b.limiter.Limit()*budgetGrowthFactor, b.limiter.Limit()+minBudgetGrowth))
 	return wait
 }
 
-// charge deducts a call that was made without calling spend first.
-func (b *budget) charge() { b.limiter.Reserve() }
+// chargeUnchecked deducts a call that was made without calling spend first.
+func (b *budget) chargeUnchecked() { b.limiter.Reserve() }
 
-// refused reduces the rate after the platform has responded with 429.
-func (b *budget) refused(now time.Time) { b.change(now, b.limiter.Limit()*budgetCut) }
+// reduce lowers the rate after the platform has responded with 429.
+func (b *budget) reduce(now time.Time) { b.setRate(now, b.limiter.Limit()*budgetReductionFactor) }
 
-// change sets the rate within its bounds, at most once per budgetStep.
-func (b *budget) change(now time.Time, limit rate.Limit) {
+// setRate sets the rate within its bounds, at most once per
+// budgetChangeInterval.
+func (b *budget) setRate(now time.Time, limit rate.Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now.Sub(b.changed) < budgetStep {
+	if now.Sub(b.lastChange) < budgetChangeInterval {
 		return
 	}
-	b.changed = now
+	b.lastChange = now
 	b.limiter.SetLimitAt(now, min(max(limit, b.share), b.maximum))
 }
 
-// tooMany reports whether the platform rejected a call with 429 because its rate
-// limit was exceeded.
-func tooMany(err error) bool {
+// isTooManyRequests reports whether the platform rejected a call with 429 because
+// its rate limit was exceeded.
+func isTooManyRequests(err error) bool {
 	var status *StatusError
 	return errors.As(err, &status) && status.Status == http.StatusTooManyRequests
 }
--- a/objects/budget_test.go
+++ b/objects/budget_test.go
@@ -11,7 +11,7 @@
 // share of the platform's rate. Its calls are rejected until the budget has
 // grown. When the platform responds with 429 the rate must fall, but never below
 // the share.
-func TestBudgetGrowsUntilThePlatformRefuses(t *testing.T) {
+func TestBudgetGrowsUntilPlatformReturns429(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := newBudget(1, 50, 1)
@@ -28,8 +28,8 @@
 	granted(30)
 	c.Check(granted(10) >= 450, qt.IsTrue)
 	for range 20 {
-		now = now.Add(budgetStep)
-		b.refused(now)
+		now = now.Add(budgetChangeInterval)
+		b.reduce(now)
 	}
 	c.Check(float64(b.limiter.Limit()), qt.Equals, 1.0)
 }
--- a/objects/client.go
+++ b/objects/client.go
@@ -53,12 +53,13 @@
 		return Object{}, err
 	}
 	q := Query{Op: OpGet, Kind: kind, Name: name}
-	return c.one(ctx, q)
+	return c.exchangeObject(ctx, q)
 }
 
-// one makes a call whose response contains one object, and returns the object.
-func (c *Client) one(ctx context.Context, q Query) (Object, error) {
-	return finish(c, q, func() (Object, error) {
+// exchangeObject makes a call whose response contains one object, and returns the
+// object.
+func (c *Client) exchangeObject(ctx context.Context, q Query) (Object, error) {
+	return runCall(c, q, func() (Object, error) {
 		a, r, err := c.exchange(ctx, q, c.options.Timeout)
 		if err != nil {
 			return Object{}, err
@@ -79,7 +80,7 @@
 	var all []Object
 	var first uint64
 	for page := range maxPages {
-		got, err := finish(c, q, func() (listPage, error) { return c.listPage(ctx, q) })
+		got, err := runCall(c, q, func() (listPage, error) { return c.listPage(ctx, q) })
 		if err != nil {
 			return nil, 0, err
 		}
@@ -110,11 +111,11 @@
 	if err != nil {
 		return listPage{}, err
 	}
-	kept, err := q.page(a, r)
+	matching, err := q.page(a, r)
 	if err != nil {
 		return listPage{}, err
 	}
-	page := listPage{objects: kept, revision: r.Revision}
+	page := listPage{objects: matching, revision: r.Revision}
 	if r.More {
 		page.next = r.Objects[len(r.Objects)-1].Name
 	}
@@ -141,9 +142,9 @@
 	if err := CheckValue(q.Value); err != nil {
 		return Object{}, err
 	}
-	o, err := c.one(ctx, q)
+	o, err := c.exchangeObject(ctx, q)
 	if conflict, ok := err.(*ConflictError); ok && conflict.Current.Version == 0 {
-		return Object{}, c.completed(ctx, conflict)
+		return Object{}, c.withCurrent(ctx, conflict)
 	}
 	if err == nil {
 		o.Value = q.Value
@@ -151,11 +152,11 @@
 	return o, err
 }
 
-// completed reads the stored object and adds it to a conflict whose response did
+// withCurrent reads the stored object and adds it to a conflict whose response did
 // not contain it. Callers need the object to find out which writer won. If the
-// read fails, completed returns the read's error, which is safe because the
+// read fails, withCurrent returns the read's error, which is safe because the
 // write itself changed nothing.
-func (c *Client) completed(ctx context.Context, conflict *ConflictError) error {
+func (c *Client) withCurrent(ctx context.Context, conflict *ConflictError) error {
 	current, err := c.Get(ctx, conflict.Kind, conflict.Name)
 	if _, gone := err.(*NotFoundError); gone {
 		return conflict
@@ -176,7 +177,7 @@
 		return err
 	}
 	q := Query{Op: OpDelete, Kind: kind, Name: name, Expected: version}
-	_, err := finish(c, q, func() (Reply, error) {
+	_, err := runCall(c, q, func() (Reply, error) {
 		_, r, err := c.exchange(ctx, q, c.options.Timeout)
 		return r, err
 	})
@@ -201,7 +202,7 @@
 	wait := c.watchWait()
 	q := Query{Op: OpWatch, Kind: kind, From: from, Wait: wait}
 	next := from
-	events, err := finish(c, q, func() ([]Event, error) {
+	events, err := runCall(c, q, func() ([]Event, error) {
 		a, r, err := c.exchange(ctx, q, wait+c.options.Timeout)
 		if err != nil {
 			return nil, err
@@ -216,10 +217,10 @@
 	return events, next, nil
 }
 
-// finish runs one call and counts its error. A write whose response is malformed
+// runCall runs one call and counts its error. A write whose response is malformed
 // becomes an *AmbiguousError, because such a response does not prove whether the
 // write took effect. A response with status 429 reduces the call budget.
-func finish[T any](c *Client, q Query, run func() (T, error)) (T, error) {
+func runCall[T any](c *Client, q Query, run func() (T, error)) (T, error) {
 	result, err := run()
 	if err == nil {
 		return result, nil
@@ -228,8 +229,8 @@
 		err = q.ambiguous(err)
 	}
 	c.counters.failed(err)
-	if tooMany(err) {
-		c.budget(q.Op).refused(time.Now())
+	if isTooManyRequests(err) {
+		c.budget(q.Op).reduce(time.Now())
 	}
 	return result, err
 }
--- a/objects/decode.go
+++ b/objects/decode.go
@@ -8,7 +8,7 @@
 		return Object{}, q.Malformed(a, "response does not contain exactly one object", nil)
 	}
 	o := r.Objects[0]
-	if problem := q.problem(o); problem != "" {
+	if problem := q.mismatch(o); problem != "" {
 		return Object{}, q.Malformed(a, problem, nil)
 	}
 	if o.Version <= q.Expected {
@@ -22,12 +22,12 @@
 // could make a client list forever.
 func (q Query) page(a Answer, r Reply) ([]Object, error) {
 	last := q.After
-	var kept []Object
+	var matching []Object
 	for _, o := range r.Objects {
-		if foreign(o) {
+		if hasForeignName(o) {
 			continue
 		}
-		problem := q.problem(o)
+		problem := q.mismatch(o)
 		if problem == "" && o.Name <= last {
 			problem = "object out of order"
 		}
@@ -36,13 +36,13 @@
 		}
 		last = o.Name
 		if strings.HasPrefix(o.Name, q.prefix) {
-			kept = append(kept, o)
+			matching = append(matching, o)
 		}
 	}
 	if r.More && len(r.Objects) == 0 {
 		return nil, q.Malformed(a, "empty page announces a next page", nil)
 	}
-	return kept, nil
+	return matching, nil
 }
 
 // events returns the events of a reply to a watch after checking them against
@@ -51,27 +51,27 @@
 	if r.Revision < q.From {
 		return nil, q.Malformed(a, "next revision is lower than the requested one", nil)
 	}
-	var kept []Event
+	var matching []Event
 	for _, e := range r.Events {
-		if foreign(e.Object) {
+		if hasForeignName(e.Object) {
 			continue
 		}
-		if problem := q.problem(e.Object); problem != "" {
+		if problem := q.mismatch(e.Object); problem != "" {
 			return nil, q.Malformed(a, problem, nil)
 		}
-		kept = append(kept, e)
+		matching = append(matching, e)
 	}
-	return kept, nil
+	return matching, nil
 }
 
-// foreign reports whether an object has a name that this project never writes or
-// requests. Such an object belongs to another writer, and is skipped so that it
+// hasForeignName reports whether an object has a name that this project never
+// writes or requests. Such an object belongs to another writer, and is skipped so that it
 // does not prevent the objects beside it from being read.
-func foreign(o Object) bool { return o.Name != "" && !validName(o.Name) }
+func hasForeignName(o Object) bool { return o.Name != "" && !validName(o.Name) }
 
-// problem returns the reason why an object cannot be part of the response to q,
+// mismatch returns the reason why an object cannot be part of the response to q,
 // or "" if it can.
-func (q Query) problem(o Object) string {
+func (q Query) mismatch(o Object) string {
 	switch {
 	case o.Kind != q.Kind:
 		return "object of another kind"
--- a/objects/decode_test.go
+++ b/objects/decode_test.go
@@ -17,14 +17,14 @@
 	good := Object{Kind: "config", Name: "main", Version: 4, Revision: 9}
 	_, err := update.object(Answer{}, Reply{Objects: []Object{good}})
 	c.Assert(err, qt.IsNil)
-	for problem, spoil := range map[string]func(*Object){
+	for problem, corrupt := range map[string]func(*Object){
 		"kind":       func(o *Object) { o.Kind = "other" },
 		"name":       func(o *Object) { o.Name = "else" },
 		"no version": func(o *Object) { o.Version = 0 },
 		"went back":  func(o *Object) { o.Version = 3 },
 	} {
 		o := good
-		spoil(&o)
+		corrupt(&o)
 		_, err := update.object(Answer{}, Reply{Objects: []Object{o}})
 		c.Check(err, qt.ErrorAs, new(*ProtocolError), qt.Commentf("%s", problem))
 	}
@@ -64,18 +64,18 @@
 // The memory that a view uses for tombstones must stay bounded however many
 // objects are deleted, and a list from a lagging replica must not revert the
 // handler to older versions.
-func TestViewForgetsTombstonesAndRefusesStaleLists(t *testing.T) {
+func TestViewBoundsTombstonesAndRejectsStaleLists(t *testing.T) {
 	c := qt.New(t)
 	v := newView()
 	for i := range uint64(maxTombstones + 1) {
-		v.accept(Event{Type: EventDelete, Object: Object{Name: decimal(i), Revision: i + 1}})
+		v.recordIfNew(Event{Type: EventDelete, Object: Object{Name: formatDecimal(i), Revision: i + 1}})
 	}
-	c.Assert(v.overTombstones(), qt.IsTrue)
+	c.Assert(v.hasTooManyTombstones(), qt.IsTrue)
 	_, err := v.replace("config", nil, maxTombstones)
 	c.Assert(err, qt.ErrorAs, new(*StaleError))
-	news, err := v.replace("config", nil, maxTombstones+1)
+	changes, err := v.replace("config", nil, maxTombstones+1)
 	c.Assert(err, qt.IsNil)
-	c.Assert(news, qt.HasLen, 0)
-	c.Assert(v.seen, qt.HasLen, 0)
-	c.Assert(v.accept(Event{Object: Object{Name: "7", Revision: 5}}), qt.IsFalse)
+	c.Assert(changes, qt.HasLen, 0)
+	c.Assert(v.known, qt.HasLen, 0)
+	c.Assert(v.recordIfNew(Event{Object: Object{Name: "7", Revision: 5}}), qt.IsFalse)
 }
--- a/objects/errors.go
+++ b/objects/errors.go
@@ -21,7 +21,7 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return string(e.Op) + " " + e.Kind + "/" + e.Name + ": expected version " + decimal(e.Expected) + ", stored is " + decimal(e.Current.Version)
+	return string(e.Op) + " " + e.Kind + "/" + e.Name + ": expected version " + formatDecimal(e.Expected) + ", stored is " + formatDecimal(e.Current.Version)
 }
 
 // NotFoundError means that the object does not exist. Nothing was changed.
@@ -48,7 +48,7 @@
 
 // Error implements error.
 func (e *UnavailableError) Error() string {
-	return string(e.Op) + ": platform unavailable" + because(e.Cause)
+	return string(e.Op) + ": platform unavailable" + causeSuffix(e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -63,7 +63,7 @@
 
 // Error implements error.
 func (e *StatusError) Error() string {
-	return "status " + strconv.Itoa(e.Status) + " " + shorten(e.Code)
+	return "status " + strconv.Itoa(e.Status) + " " + truncate(e.Code)
 }
 
 // AmbiguousError means that a write was sent and no usable response arrived. The
@@ -79,7 +79,7 @@
 
 // Error implements error.
 func (e *AmbiguousError) Error() string {
-	return string(e.Op) + " " + e.Kind + "/" + e.Name + ": write sent, outcome unknown" + because(e.Cause)
+	return string(e.Op) + " " + e.Kind + "/" + e.Name + ": write sent, outcome unknown" + causeSuffix(e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -109,7 +109,7 @@
 
 // Error implements error.
 func (e *CompactedError) Error() string {
-	return "watch " + e.Kind + ": events after revision " + decimal(e.From) + " are no longer retained, oldest revision to watch from is " + decimal(e.Oldest)
+	return "watch " + e.Kind + ": events after revision " + formatDecimal(e.From) + " are no longer retained, oldest revision to watch from is " + formatDecimal(e.Oldest)
 }
 
 // TooLargeError means that a value, a response or a list exceeds its limit.
@@ -148,7 +148,7 @@
 
 // Error implements error.
 func (e *ProtocolError) Error() string {
-	return string(e.Op) + ": malformed response with status " + strconv.Itoa(e.Status) + ": " + e.Detail + because(e.Cause)
+	return string(e.Op) + ": malformed response with status " + strconv.Itoa(e.Status) + ": " + e.Detail + causeSuffix(e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -164,7 +164,7 @@
 
 // Error implements error.
 func (e *InvalidError) Error() string {
-	return e.Field + ": " + strconv.Quote(shorten(e.Value)) + ": want " + e.Want
+	return e.Field + ": " + strconv.Quote(truncate(e.Value)) + ": want " + e.Want
 }
 
 // StaleError means that a list is older than the latest revision that a watcher
@@ -177,21 +177,21 @@
 
 // Error implements error.
 func (e *StaleError) Error() string {
-	return "list " + e.Kind + ": revision " + decimal(e.Revision) + " is older than " + decimal(e.Seen) + ", which was already seen"
+	return "list " + e.Kind + ": revision " + formatDecimal(e.Revision) + " is older than " + formatDecimal(e.Seen) + ", which was already seen"
 }
 
-func because(cause error) string {
+func causeSuffix(cause error) string {
 	if cause == nil {
 		return ""
 	}
 	return ": " + cause.Error()
 }
 
-func decimal(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatDecimal(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// shorten truncates s to maxShownValue bytes, so that malicious input cannot
+// truncate shortens s to maxShownValue bytes, so that malicious input cannot
 // flood a log.
-func shorten(s string) string {
+func truncate(s string) string {
 	if len(s) > maxShownValue {
 		return s[:maxShownValue] + "..."
 	}
--- a/objects/exchange.go
+++ b/objects/exchange.go
@@ -54,10 +54,10 @@
 	if err := c.spend(q.Op); err != nil {
 		return Answer{}, Reply{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout+longestAnswer*c.options.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, timeout+maxResponseTimeouts*c.options.Timeout)
 	defer cancel()
 	progress := startProgress(ctx, timeout, c.options.Timeout)
-	defer progress.end()
+	defer progress.stop()
 	a, err := c.send(progress.ctx, q, m, progress)
 	if err != nil {
 		return Answer{}, Reply{}, err
@@ -74,7 +74,7 @@
 		// net/http repeats a GET when a reused connection breaks. The platform
 		// counts both requests, so both are charged to the budget.
 		if attempts > 1 {
-			c.budget(q.Op).charge()
+			c.budget(q.Op).chargeUnchecked()
 		}
 	}}
 	req, err := c.newRequest(httptrace.WithClientTrace(ctx, trace), m)
@@ -121,7 +121,7 @@
 		return Answer{}, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(p.watch(resp.Body), c.options.MaxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(p.wrap(resp.Body), c.options.MaxAnswer+1))
 	if err != nil {
 		return Answer{}, err
 	}
--- a/objects/settle.go
+++ b/objects/settle.go
@@ -5,10 +5,10 @@
 	"errors"
 )
 
-// maxRaces is the number of lost races after which UpdateSettled returns the next
+// maxLostRaces is the number of lost races after which UpdateSettled returns the next
 // conflict to its caller. Another writer wins each race that UpdateSettled loses,
 // so more losses mean that far too many writers change the same object.
-const maxRaces = 16
+const maxLostRaces = 16
 
 // UpdateSettled changes one object with conditional writes. If the response to a
 // write is lost, it reads the object back to find out whether the write took
@@ -41,7 +41,7 @@
 		}
 		written, err := s.write(current, value, isMine)
 		conflict, lost := err.(*ConflictError)
-		if !lost || races == maxRaces {
+		if !lost || races == maxLostRaces {
 			return written, err
 		}
 		current = conflict.Current
@@ -84,13 +84,13 @@
 		if err == nil {
 			return written, nil
 		}
-		if unsettled, ok := err.(*AmbiguousError); ok {
-			ambiguous = unsettled
+		if latest, ok := err.(*AmbiguousError); ok {
+			ambiguous = latest
 		}
 		if ambiguous == nil {
 			return Object{}, err
 		}
-		Pause(s.ctx, askedDelay(err)+Backoff{}.Delay(attempt, rnd))
+		Pause(s.ctx, requestedDelay(err)+Backoff{}.Delay(attempt, rnd))
 		current, err := s.readBack(ambiguous)
 		if err != nil {
 			return Object{}, err
@@ -116,6 +116,6 @@
 		if err == nil {
 			return current, nil
 		}
-		Pause(s.ctx, askedDelay(err)+Backoff{}.Delay(attempt, rnd))
+		Pause(s.ctx, requestedDelay(err)+Backoff{}.Delay(attempt, rnd))
 	}
 }
--- a/objects/silent_test.go
+++ b/objects/silent_test.go
@@ -9,18 +9,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// silentStore is a Store whose watches get no response while its object changes.
-type silentStore struct {
+// unansweredStore is a Store whose watches get no response while its object changes.
+type unansweredStore struct {
 	Store
 	lists int
 }
 
-func (s *silentStore) List(context.Context, string, string) ([]Object, uint64, error) {
+func (s *unansweredStore) List(context.Context, string, string) ([]Object, uint64, error) {
 	s.lists++
 	return []Object{{Kind: "kind", Name: "one", Version: uint64(s.lists), Revision: uint64(s.lists), Value: []byte("{}")}}, uint64(s.lists), nil
 }
 
-func (s *silentStore) Watch(ctx context.Context, _ string, _ uint64) ([]Event, uint64, error) {
+func (s *unansweredStore) Watch(ctx context.Context, _ string, _ uint64) ([]Event, uint64, error) {
 	Pause(ctx, time.Second)
 	return nil, 0, &UnavailableError{Op: OpWatch}
 }
@@ -28,9 +28,9 @@
 // The platform drops its event history, and its watches get no response for a
 // while. A watcher that reacted to an unanswered watch only with another watch
 // would learn of a change a second later; it must list instead.
-func TestSilentWatchIsFollowedByAList(t *testing.T) {
+func TestUnansweredWatchIsFollowedByList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &silentStore{}
+		store := &unansweredStore{}
 		var seen []uint64
 		w := &Watcher{Store: store, Kind: "kind", Handle: func(e Event) { seen = append(seen, e.Object.Version) }}
 		ctx, cancel := context.WithTimeout(t.Context(), 1300*time.Millisecond)
--- a/objects/watcher.go
+++ b/objects/watcher.go
@@ -74,20 +74,20 @@
 // step makes one call and returns the delay before the next one.
 func (r *watchRun) step(ctx context.Context) time.Duration {
 	if !r.listed {
-		return r.after(ctx, r.list(ctx))
+		return r.delayAfter(ctx, r.list(ctx))
 	}
 	err := r.poll(ctx)
 	if err != nil {
-		return r.after(ctx, err)
+		return r.delayAfter(ctx, err)
 	}
 	// Only a successful watch resets the number of failures. If a list did so
 	// too, a watcher would list again and again with hardly any delay on a
 	// platform whose event history does not reach from a list to the next watch.
 	r.failures = 0
-	if r.view.overTombstones() {
+	if r.view.hasTooManyTombstones() {
 		r.listed = false
 	}
-	return r.spread()
+	return r.spreadDelay()
 }
 
 func (r *watchRun) list(ctx context.Context) error {
@@ -95,11 +95,11 @@
 	if err != nil {
 		return err
 	}
-	news, err := r.view.replace(r.Kind, objects, revision)
+	changes, err := r.view.replace(r.Kind, objects, revision)
 	if err != nil {
 		return err
 	}
-	for _, event := range news {
+	for _, event := range changes {
 		r.Handle(event)
 	}
 	r.listed = true
@@ -116,7 +116,7 @@
 		return err
 	}
 	for _, event := range events {
-		if r.view.accept(event) {
+		if r.view.recordIfNew(event) {
 			r.Handle(event)
 		}
 	}
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// after returns the delay after a list or a failed call, and decides whether the
-// next call is a list.
-func (r *watchRun) after(ctx context.Context, err error) time.Duration {
+// delayAfter returns the delay after a list or a failed call, and decides whether
+// the next call is a list.
+func (r *watchRun) delayAfter(ctx context.Context, err error) time.Duration {
 	if err == nil || ctx.Err() != nil {
 		return 0
 	}
@@ -141,12 +141,12 @@
 	if r.OnError != nil {
 		r.OnError(err)
 	}
-	delay := askedDelay(err) + r.Backoff.Delay(r.failures, r.rand)
+	delay := requestedDelay(err) + r.Backoff.Delay(r.failures, r.rand)
 	r.failures++
 	return delay
 }
 
-func (r *watchRun) spread() time.Duration {
+func (r *watchRun) spreadDelay() time.Duration {
 	limit := r.Spread
 	if limit == 0 {
 		limit = DefaultSpread
@@ -157,8 +157,8 @@
 	return time.Duration(r.rand.Int64N(int64(limit) + 1))
 }
 
-// askedDelay returns the minimum delay that an error requests before a retry.
-func askedDelay(err error) time.Duration {
+// requestedDelay returns the minimum delay that an error requests before a retry.
+func requestedDelay(err error) time.Duration {
 	switch e := err.(type) {
 	case *UnavailableError:
 		return e.RetryAfter
--- a/objects/watcher_test.go
+++ b/objects/watcher_test.go
@@ -95,15 +95,15 @@
 // down for ten minutes, which fails all watches at the same moment. If the watchers
 // retried simultaneously, they would use up the platform's read rate as soon as it
 // is up again. No tenth of a second may contain more than a tenth of 2,000 reads.
-func TestWatchersComeBackSpreadOut(t *testing.T) {
+func TestWatcherRetriesAreSpreadOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		memory := standin.NewMemory()
 		ctx, cancel := context.WithCancel(background)
 		defer cancel()
-		var news atomic.Int64
+		var received atomic.Int64
 		for i := range uint64(560) {
-			w := &objects.Watcher{Store: memory, Kind: "config", Rand: rand.New(rand.NewPCG(i, 3)), Handle: func(objects.Event) { news.Add(1) }}
+			w := &objects.Watcher{Store: memory, Kind: "config", Rand: rand.New(rand.NewPCG(i, 3)), Handle: func(objects.Event) { received.Add(1) }}
 			go w.Run(ctx)
 		}
 		calls := func() uint64 {
@@ -128,21 +128,21 @@
 		recovery := peak(600)
 		t.Logf("maximum calls in 100 ms: %d after an event, %d after the outage", event, recovery)
 		c.Assert(event <= 200 && recovery <= 200, qt.IsTrue)
-		c.Assert(news.Load(), qt.Equals, int64(2*560))
+		c.Assert(received.Load(), qt.Equals, int64(2*560))
 	})
 }
 
-// shortAnswers is a store whose watches fail with a TooLargeError if they would
-// return more than most events, as if the response exceeded the client's limit.
-type shortAnswers struct {
+// limitedStore is a store whose watches fail with a TooLargeError if they would
+// return more than maxEvents events, as if the response exceeded the client's limit.
+type limitedStore struct {
 	objects.Store
-	most int
+	maxEvents int
 }
 
-func (s *shortAnswers) Watch(ctx context.Context, kind string, from uint64) ([]objects.Event, uint64, error) {
+func (s *limitedStore) Watch(ctx context.Context, kind string, from uint64) ([]objects.Event, uint64, error) {
 	events, next, err := s.Store.Watch(ctx, kind, from)
-	if err == nil && len(events) > s.most {
-		return nil, 0, &objects.TooLargeError{What: "answer", Limit: int64(s.most)}
+	if err == nil && len(events) > s.maxEvents {
+		return nil, 0, &objects.TooLargeError{What: "answer", Limit: int64(s.maxEvents)}
 	}
 	return events, next, err
 }
@@ -152,7 +152,7 @@
 // every watch from the same revision fails in the same way: the node would learn of
 // no later change until its next restart. It must list instead, because it needs
 // only the latest state.
-func TestWatcherCatchesUpWithMoreThanAnAnswerHolds(t *testing.T) {
+func TestWatcherListsWhenEventsExceedResponseLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		memory := standin.NewMemory()
@@ -161,7 +161,7 @@
 		o, err := memory.Create(background, "config", "main", []byte("v0"))
 		c.Assert(err, qt.IsNil)
 		got := newReplica(c)
-		watcher := &objects.Watcher{Store: &shortAnswers{Store: memory, most: 3}, Kind: "config", Handle: got.handle}
+		watcher := &objects.Watcher{Store: &limitedStore{Store: memory, maxEvents: 3}, Kind: "config", Handle: got.handle}
 		done := make(chan struct{})
 		go func() {
 			watcher.Run(ctx)
--- a/standin/admit.go
+++ b/standin/admit.go
@@ -33,7 +33,7 @@
 
 // admit counts a call and rejects it if the store is down or its rate limit is
 // exceeded. It returns the injected delay and, for a write, the injected outcome.
-func (m *Memory) admit(op objects.Op) (time.Duration, fate, error) {
+func (m *Memory) admit(op objects.Op) (time.Duration, writeOutcome, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stats.Calls[op]++
@@ -43,28 +43,28 @@
 	}
 	if m.faults.Down {
 		m.stats.RefusedDown++
-		return 0, fateAnswered, unavailable(op, http.StatusServiceUnavailable)
+		return 0, outcomeAnswered, unavailable(op, http.StatusServiceUnavailable)
 	}
 	if !limiter.Allow() {
 		m.stats.RefusedRate++
-		return 0, fateAnswered, unavailable(op, http.StatusTooManyRequests)
+		return 0, outcomeAnswered, unavailable(op, http.StatusTooManyRequests)
 	}
-	return millis(m.faults.DelayMillis), m.drawFate(op), nil
+	return milliseconds(m.faults.DelayMillis), m.drawOutcome(op), nil
 }
 
-func (m *Memory) drawFate(op objects.Op) fate {
+func (m *Memory) drawOutcome(op objects.Op) writeOutcome {
 	if !op.Writes() {
-		return fateAnswered
+		return outcomeAnswered
 	}
-	if takeNext(&m.faults.LoseNext) {
+	if consumeFault(&m.faults.LoseNext) {
 		m.stats.Lost++
-		return fateLost
+		return outcomeLost
 	}
-	if takeNext(&m.faults.DropNext) || m.rand.Float64() < m.faults.DropProbability {
+	if consumeFault(&m.faults.DropNext) || m.rand.Float64() < m.faults.DropProbability {
 		m.stats.Dropped++
-		return fateDropped
+		return outcomeDropped
 	}
-	return fateAnswered
+	return outcomeAnswered
 }
 
 func unavailable(op objects.Op, status int) error {
--- a/standin/events.go
+++ b/standin/events.go
@@ -8,25 +8,25 @@
 	"pollengauge.dev/objects"
 )
 
-// delivery is an event in the log. Watches select deliveries by place, the store's
-// revision at which the event was delivered. For a late event the place is higher
-// than the event's own revision.
+// delivery is an event in the log. Watches select deliveries by position, the
+// store's revision at which the event was delivered. For a late event the position
+// is higher than the event's own revision.
 type delivery struct {
-	place uint64
-	event objects.Event
+	position uint64
+	event    objects.Event
 }
 
 // publish delivers an event once, twice or late, according to the faults.
 func (m *Memory) publish(event objects.Event) {
-	if takeNext(&m.faults.LateNext) {
+	if consumeFault(&m.faults.LateNext) {
 		// The delay is at least a nanosecond, because a timer must not have
 		// expired already when it is created; applyAt gives the reason.
-		time.AfterFunc(max(millis(m.faults.LateMillis), 1), func() { m.publishLate(event) })
+		time.AfterFunc(max(milliseconds(m.faults.LateMillis), 1), func() { m.publishLate(event) })
 		return
 	}
-	m.record(event)
-	if takeNext(&m.faults.DuplicateNext) {
-		m.record(event)
+	m.appendDelivery(event)
+	if consumeFault(&m.faults.DuplicateNext) {
+		m.appendDelivery(event)
 	}
 }
 
@@ -36,29 +36,29 @@
 	// The delivery gets a new revision, so that watches from a revision after
 	// the event's own still return it.
 	m.revision++
-	m.record(event)
+	m.appendDelivery(event)
 }
 
-func (m *Memory) record(event objects.Event) {
-	m.log = append(m.log, delivery{place: m.revision, event: event})
+func (m *Memory) appendDelivery(event objects.Event) {
+	m.log = append(m.log, delivery{position: m.revision, event: event})
 	if extra := len(m.log) - m.options.History; extra > 0 {
-		m.compacted = m.log[extra-1].place
+		m.compactedTo = m.log[extra-1].position
 		m.log = slices.Delete(m.log, 0, extra)
 	}
-	m.wake(event.Object.Kind)
+	m.wakeWatches(event.Object.Kind)
 }
 
-func (m *Memory) wake(kind string) {
+func (m *Memory) wakeWatches(kind string) {
 	if ch, ok := m.changed[kind]; ok {
 		close(ch)
 		delete(m.changed, kind)
 	}
 }
 
-// since returns the events of a kind after the revision from, the revision from
-// which the next watch starts, and a channel that is closed when there may be
+// eventsSince returns the events of a kind after the revision from, the revision
+// from which the next watch starts, and a channel that is closed when there may be
 // more events.
-func (m *Memory) since(kind string, from uint64) (events []objects.Event, next uint64, changed <-chan struct{}, err error) {
+func (m *Memory) eventsSince(kind string, from uint64) (events []objects.Event, next uint64, changed <-chan struct{}, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.faults.Down {
@@ -66,22 +66,22 @@
 	}
 	// A revision that this store has not reached yet belongs to the history of
 	// another store.
-	if from < m.compacted || from > m.revision {
-		return nil, from, nil, &objects.CompactedError{Kind: kind, From: from, Oldest: m.compacted}
+	if from < m.compactedTo || from > m.revision {
+		return nil, from, nil, &objects.CompactedError{Kind: kind, From: from, Oldest: m.compactedTo}
 	}
 	next = m.revision
 	size := 0
 	for _, d := range m.log {
-		if d.place <= from || d.event.Object.Kind != kind {
+		if d.position <= from || d.event.Object.Kind != kind {
 			continue
 		}
-		// A page must not end between two deliveries with the same place:
+		// A page must not end between two deliveries with the same position:
 		// the next watch would skip the second one, the copy of a duplicated
 		// event.
-		if (len(events) >= maxPage || size >= maxPageBytes) && d.place > next {
+		if (len(events) >= maxPage || size >= maxPageBytes) && d.position > next {
 			break
 		}
-		next = d.place
+		next = d.position
 		size += len(d.event.Object.Value)
 		events = append(events, d.event)
 	}
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -33,19 +33,20 @@
 	Compact bool `json:"compact,omitempty"`
 }
 
-// fate is the injected outcome of a write and its response.
-type fate uint8
+// writeOutcome is the injected outcome of a write and its response.
+type writeOutcome uint8
 
 const (
-	fateAnswered fate = iota
-	fateDropped       // takes effect, no response
-	fateLost          // no effect, no response
+	outcomeAnswered writeOutcome = iota
+	outcomeDropped               // takes effect, no response
+	outcomeLost                  // no effect, no response
 )
 
-func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// takeNext reports whether a counted fault has occurrences left, and uses up one.
-func takeNext(n *int) bool {
+// consumeFault reports whether a counted fault has occurrences left, and uses up
+// one.
+func consumeFault(n *int) bool {
 	if *n <= 0 {
 		return false
 	}
--- a/standin/foreign_test.go
+++ b/standin/foreign_test.go
@@ -16,7 +16,7 @@
 // Another program stores its own entries in the platform's store, in its own JSON
 // format. It must read back exactly the JSON that it wrote, because the store does
 // not know the format in which this project wraps its values.
-func TestEntriesOfOtherWritersAreReadAsWritten(t *testing.T) {
+func TestEntriesOfOtherWritersAreUnchanged(t *testing.T) {
 	c := qt.New(t)
 	s := New(Options{})
 	for i, specification := range []string{
--- a/standin/memory.go
+++ b/standin/memory.go
@@ -37,7 +37,7 @@
 
 // List implements objects.Store.
 func (m *Memory) List(ctx context.Context, kind, prefix string) ([]objects.Object, uint64, error) {
-	objects, revision, _, err := m.listPage(ctx, kind, prefix, "", page{objects: math.MaxInt, bytes: math.MaxInt})
+	objects, revision, _, err := m.listPage(ctx, kind, prefix, "", pageLimit{objects: math.MaxInt, bytes: math.MaxInt})
 	return objects, revision, err
 }
 
@@ -68,7 +68,7 @@
 	return m.watch(ctx, kind, from, memoryWait)
 }
 
-func (m *Memory) listPage(ctx context.Context, kind, prefix, after string, limit page) ([]objects.Object, uint64, bool, error) {
+func (m *Memory) listPage(ctx context.Context, kind, prefix, after string, limit pageLimit) ([]objects.Object, uint64, bool, error) {
 	if err := objects.CheckKind(kind); err != nil {
 		return nil, 0, false, err
 	}
@@ -96,7 +96,7 @@
 	timer := time.NewTimer(max(wait, 1))
 	defer timer.Stop()
 	for {
-		events, next, changed, err := m.since(kind, from)
+		events, next, changed, err := m.eventsSince(kind, from)
 		if err != nil || len(events) > 0 {
 			return events, next, err
 		}
@@ -140,17 +140,17 @@
 		return objects.Object{}, err
 	}
 	ambiguous := &objects.AmbiguousError{Op: op, Kind: o.Kind, Name: o.Name, Expected: o.Version, Cause: &LostError{}}
-	if outcome == fateLost {
+	if outcome == outcomeLost {
 		return objects.Object{}, ambiguous
 	}
-	arrives := time.Now().Add(delay)
+	arrival := time.Now().Add(delay)
 	if !objects.Pause(ctx, delay) {
-		m.applyAt(arrives, op, o)
+		m.applyAt(arrival, op, o)
 		ambiguous.Cause = ctx.Err()
 		return objects.Object{}, ambiguous
 	}
 	written, err := m.apply(op, o)
-	if outcome == fateDropped {
+	if outcome == outcomeDropped {
 		return objects.Object{}, ambiguous
 	}
 	return written, err
--- a/standin/options.go
+++ b/standin/options.go
@@ -7,9 +7,9 @@
 	DefaultReadRate  = 2000
 	DefaultWriteRate = 400
 	DefaultHistory   = 4096
-	// burstShare is the divisor of a rate that gives its burst: a tenth of a
+	// burstDivisor is the divisor of a rate that gives its burst: a tenth of a
 	// second's calls may arrive at once.
-	burstShare = 10
+	burstDivisor = 10
 )
 
 // Options configures a Server or a Memory. The zero value selects the defaults,
@@ -49,5 +49,5 @@
 	if perSecond >= float64(rate.Inf) {
 		return rate.NewLimiter(rate.Inf, 1)
 	}
-	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/burstShare)))
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/burstDivisor)))
 }
--- a/standin/server.go
+++ b/standin/server.go
@@ -46,7 +46,7 @@
 	s.mux.HandleFunc("PUT "+store.ObjectsPath+"{kind}/{name}", s.serveUpdate)
 	s.mux.HandleFunc("DELETE "+store.ObjectsPath+"{kind}/{name}", s.serveDelete)
 	s.mux.HandleFunc("/faults", s.serveFaults)
-	s.mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) { answer(w, s.Stats()) })
+	s.mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Stats()) })
 	return s
 }
 
@@ -81,7 +81,7 @@
 
 func (s *Server) serveGet(w http.ResponseWriter, r *http.Request) {
 	o, err := s.Get(r.Context(), r.PathValue("kind"), r.PathValue("name"))
-	answerObject(w, o, err)
+	writeObject(w, o, err)
 }
 
 // serveKind serves a list, or a watch if the URL's query contains one.
@@ -90,22 +90,22 @@
 		s.serveWatch(w, r)
 		return
 	}
-	limit := page{objects: maxPage, bytes: maxPageBytes}
+	limit := pageLimit{objects: maxPage, bytes: maxPageBytes}
 	found, revision, more, err := s.listPage(r.Context(), r.PathValue("kind"), "", r.URL.Query().Get(store.QueryAfter), limit)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	list := store.List{Items: make([]store.Object, 0, len(found)), Revision: revision, HasMore: more}
 	for _, o := range found {
 		item, err := toWire(o)
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 		list.Items = append(list.Items, item)
 	}
-	answer(w, list)
+	writeJSON(w, list)
 }
 
 func (s *Server) serveCreate(w http.ResponseWriter, r *http.Request) {
@@ -119,21 +119,21 @@
 func (s *Server) servePut(w http.ResponseWriter, r *http.Request, op objects.Op) {
 	var body store.Object
 	if err := readJSON(w, r, &body); err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	name := body.Metadata.Name
 	if op == objects.OpUpdate {
 		name = r.PathValue("name")
 		if err := objects.CheckVersion(body.Metadata.Revision); err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 	}
 	s.serveWrite(w, r, op, objects.Object{
 		Name:    name,
 		Version: body.Metadata.Revision,
-		Value:   store.Unwrap(compact(body.Specification)),
+		Value:   store.Unwrap(canonicalJSON(body.Specification)),
 	})
 }
 
@@ -141,7 +141,7 @@
 	condition := r.URL.Query().Get(store.QueryRevision)
 	version, err := strconv.ParseUint(condition, 10, 64)
 	if err != nil || version == 0 {
-		refuse(w, &objects.InvalidError{Field: store.QueryRevision, Value: condition, Want: "the object's revision"})
+		writeError(w, &objects.InvalidError{Field: store.QueryRevision, Value: condition, Want: "the object's revision"})
 		return
 	}
 	s.serveWrite(w, r, objects.OpDelete, objects.Object{Name: r.PathValue("name"), Version: version})
@@ -152,10 +152,10 @@
 func (s *Server) serveWrite(w http.ResponseWriter, r *http.Request, op objects.Op, o objects.Object) {
 	o.Kind = r.PathValue("kind")
 	written, err := s.write(context.WithoutCancel(r.Context()), op, o)
-	if _, unanswered := err.(*objects.AmbiguousError); unanswered {
+	if _, ambiguous := err.(*objects.AmbiguousError); ambiguous {
 		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
-	answerObject(w, written, err)
+	writeObject(w, written, err)
 }
 
 func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
@@ -163,41 +163,42 @@
 	from, fromErr := strconv.ParseUint(query.Get(store.QueryWatch), 10, 64)
 	wait, waitErr := strconv.ParseUint(query.Get(store.QueryWait), 10, 32)
 	if fromErr != nil || waitErr != nil {
-		refuse(w, &objects.InvalidError{Field: "query", Value: r.URL.RawQuery, Want: "a revision and a wait in milliseconds"})
+		writeError(w, &objects.InvalidError{Field: "query", Value: r.URL.RawQuery, Want: "a revision and a wait in milliseconds"})
 		return
 	}
 	wait = min(wait, store.MaxWaitMillis)
 	events, next, err := s.watch(r.Context(), r.PathValue("kind"), from, time.Duration(wait)*time.Millisecond)
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	list := store.Events{Events: make([]store.Event, 0, len(events)), Revision: next}
 	for _, e := range events {
 		o, err := toWire(e.Object)
 		if err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 		list.Events = append(list.Events, store.Event{Object: o, Deleted: e.Type == objects.EventDelete})
 	}
-	answer(w, list)
+	writeJSON(w, list)
 }
 
 // toWire converts an object to the JSON type of the HTTP API. The value of an
 // object that another program wrote is sent as the JSON that was written.
 func toWire(o objects.Object) (store.Object, error) {
-	specification, err := specify(o.Value)
+	specification, err := encodeSpecification(o.Value)
 	return store.Object{
 		Metadata:      store.Metadata{Name: o.Name, Revision: o.Revision},
 		Specification: specification,
 	}, err
 }
 
-// specify returns value itself if it is JSON that a client reads back byte for
-// byte, and value wrapped in this project's format otherwise. If the entries of
-// other programs were wrapped as well, these programs could not read them.
-func specify(value []byte) (json.RawMessage, error) {
+// encodeSpecification returns value itself if it is JSON that a client reads back
+// byte for byte, and value wrapped in this project's format otherwise. If the
+// entries of other programs were wrapped as well, these programs could not read
+// them.
+func encodeSpecification(value []byte) (json.RawMessage, error) {
 	plain, err := json.Marshal(json.RawMessage(value))
 	if err == nil && bytes.Equal(plain, value) && bytes.Equal(store.Unwrap(value), value) {
 		return value, nil
@@ -205,9 +206,9 @@
 	return store.Wrap(value)
 }
 
-// compact returns JSON as json.Marshal encodes it, which is how it is served:
+// canonicalJSON returns JSON as json.Marshal encodes it, which is how it is served:
 // without insignificant white space and with HTML characters escaped.
-func compact(specification json.RawMessage) json.RawMessage {
+func canonicalJSON(specification json.RawMessage) json.RawMessage {
 	plain, err := json.Marshal(specification)
 	if err != nil {
 		return specification // can't happen: the body was decoded as JSON
@@ -220,12 +221,12 @@
 	if r.Method == http.MethodPost {
 		var f Faults
 		if err := readJSON(w, r, &f); err != nil {
-			refuse(w, err)
+			writeError(w, err)
 			return
 		}
 		s.SetFaults(f)
 	}
-	answer(w, s.Faults())
+	writeJSON(w, s.Faults())
 }
 
 func readJSON(w http.ResponseWriter, r *http.Request, v any) error {
@@ -242,23 +243,23 @@
 	return nil
 }
 
-func answer(w http.ResponseWriter, v any) { answerWith(w, http.StatusOK, v) }
+func writeJSON(w http.ResponseWriter, v any) { writeJSONStatus(w, http.StatusOK, v) }
 
-func answerWith(w http.ResponseWriter, status int, v any) {
+func writeJSONStatus(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v) // an error means that the caller has disconnected
 }
 
-func answerObject(w http.ResponseWriter, o objects.Object, err error) {
+func writeObject(w http.ResponseWriter, o objects.Object, err error) {
 	if err == nil {
 		var item store.Object
 		if item, err = toWire(o); err == nil {
-			answer(w, item)
+			writeJSON(w, item)
 			return
 		}
 	}
-	refuse(w, err)
+	writeError(w, err)
 }
 
 // errorBody is the body of an error response. Clients use only the status.
@@ -266,15 +267,15 @@
 	Error string `json:"error"`
 }
 
-// refuse writes the error response for err. Its statuses are the inverse of the
+// writeError writes the error response for err. Its statuses are the inverse of the
 // client's mapping from statuses to errors.
-func refuse(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	switch e := err.(type) {
 	case *objects.NotFoundError:
 		status = http.StatusNotFound
 	case *objects.ConflictError:
-		refuseConflict(w, e)
+		writeConflict(w, e)
 		return
 	case *objects.CompactedError:
 		status = http.StatusGone
@@ -287,17 +288,17 @@
 		}
 		w.Header().Set("Retry-After", strconv.Itoa(int(e.RetryAfter.Seconds())))
 	}
-	answerWith(w, status, errorBody{Error: err.Error()})
+	writeJSONStatus(w, status, errorBody{Error: err.Error()})
 }
 
-// refuseConflict writes the response to a conflict. It contains the stored object,
+// writeConflict writes the response to a conflict. It contains the stored object,
 // except for a create: the documentation of the store's API promises the object
 // only for a condition that is not met.
-func refuseConflict(w http.ResponseWriter, e *objects.ConflictError) {
+func writeConflict(w http.ResponseWriter, e *objects.ConflictError) {
 	current, err := toWire(e.Current)
 	if e.Op == objects.OpCreate || err != nil {
-		answerWith(w, http.StatusConflict, errorBody{Error: e.Error()})
+		writeJSONStatus(w, http.StatusConflict, errorBody{Error: e.Error()})
 		return
 	}
-	answerWith(w, http.StatusConflict, current)
+	writeJSONStatus(w, http.StatusConflict, current)
 }
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -153,7 +153,7 @@
 // never be used twice for the same object, not even after delete and create.
 // Applying the retained events in order must lead from any previously listed state
 // to the current one.
-func TestEventsLeadToThePresent(t *testing.T) {
+func TestEventsLeadToCurrentState(t *testing.T) {
 	for seed := range uint64(20) {
 		c := qt.New(t)
 		rnd := rand.New(rand.NewPCG(seed, 0))
--- a/standin/store.go
+++ b/standin/store.go
@@ -26,14 +26,14 @@
 	objects  map[string]map[string]objects.Object
 	revision uint64
 	log      []delivery
-	// compacted is the highest place of the deliveries removed from log.
-	compacted uint64
-	changed   map[string]chan struct{} // closed at the kind's next event
+	// compactedTo is the highest position of the deliveries removed from log.
+	compactedTo uint64
+	changed     map[string]chan struct{} // closed at the kind's next event
 }
 
-// page is the limit of one response: a number of objects and the bytes of their
+// pageLimit is the limit of one response: a number of objects and the bytes of their
 // values.
-type page struct{ objects, bytes int }
+type pageLimit struct{ objects, bytes int }
 
 // NewMemoryWith returns an empty Memory with the given options.
 func NewMemoryWith(options Options) *Memory {
@@ -58,12 +58,12 @@
 	m.writes = newLimiter(f.WriteRate, m.options.WriteRate)
 	if f.Compact {
 		m.log = nil
-		m.compacted = m.revision
+		m.compactedTo = m.revision
 		f.Compact = false
 	}
 	m.faults = f
 	for kind := range m.changed {
-		m.wake(kind)
+		m.wakeWatches(kind)
 	}
 }
 
@@ -82,12 +82,12 @@
 	if !ok {
 		return objects.Object{}, &objects.NotFoundError{Op: objects.OpGet, Kind: kind, Name: name}
 	}
-	return cloned(o), nil
+	return clone(o), nil
 }
 
 // scan returns one page of the objects whose names start with prefix and sort after
 // the name after, in order of their names.
-func (m *Memory) scan(kind, prefix, after string, limit page) (objects []objects.Object, revision uint64, more bool) {
+func (m *Memory) scan(kind, prefix, after string, limit pageLimit) (objects []objects.Object, revision uint64, more bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	size := 0
@@ -98,7 +98,7 @@
 		if len(objects) >= limit.objects || size >= limit.bytes {
 			return objects, m.revision, true
 		}
-		o := cloned(m.objects[kind][name])
+		o := clone(m.objects[kind][name])
 		size += len(o.Value)
 		objects = append(objects, o)
 	}
@@ -115,10 +115,10 @@
 		return objects.Object{}, &objects.NotFoundError{Op: op, Kind: o.Kind, Name: o.Name}
 	}
 	if stored.Version != o.Version {
-		return objects.Object{}, &objects.ConflictError{Op: op, Kind: o.Kind, Name: o.Name, Expected: o.Version, Current: cloned(stored)}
+		return objects.Object{}, &objects.ConflictError{Op: op, Kind: o.Kind, Name: o.Name, Expected: o.Version, Current: clone(stored)}
 	}
 	m.revision++
-	o = cloned(o)
+	o = clone(o)
 	// Version and revision are the same number, as on the platform. Versions
 	// therefore increase across a delete and a create without a record of the
 	// deleted objects.
@@ -134,10 +134,10 @@
 	}
 	m.objects[o.Kind][o.Name] = o
 	m.publish(objects.Event{Type: objects.EventPut, Object: o})
-	return cloned(o), nil
+	return clone(o), nil
 }
 
-func cloned(o objects.Object) objects.Object {
+func clone(o objects.Object) objects.Object {
 	o.Value = bytes.Clone(o.Value)
 	return o
 }
