--- a/objects/client_test.go
+++ b/objects/client_test.go
@@ -226,10 +226,10 @@
 	c.Assert(err, qt.IsNil)
 	_, _, err = client.List(background, "config", "")
 	c.Assert(err, qt.IsNil)
-	var refused *objects.RateError
+	var rateErr *objects.RateError
 	_, err = client.Get(background, "config", "main")
-	c.Assert(err, qt.ErrorAs, &refused)
-	c.Assert(refused.RetryAfter > 0, qt.IsTrue)
+	c.Assert(err, qt.ErrorAs, &rateErr)
+	c.Assert(rateErr.RetryAfter > 0, qt.IsTrue)
 	_, err = client.Create(background, "config", "main", nil) // writes have a budget of their own
 	c.Assert(err, qt.IsNil)
 	c.Assert(server.Stats().Calls[objects.OpGet], qt.Equals, uint64(0))
--- a/objects/decode.go
+++ b/objects/decode.go
@@ -65,8 +65,8 @@
 }
 
 // hasForeignName reports whether an object has a name that this project never
-// writes or requests. Such an object belongs to another writer, and is skipped so that it
-// does not prevent the objects beside it from being read.
+// writes or requests. Such an object belongs to another writer, and is
+// skipped so that it does not prevent the objects beside it from being read.
 func hasForeignName(o Object) bool { return o.Name != "" && !validName(o.Name) }
 
 // mismatch returns the reason why an object cannot be part of the response to q,
--- a/objects/decode_test.go
+++ b/objects/decode_test.go
@@ -38,9 +38,9 @@
 	c.Check(err, qt.ErrorAs, new(*ProtocolError), qt.Commentf("empty page with a next page"))
 	outside := Object{Kind: "config", Name: "other", Version: 1, Revision: 1}
 	inside := Object{Kind: "config", Name: "maple", Version: 1, Revision: 1}
-	kept, err := Query{Op: OpList, Kind: "config", prefix: "ma"}.page(Answer{}, Reply{Objects: []Object{inside, outside}})
+	matching, err := Query{Op: OpList, Kind: "config", prefix: "ma"}.page(Answer{}, Reply{Objects: []Object{inside, outside}})
 	c.Assert(err, qt.IsNil)
-	c.Check(kept, qt.DeepEquals, []Object{inside})
+	c.Check(matching, qt.DeepEquals, []Object{inside})
 
 	_, err = Query{Op: OpWatch, Kind: "config", From: 5}.events(Answer{}, Reply{Revision: 4})
 	c.Check(err, qt.ErrorAs, new(*ProtocolError), qt.Commentf("watch revision goes back"))
--- a/objects/progress.go
+++ b/objects/progress.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxResponseTimeouts is the number of timeouts that a response may take while parts of
-// it keep arriving. It ends a response that would trickle in forever.
+// maxResponseTimeouts is the number of timeouts that a response may take while
+// parts of it keep arriving. It ends a response that would trickle in forever.
 const maxResponseTimeouts = 16
 
 // progress cancels a call whose response does not begin in time, or stalls.
--- a/objects/settle.go
+++ b/objects/settle.go
@@ -5,9 +5,9 @@
 	"errors"
 )
 
-// maxLostRaces is the number of lost races after which UpdateSettled returns the next
-// conflict to its caller. Another writer wins each race that UpdateSettled loses,
-// so more losses mean that far too many writers change the same object.
+// maxLostRaces is the number of lost races after which UpdateSettled returns the
+// next conflict to its caller. Another writer wins each race that UpdateSettled
+// loses, so more losses mean that far too many writers change the same object.
 const maxLostRaces = 16
 
 // UpdateSettled changes one object with conditional writes. If the response to a
--- a/standin/store.go
+++ b/standin/store.go
@@ -31,8 +31,8 @@
 	changed     map[string]chan struct{} // closed at the kind's next event
 }
 
-// pageLimit is the limit of one response: a number of objects and the bytes of their
-// values.
+// pageLimit is the limit of one response: a number of objects and the bytes of
+// their values.
 type pageLimit struct{ objects, bytes int }
 
 // NewMemoryWith returns an empty Memory with the given options.
