--- a/objects/budget_test.go
+++ b/objects/budget_test.go
@@ -7,10 +7,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A node whose callers bring keys needs far more writes than an even share of
-// the platform's rate. Its callers see refusals until the budget has grown;
-// when the platform says 429 it falls back, and never under its share.
-func TestBudgetGrowsUntilThePlatformRefuses(t *testing.T) {
+// A node whose callers send idempotency keys needs far more writes than an equal
+// share of the platform's rate. Its calls are rejected until the budget has
+// grown. When the platform responds with 429 the rate must fall, but never below
+// the share.
+func TestBudgetGrowsUntilPlatformReturns429(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	b := newBudget(1, 50, 1)
@@ -27,8 +28,8 @@
 	granted(30)
 	c.Check(granted(10) >= 450, qt.IsTrue)
 	for range 20 {
-		now = now.Add(budgetStep)
-		b.refused(now)
+		now = now.Add(budgetChangeInterval)
+		b.reduce(now)
 	}
 	c.Check(float64(b.limiter.Limit()), qt.Equals, 1.0)
 }
--- a/standin/store.go
+++ b/standin/store.go
@@ -13,11 +13,11 @@
 	"pollengauge.dev/objects"
 )
 
-// Memory is a objects.Store without HTTP.
+// Memory is an objects.Store that needs no HTTP.
 type Memory struct {
 	options Options
 
-	mu       sync.Mutex // one is enough at the platform's rates
+	mu       sync.Mutex // guards all fields below; one lock is enough at the platform's rates
 	rand     *rand.Rand
 	faults   Faults
 	reads    *rate.Limiter
@@ -26,15 +26,16 @@
 	objects  map[string]map[string]objects.Object
 	revision uint64
 	log      []delivery
-	// compacted is the highest place that was dropped from log.
-	compacted uint64
-	changed   map[string]chan struct{} // closed at the kind's next event
+	// compactedTo is the highest position of the deliveries removed from log.
+	compactedTo uint64
+	changed     map[string]chan struct{} // closed at the kind's next event
 }
 
-// page bounds one answer.
-type page struct{ objects, bytes int }
+// pageLimit is the limit of one response: a number of objects and the bytes of
+// their values.
+type pageLimit struct{ objects, bytes int }
 
-// NewMemoryWith returns an empty Memory with options.
+// NewMemoryWith returns an empty Memory with the given options.
 func NewMemoryWith(options Options) *Memory {
 	options = options.withDefaults()
 	m := &Memory{
@@ -48,7 +49,8 @@
 	return m
 }
 
-// SetFaults replaces the faults. Waiting watches notice.
+// SetFaults replaces the faults and wakes waiting watches, so that the new faults
+// apply to them.
 func (m *Memory) SetFaults(f Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,16 +58,17 @@
 	m.writes = newLimiter(f.WriteRate, m.options.WriteRate)
 	if f.Compact {
 		m.log = nil
-		m.compacted = m.revision
+		m.compactedTo = m.revision
 		f.Compact = false
 	}
 	m.faults = f
 	for kind := range m.changed {
-		m.wake(kind)
+		m.wakeWatches(kind)
 	}
 }
 
-// Faults returns the faults that are left.
+// Faults returns the current faults. Counted faults contain the number of
+// occurrences left.
 func (m *Memory) Faults() Faults {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,11 +82,12 @@
 	if !ok {
 		return objects.Object{}, &objects.NotFoundError{Op: objects.OpGet, Kind: kind, Name: name}
 	}
-	return cloned(o), nil
+	return clone(o), nil
 }
 
-// scan returns one page of objects after the name after, in order.
-func (m *Memory) scan(kind, prefix, after string, limit page) (objects []objects.Object, revision uint64, more bool) {
+// scan returns one page of the objects whose names start with prefix and sort after
+// the name after, in order of their names.
+func (m *Memory) scan(kind, prefix, after string, limit pageLimit) (objects []objects.Object, revision uint64, more bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	size := 0
@@ -94,14 +98,15 @@
 		if len(objects) >= limit.objects || size >= limit.bytes {
 			return objects, m.revision, true
 		}
-		o := cloned(m.objects[kind][name])
+		o := clone(m.objects[kind][name])
 		size += len(o.Value)
 		objects = append(objects, o)
 	}
 	return objects, m.revision, false
 }
 
-// apply does a create, update or delete of version o.Version, 0 for a create.
+// apply executes a create, update or delete if the stored version is o.Version,
+// which is 0 for a create.
 func (m *Memory) apply(op objects.Op, o objects.Object) (objects.Object, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -110,12 +115,13 @@
 		return objects.Object{}, &objects.NotFoundError{Op: op, Kind: o.Kind, Name: o.Name}
 	}
 	if stored.Version != o.Version {
-		return objects.Object{}, &objects.ConflictError{Op: op, Kind: o.Kind, Name: o.Name, Expected: o.Version, Current: cloned(stored)}
+		return objects.Object{}, &objects.ConflictError{Op: op, Kind: o.Kind, Name: o.Name, Expected: o.Version, Current: clone(stored)}
 	}
 	m.revision++
-	o = cloned(o)
-	// One number for both, as the platform has it: versions rise across
-	// delete and create without remembering what was deleted.
+	o = clone(o)
+	// Version and revision are the same number, as on the platform. Versions
+	// therefore increase across a delete and a create without a record of the
+	// deleted objects.
 	o.Revision = m.revision
 	o.Version = m.revision
 	if op == objects.OpDelete {
@@ -128,10 +134,10 @@
 	}
 	m.objects[o.Kind][o.Name] = o
 	m.publish(objects.Event{Type: objects.EventPut, Object: o})
-	return cloned(o), nil
+	return clone(o), nil
 }
 
-func cloned(o objects.Object) objects.Object {
+func clone(o objects.Object) objects.Object {
 	o.Value = bytes.Clone(o.Value)
 	return o
 }
