--- a/proof/behavior.go
+++ b/proof/behavior.go
@@ -2,58 +2,65 @@
 
 import "time"
 
-// Mode is what an upstream does with a call.
+// Mode selects how an upstream handles a call.
 type Mode int
 
 // The modes.
 const (
-	// Answer: makes the calls below, does its own work, answers whole.
+	// Answer makes the downstream calls, does the upstream's own work and sends
+	// the complete answer.
 	Answer Mode = iota
-	// ShedFirst: answers with ShedStatus before it did anything.
+	// ShedFirst responds with ShedStatus before doing anything.
 	ShedFirst
-	// ShedAfterCalls: makes the calls below and then answers with ShedStatus.
+	// ShedAfterCalls makes the downstream calls and then responds with ShedStatus.
 	ShedAfterCalls
-	// CrashFirst: breaks the connection before it did anything.
+	// CrashFirst breaks the connection before doing anything.
 	CrashFirst
-	// CrashAfter: does its work and breaks the connection without an answer.
+	// CrashAfter does the work and breaks the connection without an answer.
 	CrashAfter
-	// Truncate: does its work and breaks the connection within its answer.
+	// Truncate does the work and breaks the connection in the middle of the answer.
 	Truncate
-	// LateCall: answers whole, and calls out for the same request afterwards.
+	// LateCall sends the complete answer and afterwards makes another outbound
+	// call for the same request.
 	LateCall
-	// ShedLateCall: answers with ShedStatus and calls out afterwards.
+	// ShedLateCall responds with ShedStatus and afterwards makes an outbound call
+	// for the same request.
 	ShedLateCall
-	// OrphanCall: calls out without the context headers, then sheds.
+	// OrphanCall makes an outbound call without the propagated context headers and
+	// then responds with ShedStatus.
 	OrphanCall
-	// Trickle: answers whole in small pieces with pauses.
+	// Trickle sends the complete answer in small pieces with pauses.
 	Trickle
-	// Switch: answers 101 without having been asked to.
+	// Switch responds 101 Switching Protocols to a request without an upgrade.
 	Switch
-	// End: does its work and ends, as in a crash; it is back later.
+	// End does the work and crashes the upstream process, which restarts later.
 	End
 )
 
-// Modes are the modes that spare the upstream, for drawing one.
+// Modes are the modes that don't crash the upstream process. The fuzz tests draw
+// from them.
 var Modes = []Mode{Answer, ShedFirst, ShedAfterCalls, CrashFirst, CrashAfter, Truncate, LateCall, ShedLateCall, OrphanCall, Trickle, Switch}
 
 var modeNames = [...]string{"answer", "shed-first", "shed-after-calls", "crash-first", "crash-after", "truncate", "late-call", "shed-late-call", "orphan-call", "trickle", "switch", "end"}
 
-// GoString makes drawn modes readable.
+// GoString returns the mode's name, which rapid prints for drawn values.
 func (m Mode) GoString() string { return modeNames[m] }
 
-// String returns the mode's name for messages.
+// String returns the mode's name.
 func (m Mode) String() string { return modeNames[m] }
 
-// ShedStatus is the status with which upstreams say that they did nothing.
+// ShedStatus is the response status with which upstreams report that they shed
+// a call without doing any work.
 const ShedStatus = 529
 
-// Behavior is how an upstream treats its next calls.
+// Behavior configures how an upstream handles its next calls.
 type Behavior struct {
 	Mode Mode
-	// Count is how many calls it holds for; 0 means all that follow.
+	// Count is the number of calls that the behavior applies to; 0 means all
+	// following calls.
 	Count int
-	// Work is how long the upstream's own work takes.
+	// Work is the duration of the upstream's own work.
 	Work time.Duration
-	// Path limits it to calls of that path, "" for all.
+	// Path limits the behavior to calls of that path; "" means all calls.
 	Path string
 }
--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,12 +1,13 @@
-// Package proof puts a few real nodes under faults and judges what callers
-// were told by what upstreams really did.
+// Package proof subjects a few real nodes to faults and checks the outcomes
+// that callers receive against what the upstreams actually executed.
 //
-// A Cluster runs nodes, each beside an upstream of its own, on an in-memory
-// network and a stand-in of the platform. Upstreams follow an Operation: a
-// tree of calls, so that each knows which calls to make and what its whole
-// answer is. Every arrival and every run at an upstream, and every answer at
-// a caller, goes into a Ledger. The ledger is the oracle: it knows nothing of
-// how nodes work and compares the answers with the runs.
+// A Cluster runs nodes, each beside its own upstream, on an in-memory network
+// and a stand-in for the platform. Upstreams follow an Operation, a tree of
+// calls that tells each upstream which downstream calls to make and what its
+// complete answer is. The Ledger records every call that arrives at an upstream,
+// every execution there and every answer that a caller receives. It is also
+// the test oracle: it knows nothing about how nodes work and compares only the
+// answers with the executions.
 //
 //	cluster := proof.NewCluster()
 //	defer cluster.Close()
@@ -16,9 +17,9 @@
 //	reply := cluster.Present(ctx, proof.Presentation{Operation: op.ID, Host: "a"})
 //	violations := cluster.Ledger.Check()
 //
-// It is meant to run inside testing/synctest: all waiting is then in virtual
-// time. Methods of Cluster and Ledger may be called concurrently.
+// The package is meant to run inside testing/synctest, where all waiting takes
+// virtual time. The methods of Cluster and Ledger may be called concurrently.
 //
-// docs/PROMISES.md tells which test rests on what; docs/design/proof.md tells
-// how to run the fuzzing for an hour and how to replay a failure.
+// docs/PROMISES.md lists the tests behind each promise. docs/design/proof.md
+// explains how to run the fuzz tests for an hour and how to replay a failure.
 package proof
--- a/proof/errors.go
+++ b/proof/errors.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Promise is one of the nine things that must always hold, numbered as in
+// Promise is one of the nine guarantees that must always hold, numbered as in
 // docs/PROMISES.md.
 type Promise int
 
@@ -31,7 +31,7 @@
 	UpstreamsOutlast:    "one request can't take its service down",
 }
 
-// String returns the promise in a few words.
+// String returns a short statement of the promise.
 func (p Promise) String() string {
 	if p > 0 && int(p) < len(promiseNames) {
 		return promiseNames[p]
@@ -39,10 +39,10 @@
 	return "promise " + strconv.Itoa(int(p))
 }
 
-// Violation is a promise that was broken, with what shows it.
+// Violation is a broken promise with the evidence for it.
 type Violation struct {
 	Promise Promise
-	// Subject is the operation, presentation or host concerned.
+	// Subject is the affected operation, presentation or host.
 	Subject string
 	Detail  string
 }
@@ -50,17 +50,18 @@
 // Error implements error.
 func (v *Violation) Error() string { return v.Promise.String() + ": " + v.Subject + ": " + v.Detail }
 
-// UnknownMemberError tells that no node runs on a host.
+// UnknownMemberError reports that no node runs on a host.
 type UnknownMemberError struct{ Host string }
 
 // Error implements error.
 func (e *UnknownMemberError) Error() string { return "no member on host " + e.Host }
 
-// UnfinishedError tells that an answer ended before its caller had it whole.
+// UnfinishedError reports that an answer broke off before its caller had
+// received all of it.
 type UnfinishedError struct{ Cause error }
 
 // Error implements error.
 func (e *UnfinishedError) Error() string { return "answer ended early: " + e.Cause.Error() }
 
-// Unwrap gives the reader's error.
+// Unwrap returns the error from reading the answer.
 func (e *UnfinishedError) Unwrap() error { return e.Cause }
--- a/proof/ledger.go
+++ b/proof/ledger.go
@@ -8,31 +8,33 @@
 	"pollengauge.dev/call"
 )
 
-// Arrival is one call as an upstream got it.
+// Arrival is one call that an upstream received.
 type Arrival struct {
 	Operation, Presentation, Step string
 	Host                          string
 	At                            time.Time
-	// Ran tells that the upstream did its own work for it.
+	// Ran reports whether the upstream executed its own work for the call.
 	Ran bool
 }
 
-// Presentation is one sending of an operation by its caller.
+// Presentation is one request for an operation that its caller sends.
 type Presentation struct {
 	ID        string
 	Operation string
-	// Host is whose node is asked.
+	// Host is the host of the node that receives the request.
 	Host string
-	// Key is the idempotency key sent, "" for none.
+	// Key is the idempotency key of the request, the one that the node minted if
+	// the caller sent none, or "" if there is none.
 	Key string
-	// Sent and Done are when the caller sent it and had its answer.
+	// Sent and Done are the times when the caller sent the request and when it
+	// had the answer. Done is zero while the request is in flight.
 	Sent, Done time.Time
-	// Left tells that the caller went away before it had an answer.
+	// Left reports whether the caller disconnected before it had an answer.
 	Left  bool
 	Reply Reply
 }
 
-// Reply is an answer as its caller sees it.
+// Reply is an answer as its caller receives it.
 type Reply struct {
 	Status  int
 	Outcome string
@@ -41,17 +43,20 @@
 	Key     string
 	Body    string
 	Trailer string
-	// Err is why there is no whole answer.
+	// Err is the reason why the caller has no complete answer.
 	Err error
 }
 
-// Complete reports whether the whole answer arrived and says that it is one.
+// Complete reports whether the answer arrived in full and its outcome is
+// complete.
 func (r Reply) Complete() bool { return r.Err == nil && r.Outcome == call.Complete.String() }
 
-// NotRun reports whether the caller was told that nothing ran.
+// NotRun reports whether the answer's outcome is not-run.
 func (r Reply) NotRun() bool { return r.Err == nil && r.Outcome == call.NotRun.String() }
 
-// Ledger holds what was asked, what ran, and what was answered.
+// Ledger records the operations that callers requested, the calls that upstreams
+// received and executed, and the answers that callers received. Check compares
+// them with the promises.
 type Ledger struct {
 	mu            sync.Mutex
 	next          int
@@ -71,7 +76,7 @@
 	}
 }
 
-// Add gives an operation its id and keeps it.
+// Add assigns an id to an operation and records it.
 func (l *Ledger) Add(o Operation) *Operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +92,7 @@
 	return l.operations[id]
 }
 
-// send keeps a presentation that is about to be sent.
+// send assigns an id to a presentation that is about to be sent and records it.
 func (l *Ledger) send(p Presentation) *Presentation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +103,7 @@
 	return &p
 }
 
-// answered keeps the answer of a presentation.
+// answered records the answer of a presentation, and whether its caller left.
 func (l *Ledger) answered(p *Presentation, r Reply, left bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,7 +115,7 @@
 	p.Done = time.Now()
 }
 
-// arrived notes a call at an upstream and returns its number.
+// arrived records a call at an upstream and returns its index in the ledger.
 func (l *Ledger) arrived(a Arrival) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,21 +124,23 @@
 	return len(l.arrivals) - 1
 }
 
-// ran notes that the upstream does its own work for a call.
+// ran records that the upstream executes its own work for the call with this
+// index.
 func (l *Ledger) ran(number int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.arrivals[number].Ran = true
 }
 
-// Report adds a violation that was seen elsewhere.
+// Report adds a violation that was detected outside the ledger.
 func (l *Ledger) Report(v *Violation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.found = append(l.found, v)
 }
 
-// SetDraining notes since when the upstream of a host must get no new work.
+// SetDraining records that the upstream of a host must receive no new calls from
+// now on, or that it may receive them again.
 func (l *Ledger) SetDraining(host string, draining bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,8 +151,8 @@
 	delete(l.draining, host)
 }
 
-// Version notes the configuration that a node has in force. It may only grow
-// for as long as the node lives.
+// Version records the configuration version that a node has in force. During a
+// node's lifetime the version must not decrease; a decrease is a violation.
 func (l *Ledger) Version(id string, version uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,7 +166,7 @@
 	l.versions[id] = max(version, l.versions[id])
 }
 
-// Presentations returns copies of all presentations so far.
+// Presentations returns copies of all presentations recorded so far.
 func (l *Ledger) Presentations() []Presentation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,7 +177,7 @@
 	return all
 }
 
-// Runs counts how often a step of an operation was run by an upstream.
+// Runs returns how often upstreams executed a step of an operation.
 func (l *Ledger) Runs(operation, step string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,7 +190,8 @@
 	return count
 }
 
-// Arrivals counts the calls that the upstream of a host got since a time.
+// Arrivals returns the number of calls that the upstream of a host received since
+// a time.
 func (l *Ledger) Arrivals(host string, since time.Time) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/proof/operation.go
+++ b/proof/operation.go
@@ -6,47 +6,52 @@
 	"strings"
 )
 
-// Headers with which callers and upstreams name what they do. They are none
-// of the system's: nodes pass them on as they are.
+// Headers that identify the operation, the presentation and the step of a
+// request to the test's callers and upstreams. They are not part of the
+// system under test: nodes forward them unchanged.
 const (
 	headerOperation    = "X-Operation"
 	headerPresentation = "X-Presentation"
 	headerStep         = "X-Step"
 )
 
-// rootStep is the step of the call that the caller makes.
+// rootStep is the step of the root call, which the external caller makes.
 const rootStep = "0"
 
-// Call is one call of an operation, with the calls that its upstream makes to
-// answer it.
+// Call is one call of an operation, with the downstream calls that its upstream
+// makes in order to answer it.
 type Call struct {
 	Service string
 	Method  string
 	Path    string
 	Below   []Call
-	// Parallel makes the calls below at once, not in turn.
+	// Parallel makes the downstream calls concurrently rather than in sequence.
 	Parallel bool
-	// OwnKey is an idempotency key that the calling upstream gives.
+	// OwnKey is an idempotency key that the calling upstream chooses and sends.
 	OwnKey string
-	// RequestBytes and AnswerBytes pad the body of the request and of the
-	// answer.
+	// RequestBytes and AnswerBytes are the lengths of the padding in the bodies
+	// of the request and of the answer.
 	RequestBytes int
 	AnswerBytes  int
 	// Trailer adds a trailer to the answer.
 	Trailer bool
 }
 
-// Operation is what a caller wants done, however often it has to ask.
+// Operation is a unit of work that a caller requests. The caller may present it
+// several times, as retries or to several nodes.
 type Operation struct {
 	ID   string
 	Root Call
-	// Unrepeatable tells that the profile makes this at most once per key.
+	// Unrepeatable reports that the operation's profile allows at most one
+	// execution per idempotency key.
 	Unrepeatable bool
-	// Credit is what the profile allows for the whole chain.
+	// Credit is the number of retries that the profile allows one request over
+	// its entire call chain.
 	Credit int
 }
 
-// at returns the call of a step: "0" is the root, "0.1" its second call below.
+// at returns the call of a step, and whether the operation has that step: "0" is
+// the root, "0.1" the second downstream call of the root.
 func (o *Operation) at(step string) (Call, bool) {
 	c := o.Root
 	parts := strings.Split(step, ".")
@@ -60,8 +65,9 @@
 	return c, parts[0] == rootStep
 }
 
-// once tells whether a step may run only once for each run of the operation:
-// neither it nor a call above it may be repeated.
+// once reports whether a step may run at most once for each run of the
+// operation: neither the step's call nor any call upstream of it in the call
+// tree is idempotent.
 func (o *Operation) once(step string) bool {
 	for ; step != ""; step = parentStep(step) {
 		if c, ok := o.at(step); !ok || c.Method != http.MethodPost {
@@ -71,7 +77,8 @@
 	return true
 }
 
-// trailer is the value of the trailer that a call's answer must end with.
+// trailer returns the value of the trailer that a call's answer must end with,
+// or "" if the call has none.
 func (c Call) trailer(operation string) string {
 	if !c.Trailer {
 		return ""
@@ -79,10 +86,10 @@
 	return "end of " + operation
 }
 
-// childStep names the i-th call below a step.
+// childStep returns the step of the i-th downstream call of a step.
 func childStep(step string, i int) string { return step + "." + strconv.Itoa(i) }
 
-// parentStep is the inverse, "" for the root.
+// parentStep returns the step of the calling call, or "" for the root.
 func parentStep(step string) string {
 	i := strings.LastIndexByte(step, '.')
 	if i < 0 {
@@ -91,12 +98,14 @@
 	return step[:i]
 }
 
-// answer is the whole answer of one call, given those of the calls below.
+// answer returns the complete answer of one call, given the answers of its
+// downstream calls.
 func (o *Operation) answer(c Call, step string, below []string) string {
 	return c.Service + " " + o.ID + " " + step + " [" + strings.Join(below, ",") + "]" + padding(o.ID, c.AnswerBytes)
 }
 
-// whole is the answer that the caller of the operation must get.
+// whole returns the complete answer that the caller of the operation must
+// receive.
 func (o *Operation) whole() string { return o.wholeOf(o.Root, rootStep) }
 
 func (o *Operation) wholeOf(c Call, step string) string {
@@ -107,7 +116,7 @@
 	return o.answer(c, step, below)
 }
 
-// request is the body that a call is sent with.
+// request returns the request body of a call, which is empty for GET and HEAD.
 func (o *Operation) request(c Call, step string) string {
 	if c.Method == http.MethodGet || c.Method == http.MethodHead {
 		return ""
@@ -115,8 +124,9 @@
 	return "request " + o.ID + " " + step + padding(o.ID, c.RequestBytes)
 }
 
-// padding repeats a text to a length, so that a piece that is missing,
-// doubled or another's shows.
+// padding repeats a text with a running number up to a length. A body with a
+// missing or duplicated piece, or with a piece of another operation's body,
+// then differs from the expected one.
 func padding(text string, length int) string {
 	if length <= 0 {
 		return ""
--- a/proof/oracle.go
+++ b/proof/oracle.go
@@ -8,10 +8,11 @@
 	"pollengauge.dev/call"
 )
 
-// drainNews is the time that the news of a drain may take.
+// drainNews bounds the time until all nodes have learned that a node drains.
 const drainNews = 2 * time.Second
 
-// Check judges everything so far and returns what breaks a promise.
+// Check checks everything recorded so far and returns the violations of
+// promises.
 func (l *Ledger) Check() []*Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,8 +38,8 @@
 	return found
 }
 
-// checkAnswer: an answer has exactly one outcome, and one that calls itself
-// complete is the whole answer to what this caller asked.
+// checkAnswer checks that an answer has exactly one outcome, and that an answer
+// with the outcome complete is the complete answer to this caller's request.
 func (l *Ledger) checkAnswer(p *Presentation) *Violation {
 	broken := &Violation{Promise: OwnWholeAnswer, Subject: p.Operation + " " + p.ID}
 	if p.Left || p.Reply.Err != nil {
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// brief shortens a body for a message, and keeps its length.
+// brief quotes a body for a message. It shortens a long body and adds its length.
 func brief(body string) string {
 	const shown = 80
 	if len(body) <= shown {
@@ -72,8 +73,9 @@
 	return strconv.Quote(body[:shown]) + " (" + strconv.Itoa(len(body)) + " bytes)"
 }
 
-// checkNotRun: nothing ran for this presentation, before or after its answer;
-// and if it came with a key, no presentation before it had run the key.
+// checkNotRun checks a presentation that was answered not-run: no upstream ran
+// any step for it, before or after the answer. If it has a key, no upstream
+// ran a step under that key before it was sent.
 func (l *Ledger) checkNotRun(p *Presentation) *Violation {
 	if p.Left || !p.Reply.NotRun() {
 		return nil
@@ -103,8 +105,8 @@
 	return false
 }
 
-// identity is what may run at most once: a step of an operation under a key,
-// or under one presentation where there is no key.
+// identity identifies an execution that may happen at most once: a step of an
+// operation under an idempotency key, or under one presentation if it has no key.
 type identity struct{ operation, under, step string }
 
 type runCount struct {
@@ -124,9 +126,9 @@
 	}
 }
 
-// countRuns counts the runs of calls that must not be repeated: those of an
-// unrepeatable profile by their key, and any other call that is not
-// idempotent by its presentation.
+// countRuns counts the executions of calls that must not be repeated. Calls with
+// an unrepeatable profile are counted per key, and all other calls that are
+// not idempotent per presentation.
 func (l *Ledger) countRuns() map[identity]*runCount {
 	counts := make(map[identity]*runCount)
 	keys := make(map[string]string)
@@ -151,9 +153,10 @@
 	return counts
 }
 
-// checkRetries counts the calls that upstreams got beyond the first attempts.
-// Each arrival of a call gives one first attempt to each call below it; what
-// comes on top was a retry, and all of a request's together are bounded.
+// checkRetries counts the calls that upstreams received beyond first attempts.
+// Each arrival of a call accounts for one first attempt of each of its
+// downstream calls. All further arrivals are retries, and the credit bounds
+// the total of a request's retries.
 func (l *Ledger) checkRetries(p *Presentation) *Violation {
 	arrived := make(map[string]int)
 	for _, a := range l.arrivals {
@@ -183,7 +186,9 @@
 	}
 }
 
-// newWork is called when an upstream gets a call; the ledger's lock is free.
+// newWork records a violation if the upstream of a host receives a call although
+// its drain should be known everywhere. The caller must not hold the ledger's
+// lock.
 func (l *Ledger) newWork(host string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/proof/pause.go
+++ b/proof/pause.go
@@ -7,11 +7,12 @@
 	"pollengauge.dev/objects"
 )
 
-// pausedStore is the platform as one host reaches it. While the VM is paused
-// nothing is asked, and what the platform answered meanwhile is only seen once
-// it goes on, however long ago that was and whether or not its context has
-// ended: the clock went on, the process did not. A check that was true when
-// the platform answered may be long untrue by then.
+// pausedStore is the platform's store as one host sees it. While the host's VM
+// is paused, the store sends no requests, and a response that arrives in the
+// meantime is returned only after the VM resumes. The delay may be arbitrarily
+// long and may outlast the context, since the clock continues while the process
+// stands still. A condition that held when the platform responded may have
+// become false long before the process sees it.
 type pausedStore struct {
 	store objects.Store
 	net   *memnet.Network
