--- a/proof/caller.go
+++ b/proof/caller.go
@@ -11,11 +11,11 @@
 	"pollengauge.dev/node"
 )
 
-// clientHost is where all callers are.
+// clientHost is the host that all external callers run on.
 const clientHost = "client"
 
-// Present sends an operation once and waits for its answer. The caller goes
-// away when ctx ends.
+// Present sends a request for an operation and waits for the answer. The caller
+// disconnects when ctx is done.
 func (c *Cluster) Present(ctx context.Context, p Presentation) Reply {
 	m := c.Member(p.Host)
 	if m == nil {
@@ -24,9 +24,9 @@
 	return c.PresentTo(ctx, m, p)
 }
 
-// PresentTo is Present to a member that was looked up before: a caller that
-// began while the member was there goes on to it, also if it is leaving by the
-// time that the caller's goroutine runs.
+// PresentTo is like Present, but sends to a member that was looked up before. A
+// caller that started while the member was running still reaches it if the
+// member has begun to exit before the caller's goroutine runs.
 func (c *Cluster) PresentTo(ctx context.Context, m *Member, p Presentation) Reply {
 	o := c.Ledger.operation(p.Operation)
 	sent := c.Ledger.send(p)
@@ -43,7 +43,8 @@
 	return reply
 }
 
-// Mint gets an idempotency key from a host's node, "" if that fails.
+// Mint requests an idempotency key from a host's node. It returns "" if that
+// fails.
 func (c *Cluster) Mint(ctx context.Context, host string) string {
 	m := c.Member(host)
 	if m == nil {
@@ -56,7 +57,7 @@
 	return strings.TrimSuffix(strings.TrimPrefix(reply.Body, `{"key":"`), "\"}\n")
 }
 
-// send makes one request on a connection of its own.
+// send makes one request on a connection used for this request alone.
 func (c *Cluster) send(ctx context.Context, to *node.Node, method, path, body string, header http.Header) Reply {
 	host := c.Net.Host(clientHost)
 	transport := &http.Transport{
--- a/proof/cluster.go
+++ b/proof/cluster.go
@@ -29,7 +29,7 @@
 	Upstream *Upstream
 }
 
-// Cluster is a few nodes on one network.
+// Cluster is a set of nodes with their upstreams on one in-memory network.
 type Cluster struct {
 	Net    *memnet.Network
 	Store  *standin.Memory
@@ -50,11 +50,11 @@
 	}
 }
 
-// gossipInterval is shorter than a node's default, since a cluster of a few
-// nodes lives for some seconds only.
+// gossipInterval is shorter than a node's default because a test cluster runs
+// for only a few seconds.
 const gossipInterval = 200 * time.Millisecond
 
-// Start runs a node on a host that has none.
+// Start starts a node and its upstream on a host where no node runs.
 func (c *Cluster) Start(spec MemberSpec) (*Member, error) {
 	host := c.Net.Host(spec.Host)
 	settings := node.DefaultSettings()
@@ -105,14 +105,14 @@
 	return addrs
 }
 
-// Member returns what runs on a host, nil if nothing does.
+// Member returns the member that runs on a host, or nil if there is none.
 func (c *Cluster) Member(host string) *Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.members[host]
 }
 
-// Hosts returns the hosts with a running node, in order.
+// Hosts returns the hosts with a running node in sorted order.
 func (c *Cluster) Hosts() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +124,7 @@
 	return hosts
 }
 
-// take removes a member from those that run.
+// take removes a member from the running members and returns it.
 func (c *Cluster) take(host string) (*Member, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,7 +136,7 @@
 	return m, nil
 }
 
-// Kill ends a node and its upstream at once, as when the VM is lost.
+// Kill stops a node and its upstream abruptly, as when the VM is lost.
 func (c *Cluster) Kill(host string) error {
 	m, err := c.take(host)
 	if err != nil {
@@ -152,13 +152,14 @@
 	return nil
 }
 
-// SetDraining begins or cancels a drain.
+// SetDraining starts or cancels a drain of a host's node.
 func (c *Cluster) SetDraining(host string, draining bool) error {
 	m := c.Member(host)
 	if m == nil {
 		return &UnknownMemberError{Host: host}
 	}
-	// The ledger must not count what comes after the end of a drain.
+	// The ledger leaves the drain first: the node may accept calls as soon as
+	// its drain is cancelled, and those are no violation.
 	if !draining {
 		c.Ledger.SetDraining(host, false)
 	}
@@ -169,8 +170,8 @@
 	return nil
 }
 
-// Exit drains a node and ends it gracefully, and its upstream after it. The
-// channel brings how the drain ended.
+// Exit drains a node, shuts it down gracefully, and then stops its upstream. The
+// channel receives the result of the drain.
 func (c *Cluster) Exit(ctx context.Context, host string) (<-chan error, error) {
 	m, err := c.take(host)
 	if err != nil {
@@ -187,13 +188,15 @@
 	return ended, nil
 }
 
-// Apply puts a configuration in force through the platform.
+// Apply writes a configuration to the platform's store, from which the nodes
+// receive it.
 func (c *Cluster) Apply(ctx context.Context, set config.Set, opts config.ApplyOptions) (config.Result, error) {
 	opts.Now = time.Now()
 	return config.Apply(ctx, c.Store, set, opts)
 }
 
-// Watch notes the version that each node has in force.
+// Watch records in the ledger the configuration version that each node has in
+// force.
 func (c *Cluster) Watch() {
 	for _, host := range c.Hosts() {
 		if m := c.Member(host); m != nil {
@@ -202,7 +205,7 @@
 	}
 }
 
-// Close ends everything at once.
+// Close heals the network, kills all members and waits until they have stopped.
 func (c *Cluster) Close() {
 	c.Net.HealAll()
 	for _, host := range c.Hosts() {
--- a/proof/layers/doc.go
+++ b/proof/layers/doc.go
@@ -1,9 +1,11 @@
-// Package layers checks the order of the project's modules: a module imports
-// only modules of lower layers. docs/DESIGN.md has the layers in a table, which
-// ReadOrder reads; ReadImports reads the sources, and Order.Check compares both.
+// Package layers checks that each module of the project imports only modules of
+// lower layers. ReadOrder reads the layers from a table in docs/DESIGN.md,
+// ReadSources reads the imports from the source files, and Order.Check compares
+// both.
 //
-// The failure: a package that decides imports one that does I/O, or two modules
-// come to know each other through a third. Each such import compiles, and the
-// module can no longer be read, tested or used without the rest. Test files are
-// left out: they prove modules together, and nothing can import them.
+// The check guards against a decision package that imports an I/O package, and
+// against two modules that become coupled through a third one. Such an import
+// compiles, but the module can then no longer be read, tested or used on its
+// own. Test files are exempt: they test modules together, and no package can
+// import them.
 package layers
--- a/proof/layers/errors.go
+++ b/proof/layers/errors.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// PageError is a table of layers that can't be read.
+// PageError reports a table of layers that can't be parsed.
 type PageError struct {
 	Line int
 	Want string
@@ -13,7 +13,7 @@
 	return "table of layers, line " + strconv.Itoa(e.Line) + ": want " + e.Want
 }
 
-// SourceError is a source file that can't be read.
+// SourceError reports a source file that can't be read or parsed.
 type SourceError struct {
 	File  string
 	Cause error
@@ -25,10 +25,12 @@
 // Unwrap returns the cause.
 func (e *SourceError) Unwrap() error { return e.Cause }
 
-// OrderError is an import that is not from a higher to a lower layer.
+// OrderError reports an import of a module that is not in a lower layer than the
+// importing module.
 type OrderError struct {
 	Import Import
-	// From and To are the modules, FromLayer and ToLayer their layers.
+	// From is the importing module, To the imported one; FromLayer and ToLayer
+	// are their layers.
 	From, To           string
 	FromLayer, ToLayer int
 }
@@ -40,13 +42,13 @@
 		e.To + " in layer " + strconv.Itoa(e.ToLayer)
 }
 
-// UnplacedError is a module that the table lacks.
+// UnplacedError reports a module that is missing in the table of layers.
 type UnplacedError struct{ Module string }
 
 // Error implements error.
 func (e *UnplacedError) Error() string { return e.Module + " is in no layer" }
 
-// AbsentError is an entry of the table without a source file.
+// AbsentError reports an entry in the table of layers that has no source files.
 type AbsentError struct{ Module string }
 
 // Error implements error.
--- a/proof/layers/layers_test.go
+++ b/proof/layers/layers_test.go
@@ -9,10 +9,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// root is the project's folder, seen from this package.
+// root is the project's root folder relative to this package.
 const root = "../.."
 
-// readProject reads the project's table and sources.
+// readProject reads the project's table of layers and its sources.
 func readProject(c *qt.C) (Order, Sources) {
 	page, err := os.ReadFile(root + "/docs/DESIGN.md")
 	c.Assert(err, qt.IsNil)
@@ -23,9 +23,10 @@
 	return order, sources
 }
 
-// A developer adds an import against the order, as of a node in what decides.
-// It compiles and all tests pass, but the module can't be used without the
-// rest from then on. This fails in its place.
+// TestModulesImportLowerLayersOnly fails if a developer adds an import that
+// violates the order, such as an import of node in a decision package. The
+// import compiles and all other tests pass, but the module can then no longer
+// be used on its own.
 func TestModulesImportLowerLayersOnly(t *testing.T) {
 	c := qt.New(t)
 	order, sources := readProject(c)
@@ -35,8 +36,9 @@
 	c.Assert(len(sources.Imports) > 100, qt.IsTrue, qt.Commentf("%d imports read", len(sources.Imports)))
 }
 
-// Each import against the order is told, with the file that has it: one upwards,
-// one within the layer, and one past a package that stands apart.
+// Check must report each import that violates the order, with the importing
+// file: an import of a higher layer, an import within the same layer, and an
+// import of its own module by a package that has a separate layer.
 func TestPlantedImportIsTold(t *testing.T) {
 	for _, test := range []struct{ name, file, imported, told string }{
 		{"upwards", "admission/planted.go", "node", "admission/planted.go imports node: admission is in layer 2, node in layer 5"},
@@ -62,8 +64,8 @@
 	}
 }
 
-// An import downwards, one within the module, one of another project and those
-// of tests are in order.
+// Check must not report an import of a lower layer, within a module, of another
+// project's package, or in a test file.
 func TestImportInOrderIsNotTold(t *testing.T) {
 	c := qt.New(t)
 	sources, err := ReadSources(fstest.MapFS{
@@ -78,7 +80,7 @@
 	c.Assert(Order{"low": 1, "high": 2}.Check(sources), qt.HasLen, 0)
 }
 
-// A module that was removed leaves no entry behind in the table.
+// Check must report a table entry that is left over from a removed module.
 func TestEntryWithoutSourceIsTold(t *testing.T) {
 	c := qt.New(t)
 	against := Order{"gone": 1}.Check(Sources{})
@@ -86,8 +88,8 @@
 	c.Assert(against[0].Error(), qt.Equals, "gone is in a layer and has no source")
 }
 
-// A page without a table, or with one that can be read in two ways, would let
-// every import pass.
+// ReadOrder must reject a page whose table of layers is missing or ambiguous.
+// Check would otherwise let wrong imports pass.
 func TestPageThatCannotBeReadIsRefused(t *testing.T) {
 	for name, page := range map[string]string{
 		"no table":            "# Design\n",
@@ -105,7 +107,8 @@
 	}
 }
 
-// A file that can't be parsed may hide any import.
+// ReadSources must reject a file that can't be parsed, since it may contain any
+// import.
 func TestSourceThatCannotBeReadIsRefused(t *testing.T) {
 	c := qt.New(t)
 	_, err := ReadSources(fstest.MapFS{"call/call.go": {Data: []byte("import")}})
--- a/proof/layers/order.go
+++ b/proof/layers/order.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// heading opens the section of the page that has the table.
+	// heading is the heading of the section that contains the table.
 	heading = "## Layers"
-	// nextHeading opens the section after it.
+	// nextHeading is the prefix of every section heading of that level.
 	nextHeading = "## "
 )
 
 var (
-	// row is a line of the table: the number of the layer, then its modules.
+	// row matches a line of the table: the layer number, then its modules.
 	row = regexp.MustCompile(`^\| (\d+) \| ([^|]*) \|`)
-	// quoted is a module's folder.
+	// quoted matches a module's folder in backquotes.
 	quoted = regexp.MustCompile("`([^`]+)`")
 )
 
-// Order maps the folder of a module, or of a package that stands apart from the
-// rest of its module, to its layer.
+// Order maps folders to layers. A folder is that of a module, or of a package
+// that has a layer of its own, separate from the rest of its module.
 type Order map[string]int
 
-// ReadOrder reads the table under the heading "Layers" of a page.
+// ReadOrder parses the table in the section "Layers" of a Markdown page.
 func ReadOrder(page string) (Order, error) {
 	order := make(Order)
 	inside := false
@@ -51,7 +51,7 @@
 	return order, nil
 }
 
-// place puts the modules of one line into a layer.
+// place assigns the modules in one table cell to a layer.
 func (o Order) place(cell string, layer, line int) error {
 	modules := quoted.FindAllStringSubmatch(cell, -1)
 	if len(modules) == 0 {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// moduleOf returns the longest entry that holds a package's folder, "" without
-// one.
+// moduleOf returns the longest entry that is the package's folder or one of its
+// parents, or "" if there is none.
 func (o Order) moduleOf(folder string) string {
 	for at := folder; at != ""; {
 		if _, placed := o[at]; placed {
@@ -78,7 +78,8 @@
 	return ""
 }
 
-// Check returns what is against the order, nothing if all is well.
+// Check returns an error for each import, module and table entry that violates
+// the order, sorted by text.
 func (o Order) Check(sources Sources) []error {
 	var against []error
 	present := make(map[string]bool)
@@ -109,7 +110,7 @@
 		return &UnplacedError{Module: one.Package}
 	}
 	if from == "" || from == to || o[to] < o[from] {
-		return nil // an importer without a layer is told by its folder
+		return nil // Check reports an importing module without a layer by its folder
 	}
 	return &OrderError{Import: one, From: from, To: to, FromLayer: o[from], ToLayer: o[to]}
 }
--- a/proof/layers/sources.go
+++ b/proof/layers/sources.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// projectPath begins the import path of every package of the project.
+// projectPath is the prefix of the import path of every package of the project.
 const projectPath = "pollengauge.dev/"
 
-// Import is one import of a package of the project.
+// Import is an import of one of the project's packages.
 type Import struct {
 	// File is the importing file, Package the folder of the imported package.
 	File, Package string
@@ -21,15 +21,16 @@
 
 func (i Import) folder() string { return path.Dir(i.File) }
 
-// Sources is what the source files of a tree tell of its packages.
+// Sources holds the package folders of a source tree and the imports between
+// the project's packages.
 type Sources struct {
-	// Folders are those with source files.
+	// Folders are the folders with source files.
 	Folders []string
 	Imports []Import
 }
 
-// ReadSources reads the source files below the root of a tree, those for other
-// systems included. Test files, test data and hidden folders are left out.
+// ReadSources reads all source files of a tree, including files for other
+// operating systems. It skips test files, test data and hidden folders.
 func ReadSources(tree fs.FS) (Sources, error) {
 	var sources Sources
 	err := fs.WalkDir(tree, ".", func(name string, entry fs.DirEntry, err error) error {
@@ -51,7 +52,7 @@
 	return folder != "." && (strings.HasPrefix(base, ".") || base == "testdata")
 }
 
-// add reads the imports of one file.
+// add records the folder and the imports of one source file.
 func (s *Sources) add(tree fs.FS, name string) error {
 	source, err := fs.ReadFile(tree, name)
 	if err != nil {
--- a/proof/upstream.go
+++ b/proof/upstream.go
@@ -12,8 +12,8 @@
 	"pollengauge.dev/objects"
 )
 
-// Upstream is the back end beside a node. It runs operations as its current
-// Behavior says.
+// Upstream is the test server beside a node. It executes calls of operations as
+// its current Behavior configures.
 type Upstream struct {
 	net     *memnet.Network
 	host    string
@@ -26,14 +26,16 @@
 	mu       sync.Mutex
 	behavior Behavior
 	usual    Behavior
-	// server is the one of this life, nil while the upstream is away; ends counts
-	// its ends, and closed is set once it does not come back.
+	// server is the HTTP server of the current incarnation, nil while the upstream
+	// is down. ends counts the crashes, and closed is set once the upstream
+	// must not restart.
 	server *http.Server
 	ends   int
 	closed bool
 }
 
-// startUpstream serves on a host; outbound is the listener of its node.
+// startUpstream starts an upstream on a host; outbound is the address of its
+// node's listener for outbound calls.
 func startUpstream(network *memnet.Network, name, service string, ledger *Ledger, outbound string) (*Upstream, error) {
 	host := network.Host(name)
 	listener, err := host.Listen("x:0")
@@ -42,8 +44,8 @@
 	}
 	u := &Upstream{net: network, host: name, service: service, ledger: ledger, addr: listener.Addr().String()}
 	u.out = &http.Transport{
-		// A transport that keeps connections may resend a call on its own,
-		// which would be a second call of this upstream.
+		// A transport that reuses connections may resend a request by itself,
+		// which would count as a second call by this upstream.
 		DisableKeepAlives: true,
 		DialContext:       func(ctx context.Context, _, _ string) (net.Conn, error) { return host.Dial(ctx, outbound) },
 	}
@@ -51,7 +53,7 @@
 	return u, nil
 }
 
-// serve begins a life of the upstream.
+// serve starts an incarnation of the upstream.
 func (u *Upstream) serve(listener net.Listener) {
 	server := &http.Server{Handler: u}
 	u.mu.Lock()
@@ -72,11 +74,11 @@
 	u.out.CloseIdleConnections()
 }
 
-// awayFor is how long an upstream that has ended is away.
+// awayFor is the downtime of an upstream after a crash.
 const awayFor = 2 * time.Second
 
-// end ends the upstream under a call: all connections break, and nothing listens until
-// it is back.
+// end crashes the upstream during a call. All its connections break, and nothing
+// listens on its address until it restarts after awayFor.
 func (u *Upstream) end() {
 	u.mu.Lock()
 	server := u.server
@@ -100,22 +102,22 @@
 		_, port, _ := net.SplitHostPort(u.addr)
 		listener, err := u.net.Host(u.host).Listen("x:" + port)
 		if err != nil {
-			u.ledger.Report(&Violation{Promise: UpstreamsOutlast, Subject: u.host, Detail: "not back: " + err.Error()})
+			u.ledger.Report(&Violation{Promise: UpstreamsOutlast, Subject: u.host, Detail: "upstream did not restart: " + err.Error()})
 			return
 		}
 		u.serve(listener)
 	})
 }
 
-// Ends returns how often the upstream has ended under a call.
+// Ends returns how often the upstream has crashed during a call.
 func (u *Upstream) Ends() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.ends
 }
 
-// Behave sets what the upstream does from now on. A behavior with a Count is
-// followed by the one before.
+// Behave sets the behavior for the following calls. After a behavior with a Count
+// is used up, the last behavior without a Count applies again.
 func (u *Upstream) Behave(b Behavior) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -125,7 +127,7 @@
 	}
 }
 
-// next returns the behavior for one call.
+// next returns the behavior for one call and counts the call.
 func (u *Upstream) next(path string) Behavior {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -142,7 +144,7 @@
 	return b
 }
 
-// work is one call at the upstream.
+// work is one call that the upstream is handling.
 type work struct {
 	*Upstream
 	operation *Operation
@@ -173,8 +175,8 @@
 	k.run()
 }
 
-// checkRequest reads the request's body. One that is not whole, or another's,
-// must not reach an upstream as if it were.
+// checkRequest reads the request body. A truncated body, or the body of another
+// request, must not reach an upstream as if it were complete.
 func (k *work) checkRequest(planned bool) {
 	body, err := io.ReadAll(k.r.Body)
 	if err != nil {
@@ -223,7 +225,7 @@
 	k.answer(below)
 }
 
-// pause works for a while, or until the caller is gone.
+// pause simulates work for a duration, or until the caller has disconnected.
 func (k *work) pause(d time.Duration) {
 	if d <= 0 {
 		return
--- a/proof/upstream_calls.go
+++ b/proof/upstream_calls.go
@@ -11,12 +11,13 @@
 	"pollengauge.dev/call"
 )
 
-// failure is what a call below came back with instead of an answer.
+// failure describes why a downstream call has no complete answer, in the values
+// of the outcome, reason and hop headers.
 type failure struct {
 	outcome, reason, hop string
 }
 
-// callBelow makes the calls below and returns their answers, or the first
+// callBelow makes the downstream calls and returns their answers, or the first
 // failure.
 func (k *work) callBelow() ([]string, *failure) {
 	answers := make([]string, len(k.call.Below))
@@ -43,7 +44,8 @@
 	return answers, nil
 }
 
-// giveUp passes on why a call below failed, as the contract for upstreams asks.
+// giveUp responds 503 with the outcome, reason and hop of the failed downstream
+// call, as the contract for upstreams requires.
 func (k *work) giveUp(f *failure) {
 	h := k.w.Header()
 	h.Set(call.HeaderOutcome, f.outcome)
@@ -56,10 +58,11 @@
 	k.w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// lost is a call below that has no answer.
+// lost is the failure of a downstream call without a readable answer.
 var lost = &failure{outcome: call.Unknown.String(), reason: string(call.ReasonLost)}
 
-// requestBelow makes the request of a call below, named as its own or not.
+// requestBelow creates the request of a downstream call. If named is set, the
+// request carries the context headers that tie it to the handled call.
 func (k *work) requestBelow(ctx context.Context, c Call, step string, named bool) (*http.Request, error) {
 	body := strings.NewReader(k.operation.request(c, step))
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Service+c.Path, body)
@@ -80,7 +83,7 @@
 	return req, nil
 }
 
-// callOut makes one call through the own node.
+// callOut makes one outbound call through the upstream's own node.
 func (k *work) callOut(ctx context.Context, c Call, step string, named bool) (string, *failure) {
 	req, err := k.requestBelow(ctx, c, step, named)
 	if err != nil {
@@ -102,10 +105,11 @@
 	return string(answer), nil
 }
 
-// lateAfter is how long after its answer an upstream calls out.
+// lateAfter is the delay between an upstream's answer and its late outbound call.
 const lateAfter = 50 * time.Millisecond
 
-// callLater calls out for a request that will have been answered by then.
+// callLater schedules an outbound call for a request that will already have been
+// answered when the call is made.
 func (k *work) callLater() {
 	service := k.service
 	if len(k.call.Below) > 0 {
