--- a/proof/calm_test.go
+++ b/proof/calm_test.go
@@ -13,19 +13,20 @@
 	"pollengauge.dev/node"
 )
 
-// calmRun is a drawn run without any fault but those of the platform: nodes
-// drain, exit and start, operators edit, and callers must not notice.
+// calmRun is a drawn run without injected faults: nodes drain, exit and start,
+// operators edit the configuration, and every caller must receive a complete
+// answer.
 type calmRun struct {
 	*fuzz
 	leaving map[string]bool
-	// since is when a node may be counted on to get calls.
+	// since is the time from which a node counts as able to receive calls.
 	since map[string]time.Time
-	// born is when callers from outside may use a new node.
+	// born is the time from which external callers may use a new node.
 	born map[string]time.Time
 }
 
-// known is the time after which all have heard of a new node, or that a drain
-// was cancelled.
+// known is the time until all nodes have learned of a new node or of a cancelled
+// drain.
 const known = 3 * time.Second
 
 func newCalmRun(t *rapid.T, w *world) *calmRun {
@@ -41,8 +42,8 @@
 	return c
 }
 
-// staying returns the hosts of a service that all know and that are not on
-// their way out.
+// staying returns the hosts with a prefix whose nodes are known to all other
+// nodes and are not draining.
 func (c *calmRun) staying(prefix string) (hosts []string) {
 	for _, host := range c.Hosts() {
 		if strings.HasPrefix(host, prefix) && !c.leaving[host] && time.Now().After(c.since[host]) {
@@ -52,8 +53,7 @@
 	return hosts
 }
 
-// ask sends a new operation, which must be answered in full, and a second
-// time if it has a key.
+// ask sends a new operation, which must get a complete answer.
 func (c *calmRun) ask(t *rapid.T) {
 	name := rapid.SampledFrom([]string{"read 1", "read 3", "file", "file 3 kB", "file 20 kB"}).Draw(t, "operation")
 	op := c.Ledger.Add(operations[name])
@@ -65,7 +65,7 @@
 		t.Skip("no entry")
 	}
 	entry := rapid.SampledFrom(entries).Draw(t, "entry")
-	// The node is there when its caller begins; the next action may take it out
+	// The node is running when its caller starts. The next action may make it exit
 	// before the caller's goroutine has run.
 	m := c.Member(entry)
 	c.callers.Go(func() {
@@ -73,7 +73,7 @@
 	})
 }
 
-// drainOne begins a drain while another member of the service stays.
+// drainOne starts a drain if another member of the service stays available.
 func (c *calmRun) drainOne(t *rapid.T) {
 	host := c.host(t)
 	if len(c.staying(host[:1])) < 2 || c.leaving[host] {
@@ -132,18 +132,18 @@
 	c.fail(t)
 }
 
-// Nodes drain, exit and are replaced, drains are cancelled, and operators race
-// each other, again and again. No caller may notice any of it, a leaving node
-// may get no new work, and each accepted configuration must be in force
-// everywhere within five seconds.
+// Nodes repeatedly drain, exit and are replaced, drains are cancelled, and
+// operators edit the configuration concurrently. Every caller must get a complete
+// answer, a leaving node must receive no new work, and each accepted
+// configuration must be in force on all nodes within five seconds.
 func TestComingsAndGoingsCutOffNothing(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		inBubble(t, func(w *world) { newCalmRun(rt, w).run(rt) })
 	})
 }
 
-// A configuration that is accepted while one node stays cut off reaches the
-// others in time, and that node once it is back.
+// A configuration that is accepted while one node is frozen must reach the other
+// nodes in time, and the frozen node in time after it resumes.
 func TestConfigurationReachesWhoComesBack(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.startAll("portal", 10, nil, "p1", "p2", "p3", "p4", "p5")
--- a/proof/cluster.go
+++ b/proof/cluster.go
@@ -158,8 +158,8 @@
 	if m == nil {
 		return &UnknownMemberError{Host: host}
 	}
-	// The ledger leaves the drain first: the node may accept calls as soon as
-	// its drain is cancelled, and those are no violation.
+	// The ledger's record of the drain is deleted first: the node may accept calls
+	// as soon as its drain is cancelled, and they must not count as violations.
 	if !draining {
 		c.Ledger.SetDraining(host, false)
 	}
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -9,27 +9,29 @@
 	"pollengauge.dev/config"
 )
 
-// taker is what a node does with a configuration that it hears of.
+// taker receives configurations as a node does and reports the version that it
+// has in force.
 type taker interface {
 	take(set config.Set)
 	version() uint64
 }
 
-// storeTaker is the store that nodes have.
+// storeTaker is the configuration store that nodes use.
 type storeTaker struct{ store *config.Store }
 
 func (s storeTaker) take(set config.Set) { _, _ = s.store.OfferSet(set, config.SourcePeer) }
 func (s storeTaker) version() uint64     { return s.store.Status().Version }
 
-// lastHeard is a store without the safeguard: it takes whatever came last.
+// lastHeard is a store without the version comparison: it adopts every version
+// that it receives.
 type lastHeard struct{ current uint64 }
 
 func (l *lastHeard) take(set config.Set) { l.current = set.Version }
 func (l *lastHeard) version() uint64     { return l.current }
 
-// News of ten versions comes late, doubled and out of order, as from a watch
-// and from many peers at once. A node must never go back; one that takes what
-// it heard last does.
+// Updates of ten versions arrive late, duplicated and out of order, as they do
+// from a watch and many peers at once. A node must never revert to an older
+// version; a store that adopts the last received version does.
 func TestOldNewsNeverTakesOver(t *testing.T) {
 	c := qt.New(t)
 	set, err := config.Parse([]byte(profiles), config.YAML)
--- a/proof/edits_test.go
+++ b/proof/edits_test.go
@@ -13,7 +13,7 @@
 	"pollengauge.dev/standin"
 )
 
-// Actions around the configuration.
+// Actions on the platform and the configuration.
 
 func (f *fuzz) platform(t *rapid.T) {
 	f.disturb()
@@ -29,8 +29,8 @@
 	})
 }
 
-// edit lets two operators change the configuration at once, from the same
-// version.
+// edit makes two operators change the configuration concurrently, both starting
+// from the same version.
 func (f *fuzz) edit(t *rapid.T) {
 	set, err := config.Parse([]byte(profiles), config.YAML)
 	if err != nil {
@@ -54,13 +54,14 @@
 	}
 }
 
-// newsTime bounds how long an accepted configuration may take to be in force.
+// newsTime bounds the time until an accepted configuration is in force on all
+// nodes.
 const newsTime = 5 * time.Second
 
 func (f *fuzz) applyEdit(set config.Set, opts config.ApplyOptions) {
 	result, err := f.Apply(context.Background(), set, opts)
 	if err != nil {
-		return // lost the race, or its fate isn't known
+		return // the other operator's edit won, or the result of the write is unknown
 	}
 	accepted := time.Now()
 	members := f.Hosts()
--- a/proof/fuzz_test.go
+++ b/proof/fuzz_test.go
@@ -23,18 +23,19 @@
 	keys     map[*Operation]string
 	edits    int
 	calm     calm
-	// back is how long the return to service took.
+	// back is the time that the cluster took to return to service.
 	back time.Duration
 }
 
-// calm tells since when there has been no fault that may hold up news.
+// calm records since when there has been no fault that may delay updates between
+// nodes.
 type calm struct {
 	mu        sync.Mutex
 	disturbed time.Time
 	faulty    bool
 }
 
-// set notes that a fault began, or that all have ended.
+// set records that a fault began, or that all faults have ended.
 func (c *calm) set(faulty bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,14 +43,14 @@
 	c.faulty = faulty
 }
 
-// since reports whether there was no fault from a time on.
+// since reports whether there has been no fault since a time.
 func (c *calm) since(t time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.faulty && c.disturbed.Before(t)
 }
 
-// newFuzz starts three entry nodes and one or two deeper ones.
+// newFuzz starts three entry nodes and one node each of two downstream services.
 func newFuzz(t *rapid.T, w *world) *fuzz {
 	f := &fuzz{world: w, keys: make(map[*Operation]string)}
 	entries := rapid.SampledFrom([]int{16, 16, 1000}).Draw(t, "key entries")
@@ -93,7 +94,8 @@
 	return time.Duration(rapid.IntRange(low, high).Draw(t, name)) * time.Millisecond
 }
 
-// leave draws when a caller goes away; most never do.
+// leave draws the time after which a caller disconnects. Most callers stay, for
+// which it returns 0.
 func leave(t *rapid.T) time.Duration {
 	if rapid.IntRange(0, 3).Draw(t, "leaves") > 0 {
 		return 0
@@ -111,7 +113,8 @@
 
 var operationNames = slices.Sorted(maps.Keys(operations))
 
-// ask sends a new operation, some at several nodes at once.
+// ask sends a new operation. If it has a key or is a GET, it may be sent up to
+// three times concurrently, each time to a drawn entry node.
 func (f *fuzz) ask(t *rapid.T) {
 	op := f.Ledger.Add(operations[rapid.SampledFrom(operationNames).Draw(t, "operation")])
 	f.keys[op] = f.drawKey(t, op)
@@ -145,8 +148,8 @@
 	return f.Mint(ctx, host)
 }
 
-// again is a caller's own retry. An operation without a key is only asked
-// again if that can do no harm.
+// again is a retry by the caller itself. An operation without a key is retried
+// only if it is a GET, which can do no harm.
 func (f *fuzz) again(t *rapid.T) {
 	if len(f.inFlight) == 0 {
 		t.Skip("nothing asked")
@@ -217,7 +220,7 @@
 	f.calm.set(false)
 }
 
-// Comings and goings.
+// Stops, restarts and drains of members.
 
 func (f *fuzz) kill(t *rapid.T) {
 	if len(f.down) > 1 {
@@ -239,7 +242,7 @@
 	f.start(spec)
 }
 
-// nextHost names the VM that replaces another.
+// nextHost returns the host name of the VM that replaces another.
 func nextHost(host string) string { return host + "'" }
 
 func (f *fuzz) exit(t *rapid.T) {
@@ -275,7 +278,7 @@
 	}
 }
 
-// finish ends all faults and checks that the cluster comes back to serving.
+// finish ends all faults and checks that the cluster returns to service.
 func (f *fuzz) finish(t *rapid.T) {
 	f.heal(t)
 	for _, host := range f.Hosts() {
@@ -298,10 +301,10 @@
 	f.fail(t)
 }
 
-// healTime bounds the return to service after all faults. The slowest way back
-// is that of nodes which started while neither the platform nor any node they
-// had been told of could be reached, and found only each other: they ask for
-// others each five minutes.
+// healTime bounds the return to service after the end of all faults. The slowest
+// recovery is that of nodes that started while they could reach neither the
+// platform nor any of their configured peers, and so found only each other. They
+// search for other nodes every five minutes.
 const healTime = 6 * time.Minute
 
 func (f *fuzz) awaitService(t *rapid.T, host string, healed time.Time) {
@@ -330,8 +333,8 @@
 	f.finish(t)
 }
 
-// Any fault may come at any moment, together or twice. Whatever a caller is
-// then told must agree with what the upstreams did.
+// Any fault may occur at any time, repeatedly or combined with others. The outcome
+// that a caller receives must always agree with what the upstreams executed.
 func TestPromisesUnderAnyFaults(t *testing.T) {
 	total := make(map[string]int)
 	var slowest time.Duration
--- a/proof/harness_test.go
+++ b/proof/harness_test.go
@@ -13,7 +13,7 @@
 	"pollengauge.dev/node"
 )
 
-// profiles has one profile for each kind of operation.
+// profiles is a configuration with one profile for each kind of operation.
 const profiles = `
 profiles:
 - {name: default, priority: 1, key: optional, record: none, deadline: 3s, maxWait: 500ms, credit: 2, brownout: {maxAge: 0s}, prefer: balanced}
@@ -27,15 +27,15 @@
 
 const testCredit = 2
 
-// world is a cluster under test with the callers that are under way.
+// world is a cluster under test with the callers that wait for answers.
 type world struct {
 	*Cluster
 	t       testing.TB
 	callers sync.WaitGroup
 }
 
-// inBubble runs a test in virtual time. A panic of the test, which is how
-// rapid ends one, is passed on to the caller once the cluster is closed.
+// inBubble runs a test in virtual time. It recovers a panic of the test, with
+// which rapid aborts a run, closes the cluster and then panics again.
 func inBubble(t *testing.T, test func(w *world)) {
 	var failed any
 	synctest.Test(t, func(t *testing.T) {
@@ -55,7 +55,8 @@
 	}
 }
 
-// apply puts a configuration in force from the start.
+// apply writes a configuration to the platform's store and fails the test if it
+// isn't accepted.
 func (w *world) apply(text string) {
 	set, err := config.Parse([]byte(text), config.YAML)
 	qt.Assert(w.t, err, qt.IsNil)
@@ -65,30 +66,31 @@
 	qt.Assert(w.t, err, qt.IsNil)
 }
 
-// start runs a member and fails the test if it can't.
+// start starts a member and fails the test if that isn't possible.
 func (w *world) start(spec MemberSpec) *Member {
 	m, err := w.Start(spec)
 	qt.Assert(w.t, err, qt.IsNil)
 	return m
 }
 
-// startAll runs nodes named by their hosts, each with some slots.
+// startAll starts a member with the given slots on each host.
 func (w *world) startAll(service string, slots int, adjust func(*node.Settings), hosts ...string) {
 	for _, host := range hosts {
 		w.start(MemberSpec{Host: host, Service: service, Slots: slots, Adjust: adjust})
 	}
 }
 
-// settle lets membership and configuration spread.
+// settle waits until membership and configuration have spread to all nodes.
 func (w *world) settle() { time.Sleep(3 * time.Second) }
 
-// present sends an operation in the background; leave is when its caller goes
-// away, 0 for never.
+// present sends a request for an operation in the background. The caller
+// disconnects after leave, or waits for the answer if leave is 0.
 func (w *world) present(o *Operation, host, key string, leave time.Duration) {
 	w.callers.Go(func() { w.presentNow(o, host, key, leave) })
 }
 
-// callerPatience ends a caller whose node never answers.
+// callerPatience is the timeout of a caller that would otherwise wait forever
+// for a node that never answers.
 const callerPatience = 30 * time.Second
 
 func (w *world) presentNow(o *Operation, host, key string, leave time.Duration) Reply {
@@ -107,7 +109,8 @@
 	return w.PresentTo(ctx, m, Presentation{Operation: o.ID, Host: host, Key: key})
 }
 
-// outcomes counts the answers by what their callers were told.
+// outcomes counts the presentations by outcome. "left" counts callers that
+// disconnected, "broken" answers that failed to arrive in full.
 func (w *world) outcomes() map[string]int {
 	counts := make(map[string]int)
 	for _, p := range w.Ledger.Presentations() {
@@ -123,7 +126,7 @@
 	return counts
 }
 
-// Operations of the tests.
+// Operations for the tests.
 
 func read(width int) Operation {
 	var below []Call
--- a/proof/main_test.go
+++ b/proof/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Without flags the fuzzing repeats the same few runs, as continuous
-// integration needs it. With -rapid.checks it draws new ones.
+// Without rapid's flags the fuzz tests repeat the same few runs, so that
+// continuous integration is reproducible. With -rapid.checks they draw new runs.
 const (
 	fixedSeed   = "20261202"
 	fixedChecks = "12"
--- a/proof/overload_test.go
+++ b/proof/overload_test.go
@@ -18,7 +18,7 @@
 limits: {retryRatio: 0.1}
 `
 
-// tally counts the answers of one kind of request.
+// tally counts the requests of one kind and their answers.
 type tally struct{ offered, complete, refused int }
 
 func (w *world) tallyOf(path string, since time.Time) (n tally) {
@@ -37,8 +37,8 @@
 	return n
 }
 
-// overload offers twice what one upstream can do: browsing alone is more than
-// enough, and payments come on top.
+// overload offers one upstream browsing requests at twice its capacity, and
+// payments in addition. It returns the counts after the warm-up.
 func overload(w *world, ablate node.Ablation) (browse, pay tally) {
 	w.apply(overloadProfiles)
 	w.startAll("portal", 2, func(s *node.Settings) { s.Ablate = ablate }, "p1")
@@ -59,9 +59,10 @@
 	return w.tallyOf("/browse", warm), w.tallyOf("/pay", warm)
 }
 
-// Browsing alone is twice what the upstream can do, and payments come to the
-// same gate. Payers must not notice; browsing gets what is left. Without
-// admission control payments are refused like anything else.
+// Browsing alone is twice the upstream's capacity, and payments pass through the
+// same admission gate. All payments must complete, and browsing gets the
+// remaining capacity. Without admission control, payments are refused like all
+// other requests.
 func TestPaymentsAreShedLast(t *testing.T) {
 	c := qt.New(t)
 	inBubble(t, func(w *world) {
@@ -74,15 +75,15 @@
 	})
 	inBubble(t, func(w *world) {
 		browse, pay := overload(w, node.Ablation{NoAdmission: true})
-		t.Logf("without: browsing %+v, payments %+v", browse, pay)
+		t.Logf("without admission: browsing %+v, payments %+v", browse, pay)
 		c.Check(pay.complete < pay.offered && browse.complete > 0, qt.IsTrue)
 	})
 }
 
-// All of the lowest service crash while readers keep coming, and each request
-// may use its credit. The extra calls of all readers together must stay a
-// tenth of the first ones, or a fault of a part becomes an overload of the
-// whole.
+// All upstreams of the most downstream service break connections while readers
+// continue to send requests, and each request may use its credit. The retries of
+// all readers together must not exceed a tenth of the first attempts plus one
+// burst. Otherwise the failure of one service overloads the entire system.
 func TestRetriesOfAllRequestsStayAShare(t *testing.T) {
 	extra := func(ablate node.Ablation) (first, all int) {
 		inBubble(t, func(w *world) {
@@ -102,7 +103,8 @@
 			for _, host := range []string{"r1", "r2", "r3"} {
 				all += w.Ledger.Arrivals(host, start)
 			}
-			// The node counts the requests from outside and those of its upstream.
+			// The node counts external requests and its upstream's outbound calls as
+			// first attempts.
 			first = 2 * w.Ledger.Arrivals("p1", start)
 			all += first / 2
 		})
@@ -111,17 +113,18 @@
 	c := qt.New(t)
 	const burst, ratio = 3, 0.1
 	first, all := extra(node.Ablation{})
-	t.Logf("with the budget: %d calls for %d first ones", all, first)
+	t.Logf("with the budget: %d calls for %d first attempts", all, first)
 	c.Check(float64(all-first) <= ratio*float64(first)+burst, qt.IsTrue)
 	first, all = extra(node.Ablation{NoBudget: true})
-	t.Logf("without: %d calls for %d first ones", all, first)
+	t.Logf("without the budget: %d calls for %d first attempts", all, first)
 	c.Check(float64(all-first) > ratio*float64(first)+burst, qt.IsTrue)
 }
 
-// All of the lowest service crash for twelve seconds. Meanwhile one entry node
-// begins and cancels drains, exits, and is replaced. Its calls go to others,
-// and a new node has an empty window: the retries of all must still be the
-// share, and one burst for each node and window.
+// All upstreams of the most downstream service break connections for twelve
+// seconds. Meanwhile one entry node starts and cancels drains, exits and is
+// replaced. Its calls move to other nodes, and the replacement starts with an
+// empty window. The retries of all nodes must still stay within the configured
+// share plus one burst for each node and window.
 func TestRetryShareHoldsThroughDrainsAndRestarts(t *testing.T) {
 	const requests, every = 600, 20 * time.Millisecond
 	c := qt.New(t)
@@ -155,12 +158,12 @@
 		for _, host := range []string{"r1", "r2", "r3"} {
 			below += w.Ledger.Arrivals(host, start)
 		}
-		// Each request is a first attempt at its entry, and so is each call that
-		// an upstream makes; what drains refuse arrives nowhere.
+		// Each request is a first attempt at its entry, and so is each call that an
+		// upstream makes. Calls that a draining node refuses arrive at no upstream.
 		first := requests + portal
 		retries := max(portal-requests, 0) + below - portal
 		const ratio, burst, nodes, windows = 0.1, 3, 3, 2
-		t.Logf("%d requests, %d calls at portals, %d below: %d retries for %d first attempts", requests, portal, below, retries, first)
+		t.Logf("%d requests, %d calls at portals, %d downstream: %d retries for %d first attempts", requests, portal, below, retries, first)
 		c.Check(float64(retries) <= ratio*float64(first)+burst*nodes*windows, qt.IsTrue)
 		c.Check(retries > 0, qt.IsTrue)
 		c.Check(w.Ledger.Check(), qt.HasLen, 0)
--- a/proof/page_test.go
+++ b/proof/page_test.go
@@ -16,9 +16,9 @@
 	testFunction = regexp.MustCompile(`(?m)^func (Test\w+)\(`)
 )
 
-// A reader follows a promise to its test. Each test that the page names must
-// be there, and so must the safeguard behind a name with a slash; and no
-// safeguard may be missing from the page.
+// The page must lead a reader from each promise to its tests: every test that it
+// names must exist, every subtest that it names must belong to a safeguard, and
+// the page must name every safeguard.
 func TestPageNamesTestsThatExist(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../docs/PROMISES.md")
@@ -39,7 +39,7 @@
 	}
 }
 
-// testFunctions returns the names of all test functions of the workspace.
+// testFunctions returns the names of all test functions in the workspace.
 func testFunctions(c *qt.C) map[string]bool {
 	found := make(map[string]bool)
 	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
--- a/proof/safeguards_test.go
+++ b/proof/safeguards_test.go
@@ -12,8 +12,8 @@
 	"pollengauge.dev/node"
 )
 
-// safeguard is a mechanism that a promise rests on, with a scenario in which
-// the promise is broken without it.
+// safeguard is a mechanism that a promise depends on, with a scenario that breaks
+// the promise if the mechanism is disabled.
 type safeguard struct {
 	name    string
 	promise Promise
@@ -38,15 +38,16 @@
 	{"drains wait", GracefulCutsNothing, node.Ablation{NoDrainWait: true}, exitWithCallsInFlight},
 }
 
-// Each promise holds in a scenario made to break it, and is broken in the same
-// scenario once the safeguard is off. A check that can't fail proves nothing.
+// Each promise must hold in a scenario designed to break it, and must be broken in
+// the same scenario with the safeguard disabled. This shows that the check can
+// fail: a check that can't fail proves nothing.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	for _, s := range safeguards {
 		t.Run(s.name, func(t *testing.T) {
 			with := s.violations(t, node.Ablation{})
 			qt.Check(t, with, qt.HasLen, 0)
 			without := s.violations(t, s.without)
-			t.Logf("without it: %v", without)
+			t.Logf("without the safeguard: %v", without)
 			broken := slices.ContainsFunc(without, func(v *Violation) bool { return v.Promise == s.promise })
 			qt.Check(t, broken, qt.IsTrue)
 		})
@@ -63,16 +64,16 @@
 	return found
 }
 
-// mustComplete reports an answer that is not whole where nothing may keep it
-// from being.
+// mustComplete reports a violation if an answer isn't complete. It is for
+// scenarios in which no fault may prevent a complete answer.
 func (w *world) mustComplete(p Promise, o *Operation, r Reply) {
 	if !r.Complete() {
 		w.Ledger.Report(&Violation{Promise: p, Subject: o.ID, Detail: "answer " + r.Outcome + " " + r.Reason + " " + brief(r.Body)})
 	}
 }
 
-// A request fans out and all of the lowest service crash. Retries at the three
-// calls in the middle add up.
+// A request fans out, and all upstreams of the most downstream service break the
+// connection. The retries of the three calls in the middle add up.
 func failingAtTheBottom(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 10, adjust, "p1")
 	w.startAll("registry", 10, adjust, "r1", "r2", "r3")
@@ -89,11 +90,11 @@
 	w.presentNow(o, "p1", "", 0)
 }
 
-// mostEnds is how many upstreams one request may end while it is found to be the cause:
-// two before it is held, and one at its trial.
+// mostEnds is the number of upstreams that one request may crash until it is
+// identified as the cause: two before it is quarantined, and one at its trial.
 const mostEnds = 3
 
-// A request ends each upstream that runs it, and comes again and again.
+// A request crashes each upstream that runs it, and callers repeat it.
 func endsItsUpstreams(w *world, adjust func(*node.Settings)) {
 	hosts := []string{"p1", "p2", "p3"}
 	w.startAll("portal", 10, adjust, hosts...)
@@ -111,11 +112,11 @@
 		ends += w.Member(host).Upstream.Ends()
 	}
 	if ends > mostEnds {
-		w.Ledger.Report(&Violation{Promise: UpstreamsOutlast, Subject: "/fatal", Detail: strconv.Itoa(ends) + " upstreams ended"})
+		w.Ledger.Report(&Violation{Promise: UpstreamsOutlast, Subject: "/fatal", Detail: strconv.Itoa(ends) + " upstream crashes"})
 	}
 }
 
-// The upstream breaks off within its answer.
+// The upstream breaks the connection in the middle of its answer.
 func truncatedAnswer(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 10, adjust, "p1")
 	w.settle()
@@ -123,7 +124,7 @@
 	w.presentNow(w.Ledger.Add(read(0)), "p1", "", 0)
 }
 
-// Two callers bring the same key for requests of their own.
+// Two callers send the same key with different requests.
 func oneKeyForTwo(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 10, adjust, "p1", "p2")
 	w.startAll("registry", 10, adjust, "r1")
@@ -132,7 +133,7 @@
 	w.presentNow(w.Ledger.Add(filing(10)), "p2", "key-1", 0)
 }
 
-// A caller gives up while its filing runs and asks again at another node.
+// A caller disconnects while its filing runs and retries at another node.
 func callerLeaves(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 10, adjust, "p1", "p2")
 	w.startAll("registry", 10, adjust, "r1")
@@ -145,11 +146,12 @@
 	w.mustComplete(OwnWholeAnswer, o, w.presentNow(o, "p2", "key-1", 0))
 }
 
-// Connections break within a body that is longer than what is held for a
-// retry. The call may be repeated, so another attempt would follow if it could
-// send the whole body again; one that sends the rest alone looks whole.
+// Connections break in the middle of a request body that is longer than the replay
+// buffer. The call is idempotent, so a retry would follow if it could resend
+// the complete body. A retry that sends only the rest of the body looks like a
+// complete request to the upstream.
 func streamBreaks(w *world, adjust func(*node.Settings)) {
-	const credit = 5 // what a lost attempt leaves pays for another
+	const credit = 5 // enough that the credit left by a lost attempt allows another attempt
 	w.apply(strings.Replace(profiles, "credit: 2", "credit: 5", 1))
 	held := func(s *node.Settings) {
 		adjust(s)
@@ -166,8 +168,8 @@
 	}
 }
 
-// Two callers ask for their status, which has one address for all. The second
-// asks when the upstream sheds, and the profile allows a stored answer.
+// Two callers request their own status at the same URL. When the second request
+// arrives, the upstream sheds calls, and the profile allows a stored answer.
 func statusOfTwo(w *world, adjust func(*node.Settings)) {
 	w.apply(strings.Replace(profiles, "maxAge: 0s", "maxAge: 20s", 1))
 	w.startAll("portal", 10, adjust, "p1")
@@ -178,7 +180,7 @@
 	w.presentNow(w.Ledger.Add(status), "p1", "", 0)
 }
 
-// The connection to the node below breaks while the call runs there.
+// The connection to the downstream node breaks while the call runs there.
 func connectionBreaks(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 10, adjust, "p1")
 	w.startAll("registry", 10, adjust, "r1")
@@ -190,7 +192,7 @@
 	w.Net.Cut("p1", "r1")
 }
 
-// The entry's upstream sheds after the calls below have run.
+// The upstream at the entry sheds the call after its downstream calls have run.
 func shedsAfterCalls(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 10, adjust, "p1")
 	w.startAll("registry", 10, adjust, "r1")
@@ -199,7 +201,8 @@
 	w.presentNow(w.Ledger.Add(filing(10)), "p1", "", 0)
 }
 
-// The entry's upstream sheds, and calls out for the same request afterwards.
+// The upstream at the entry sheds the call and afterwards makes an outbound call
+// for the same request.
 func callsOutLate(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 10, adjust, "p1")
 	w.startAll("registry", 10, adjust, "r1")
@@ -208,7 +211,7 @@
 	w.presentNow(w.Ledger.Add(filing(10)), "p1", "", 0)
 }
 
-// A caller presents its key at all nodes at once.
+// A caller presents the same key at all nodes concurrently.
 func keyAtThreeNodes(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 10, adjust, "p1", "p2", "p3")
 	w.startAll("registry", 10, adjust, "r1")
@@ -220,8 +223,8 @@
 	}
 }
 
-// The upstream runs a filing and breaks the connection, which had served
-// another request before.
+// The upstream runs a filing and then breaks the connection, which has already
+// served another request.
 func reusedConnectionBreaks(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 1, adjust, "p1")
 	w.startAll("registry", 10, adjust, "r1")
@@ -231,7 +234,8 @@
 	w.presentNow(w.Ledger.Add(filing(10)), "p1", "key-1", 0)
 }
 
-// A node drains while callers go on asking at every edge, its own included.
+// A node drains while callers continue to send requests to every edge, including
+// the edge of the draining node.
 func drainUnderLoad(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 10, adjust, "p1", "p2", "p3")
 	w.settle()
@@ -244,8 +248,8 @@
 	}
 }
 
-// A node exits gracefully while it runs filings, and while others send it
-// calls and ask it for the fates of its keys.
+// A node exits gracefully while it runs filings, and while other nodes send it
+// calls and query it for the fates of the keys it owns.
 func exitWithCallsInFlight(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 100, adjust, "p1", "p2", "p3")
 	w.startAll("registry", 100, adjust, "r1")
