--- a/proof/behavior.go
+++ b/proof/behavior.go
@@ -33,8 +33,8 @@
 	Trickle
 	// Switch responds 101 Switching Protocols to a request without an upgrade.
 	Switch
-	// End does the work and crashes the upstream process, which restarts later.
-	End
+	// Crash does the work and crashes the upstream process, which restarts later.
+	Crash
 )
 
 // Modes are the modes that don't crash the upstream process. The fuzz tests draw
--- a/proof/caller.go
+++ b/proof/caller.go
@@ -29,7 +29,7 @@
 // member has begun to exit before the caller's goroutine runs.
 func (c *Cluster) PresentTo(ctx context.Context, m *Member, p Presentation) Reply {
 	o := c.Ledger.operation(p.Operation)
-	sent := c.Ledger.send(p)
+	sent := c.Ledger.recordSent(p)
 	header := http.Header{}
 	header.Set(headerOperation, o.ID)
 	header.Set(headerPresentation, sent.ID)
@@ -39,7 +39,7 @@
 		header.Set(call.HeaderIdempotencyKey, p.Key)
 	}
 	reply := c.send(ctx, m.Node, o.Root.Method, o.Root.Path, o.request(o.Root, rootStep), header)
-	c.Ledger.answered(sent, reply, ctx.Err() != nil)
+	c.Ledger.recordReply(sent, reply, ctx.Err() != nil)
 	return reply
 }
 
--- a/proof/calm_test.go
+++ b/proof/calm_test.go
@@ -19,18 +19,18 @@
 type calmRun struct {
 	*fuzz
 	leaving map[string]bool
-	// since is the time from which a node counts as able to receive calls.
-	since map[string]time.Time
-	// born is the time from which external callers may use a new node.
-	born map[string]time.Time
+	// knownFrom is the time from which a node counts as able to receive calls.
+	knownFrom map[string]time.Time
+	// usableFrom is the time from which external callers may use a new node.
+	usableFrom map[string]time.Time
 }
 
-// known is the time until all nodes have learned of a new node or of a cancelled
-// drain.
-const known = 3 * time.Second
+// membershipUpdateTimeout is the time after which all nodes have learned of a new
+// node or of a cancelled drain.
+const membershipUpdateTimeout = 3 * time.Second
 
 func newCalmRun(t *rapid.T, w *world) *calmRun {
-	c := &calmRun{fuzz: &fuzz{world: w, keys: make(map[*Operation]string)}, leaving: make(map[string]bool), since: make(map[string]time.Time), born: make(map[string]time.Time)}
+	c := &calmRun{fuzz: &fuzz{world: w, keys: make(map[*Operation]string)}, leaving: make(map[string]bool), knownFrom: make(map[string]time.Time), usableFrom: make(map[string]time.Time)}
 	adjust := func(s *node.Settings) { s.MaxReplayBytes = 4 << 10 }
 	w.startAll("portal", 100, adjust, "p1", "p2", "p3")
 	w.startAll("registry", 100, adjust, "r1", "r2")
@@ -46,7 +46,7 @@
 // nodes and are not draining.
 func (c *calmRun) staying(prefix string) (hosts []string) {
 	for _, host := range c.Hosts() {
-		if strings.HasPrefix(host, prefix) && !c.leaving[host] && time.Now().After(c.since[host]) {
+		if strings.HasPrefix(host, prefix) && !c.leaving[host] && time.Now().After(c.knownFrom[host]) {
 			hosts = append(hosts, host)
 		}
 	}
@@ -59,7 +59,7 @@
 	op := c.Ledger.Add(operations[name])
 	key := c.drawKey(t, op)
 	entries := slices.DeleteFunc(c.Hosts(), func(host string) bool {
-		return host[0] != 'p' || time.Now().Before(c.born[host])
+		return host[0] != 'p' || time.Now().Before(c.usableFrom[host])
 	})
 	if len(entries) == 0 {
 		t.Skip("no entry")
@@ -86,7 +86,7 @@
 func (c *calmRun) undrainOne(t *rapid.T) {
 	host := c.host(t)
 	if c.leaving[host] {
-		c.since[host] = time.Now().Add(known)
+		c.knownFrom[host] = time.Now().Add(membershipUpdateTimeout)
 	}
 	c.leaving[host] = false
 	_ = c.SetDraining(host, false)
@@ -107,8 +107,8 @@
 	c.restart(t)
 	for _, host := range c.Hosts() {
 		if !slices.Contains(before, host) {
-			c.since[host] = time.Now().Add(known)
-			c.born[host] = c.since[host]
+			c.knownFrom[host] = time.Now().Add(membershipUpdateTimeout)
+			c.usableFrom[host] = c.knownFrom[host]
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	actions[""] = c.check
 	t.Repeat(actions)
 	c.callers.Wait()
-	time.Sleep(newsTime)
+	time.Sleep(configUpdateTimeout)
 	c.fail(t)
 }
 
@@ -162,10 +162,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(newsTime)
+		time.Sleep(configUpdateTimeout)
 		f.checkInForce([]string{"p1", "p2", "p3", "p4"}, result.Version)
 		w.Net.Thaw("p5")
-		time.Sleep(newsTime)
+		time.Sleep(configUpdateTimeout)
 		f.checkInForce(w.Hosts(), result.Version)
 		for _, v := range w.Ledger.Check() {
 			t.Error(v)
--- a/proof/cluster.go
+++ b/proof/cluster.go
@@ -35,9 +35,9 @@
 	Store  *standin.Memory
 	Ledger *Ledger
 
-	mu      sync.Mutex
-	members map[string]*Member
-	ending  sync.WaitGroup
+	mu       sync.Mutex
+	members  map[string]*Member
+	stopping sync.WaitGroup
 }
 
 // NewCluster returns a cluster without members.
@@ -124,8 +124,8 @@
 	return hosts
 }
 
-// take removes a member from the running members and returns it.
-func (c *Cluster) take(host string) (*Member, error) {
+// remove removes a member from the running members and returns it.
+func (c *Cluster) remove(host string) (*Member, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.members[host]
@@ -138,14 +138,14 @@
 
 // Kill stops a node and its upstream abruptly, as when the VM is lost.
 func (c *Cluster) Kill(host string) error {
-	m, err := c.take(host)
+	m, err := c.remove(host)
 	if err != nil {
 		return err
 	}
 	c.Ledger.SetDraining(host, false)
 	c.Net.Kill(host)
 	c.Net.Thaw(host)
-	c.ending.Go(func() {
+	c.stopping.Go(func() {
 		m.Upstream.close()
 		m.Node.Close()
 	})
@@ -173,12 +173,12 @@
 // Exit drains a node, shuts it down gracefully, and then stops its upstream. The
 // channel receives the result of the drain.
 func (c *Cluster) Exit(ctx context.Context, host string) (<-chan error, error) {
-	m, err := c.take(host)
+	m, err := c.remove(host)
 	if err != nil {
 		return nil, err
 	}
 	ended := make(chan error, 1)
-	c.ending.Go(func() {
+	c.stopping.Go(func() {
 		c.Ledger.SetDraining(host, true)
 		err := m.Node.Drain(ctx)
 		c.Ledger.SetDraining(host, false)
@@ -211,5 +211,5 @@
 	for _, host := range c.Hosts() {
 		_ = c.Kill(host)
 	}
-	c.ending.Wait()
+	c.stopping.Wait()
 }
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -9,25 +9,25 @@
 	"pollengauge.dev/config"
 )
 
-// taker receives configurations as a node does and reports the version that it
-// has in force.
-type taker interface {
-	take(set config.Set)
+// configReceiver receives configurations as a node does and reports the version
+// that it has in force.
+type configReceiver interface {
+	receive(set config.Set)
 	version() uint64
 }
 
-// storeTaker is the configuration store that nodes use.
-type storeTaker struct{ store *config.Store }
+// storeReceiver is the configuration store that nodes use.
+type storeReceiver struct{ store *config.Store }
 
-func (s storeTaker) take(set config.Set) { _, _ = s.store.OfferSet(set, config.SourcePeer) }
-func (s storeTaker) version() uint64     { return s.store.Status().Version }
+func (s storeReceiver) receive(set config.Set) { _, _ = s.store.OfferSet(set, config.SourcePeer) }
+func (s storeReceiver) version() uint64        { return s.store.Status().Version }
 
-// lastHeard is a store without the version comparison: it adopts every version
+// lastReceived is a store without the version comparison: it adopts every version
 // that it receives.
-type lastHeard struct{ current uint64 }
+type lastReceived struct{ current uint64 }
 
-func (l *lastHeard) take(set config.Set) { l.current = set.Version }
-func (l *lastHeard) version() uint64     { return l.current }
+func (l *lastReceived) receive(set config.Set) { l.current = set.Version }
+func (l *lastReceived) version() uint64        { return l.current }
 
 // Updates of ten versions arrive late, duplicated and out of order, as they do
 // from a watch and many peers at once. A node must never revert to an older
@@ -43,11 +43,11 @@
 		}
 	}
 	rand.New(rand.NewPCG(1, 2)).Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-	reverts := func(node taker) (count int) {
+	reverts := func(node configReceiver) (count int) {
 		var seen uint64
 		for _, version := range order {
 			set.Version = version
-			node.take(set)
+			node.receive(set)
 			if node.version() < seen {
 				count++
 			}
@@ -56,8 +56,8 @@
 		c.Check(node.version() == 10 || count > 0, qt.IsTrue)
 		return count
 	}
-	c.Check(reverts(storeTaker{config.NewStore()}), qt.Equals, 0)
-	without := reverts(&lastHeard{})
+	c.Check(reverts(storeReceiver{config.NewStore()}), qt.Equals, 0)
+	without := reverts(&lastReceived{})
 	t.Logf("without the comparison: %d of %d times at an older version than before", without, len(order))
 	c.Check(without > 0, qt.IsTrue)
 }
--- a/proof/edits_test.go
+++ b/proof/edits_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// newsTime bounds the time until an accepted configuration is in force on all
-// nodes.
-const newsTime = 5 * time.Second
+// configUpdateTimeout bounds the time until an accepted configuration is in force
+// on all nodes.
+const configUpdateTimeout = 5 * time.Second
 
 func (f *fuzz) applyEdit(set config.Set, opts config.ApplyOptions) {
 	result, err := f.Apply(context.Background(), set, opts)
@@ -65,8 +65,8 @@
 	}
 	accepted := time.Now()
 	members := f.Hosts()
-	time.Sleep(newsTime)
-	if f.calm.since(accepted.Add(-newsTime)) {
+	time.Sleep(configUpdateTimeout)
+	if f.calm.since(accepted.Add(-configUpdateTimeout)) {
 		f.checkInForce(members, result.Version)
 	}
 }
@@ -81,7 +81,7 @@
 			f.Ledger.Report(&Violation{
 				Promise: ConfigNeverReverts,
 				Subject: host,
-				Detail:  fmt.Sprintf("version %d in force %v after %d was accepted", got, newsTime, version),
+				Detail:  fmt.Sprintf("version %d in force %v after %d was accepted", got, configUpdateTimeout, version),
 			})
 		}
 	}
--- a/proof/fuzz_test.go
+++ b/proof/fuzz_test.go
@@ -23,8 +23,8 @@
 	keys     map[*Operation]string
 	edits    int
 	calm     calm
-	// back is the time that the cluster took to return to service.
-	back time.Duration
+	// recovery is the time that the cluster took to return to service.
+	recovery time.Duration
 }
 
 // calm records since when there has been no fault that may delay updates between
@@ -295,17 +295,17 @@
 			f.awaitService(t, host, healed)
 		}
 	}
-	f.back = time.Since(healed)
-	time.Sleep(newsTime)
+	f.recovery = time.Since(healed)
+	time.Sleep(configUpdateTimeout)
 	f.Watch()
 	f.fail(t)
 }
 
-// healTime bounds the return to service after the end of all faults. The slowest
-// recovery is that of nodes that started while they could reach neither the
-// platform nor any of their configured peers, and so found only each other. They
-// search for other nodes every five minutes.
-const healTime = 6 * time.Minute
+// recoveryTimeout bounds the return to service after the end of all faults. The
+// slowest recovery is that of nodes that started while they could reach neither
+// the platform nor any of their configured peers, and so found only each other.
+// They search for other nodes every five minutes.
+const recoveryTimeout = 6 * time.Minute
 
 func (f *fuzz) awaitService(t *rapid.T, host string, healed time.Time) {
 	for {
@@ -313,8 +313,8 @@
 		if got.Complete() {
 			return
 		}
-		if time.Since(healed) > healTime {
-			t.Fatalf("%s does not serve %v after all faults: %+v", host, healTime, got)
+		if time.Since(healed) > recoveryTimeout {
+			t.Fatalf("%s does not serve %v after all faults: %+v", host, recoveryTimeout, got)
 		}
 		time.Sleep(2 * time.Second)
 	}
@@ -352,7 +352,7 @@
 			for outcome, n := range w.outcomes() {
 				total[outcome] += n
 			}
-			slowest = max(slowest, f.back)
+			slowest = max(slowest, f.recovery)
 		})
 	})
 	t.Logf("answers: %v; slowest return to service %v", total, slowest)
--- a/proof/harness_test.go
+++ b/proof/harness_test.go
@@ -129,26 +129,26 @@
 // Operations for the tests.
 
 func read(width int) Operation {
-	var below []Call
+	var downstream []Call
 	for range width {
-		below = append(below, Call{Service: "registry", Method: "GET", Path: "/lookup", AnswerBytes: 300})
+		downstream = append(downstream, Call{Service: "registry", Method: "GET", Path: "/lookup", AnswerBytes: 300})
 	}
-	return Operation{Credit: testCredit, Root: Call{Service: "portal", Method: "GET", Path: "/read", Below: below, Parallel: width > 2, AnswerBytes: 2000, Trailer: true}}
+	return Operation{Credit: testCredit, Root: Call{Service: "portal", Method: "GET", Path: "/read", Downstream: downstream, Parallel: width > 2, AnswerBytes: 2000, Trailer: true}}
 }
 
 func filing(bytes int) Operation {
-	below := []Call{
+	downstream := []Call{
 		{Service: "registry", Method: "GET", Path: "/lookup"},
 		{Service: "registry", Method: "POST", Path: "/file", RequestBytes: bytes, OwnKey: "clerk"},
 	}
-	return Operation{Credit: testCredit, Unrepeatable: true, Root: Call{Service: "portal", Method: "POST", Path: "/file", Below: below, RequestBytes: bytes, AnswerBytes: bytes}}
+	return Operation{Credit: testCredit, Unrepeatable: true, Root: Call{Service: "portal", Method: "POST", Path: "/file", Downstream: downstream, RequestBytes: bytes, AnswerBytes: bytes}}
 }
 
 func plain(width int) Operation {
-	var below []Call
+	var downstream []Call
 	for range width {
 		deep := Call{Service: "billing", Method: "POST", Path: "/plain"}
-		below = append(below, Call{Service: "registry", Method: "POST", Path: "/plain", Below: []Call{deep, deep}})
+		downstream = append(downstream, Call{Service: "registry", Method: "POST", Path: "/plain", Downstream: []Call{deep, deep}})
 	}
-	return Operation{Credit: testCredit, Root: Call{Service: "portal", Method: "POST", Path: "/plain", Below: below, RequestBytes: 100, AnswerBytes: 100}}
+	return Operation{Credit: testCredit, Root: Call{Service: "portal", Method: "POST", Path: "/plain", Downstream: downstream, RequestBytes: 100, AnswerBytes: 100}}
 }
--- a/proof/layers/layers_test.go
+++ b/proof/layers/layers_test.go
@@ -30,8 +30,8 @@
 func TestModulesImportLowerLayersOnly(t *testing.T) {
 	c := qt.New(t)
 	order, sources := readProject(c)
-	for _, against := range order.Check(sources) {
-		c.Errorf("%v", against)
+	for _, violation := range order.Check(sources) {
+		c.Errorf("%v", violation)
 	}
 	c.Assert(len(sources.Imports) > 100, qt.IsTrue, qt.Commentf("%d imports read", len(sources.Imports)))
 }
@@ -40,7 +40,7 @@
 // file: an import of a higher layer, an import within the same layer, and an
 // import of its own module by a package that has a separate layer.
 func TestPlantedImportIsTold(t *testing.T) {
-	for _, test := range []struct{ name, file, imported, told string }{
+	for _, test := range []struct{ name, file, imported, want string }{
 		{"upwards", "admission/planted.go", "node", "admission/planted.go imports node: admission is in layer 2, node in layer 5"},
 		{"within the layer", "retry/deep/planted.go", "routing", "retry/deep/planted.go imports routing: retry is in layer 2, routing in layer 2"},
 		{"a helper of tests", "objects/planted.go", "node/testing/memnet", "objects/planted.go imports node/testing/memnet: objects is in layer 3, node in layer 5"},
@@ -57,9 +57,9 @@
 			c.Assert(err, qt.IsNil)
 			sources.Folders = append(sources.Folders, planted.Folders...)
 			sources.Imports = planted.Imports
-			against := order.Check(sources)
-			c.Assert(against, qt.HasLen, 1)
-			c.Assert(against[0].Error(), qt.Equals, test.told)
+			violations := order.Check(sources)
+			c.Assert(violations, qt.HasLen, 1)
+			c.Assert(violations[0].Error(), qt.Equals, test.want)
 		})
 	}
 }
@@ -83,9 +83,9 @@
 // Check must report a table entry that is left over from a removed module.
 func TestEntryWithoutSourceIsTold(t *testing.T) {
 	c := qt.New(t)
-	against := Order{"gone": 1}.Check(Sources{})
-	c.Assert(against, qt.HasLen, 1)
-	c.Assert(against[0].Error(), qt.Equals, "gone is in a layer and has no source")
+	violations := Order{"gone": 1}.Check(Sources{})
+	c.Assert(violations, qt.HasLen, 1)
+	c.Assert(violations[0].Error(), qt.Equals, "gone is in a layer and has no source")
 }
 
 // ReadOrder must reject a page whose table of layers is missing or ambiguous.
@@ -101,8 +101,8 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			_, err := ReadOrder(page)
-			var refused *PageError
-			c.Assert(err, qt.ErrorAs, &refused)
+			var pageErr *PageError
+			c.Assert(err, qt.ErrorAs, &pageErr)
 		})
 	}
 }
@@ -112,7 +112,7 @@
 func TestSourceThatCannotBeReadIsRefused(t *testing.T) {
 	c := qt.New(t)
 	_, err := ReadSources(fstest.MapFS{"call/call.go": {Data: []byte("import")}})
-	var refused *SourceError
-	c.Assert(err, qt.ErrorAs, &refused)
-	c.Assert(refused.File, qt.Equals, "call/call.go")
+	var sourceErr *SourceError
+	c.Assert(err, qt.ErrorAs, &sourceErr)
+	c.Assert(sourceErr.File, qt.Equals, "call/call.go")
 }
--- a/proof/layers/order.go
+++ b/proof/layers/order.go
@@ -81,27 +81,27 @@
 // Check returns an error for each import, module and table entry that violates
 // the order, sorted by text.
 func (o Order) Check(sources Sources) []error {
-	var against []error
+	var violations []error
 	present := make(map[string]bool)
 	for _, folder := range sources.Folders {
 		module := o.moduleOf(folder)
 		if module == "" {
-			against = append(against, &UnplacedError{Module: folder})
+			violations = append(violations, &UnplacedError{Module: folder})
 		}
 		present[module] = true
 	}
 	for _, one := range sources.Imports {
 		if err := o.checkImport(one); err != nil {
-			against = append(against, err)
+			violations = append(violations, err)
 		}
 	}
 	for module := range o {
 		if !present[module] {
-			against = append(against, &AbsentError{Module: module})
+			violations = append(violations, &AbsentError{Module: module})
 		}
 	}
-	slices.SortFunc(against, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
-	return against
+	slices.SortFunc(violations, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
+	return violations
 }
 
 func (o Order) checkImport(one Import) error {
--- a/proof/ledger.go
+++ b/proof/ledger.go
@@ -65,7 +65,7 @@
 	arrivals      []Arrival
 	draining      map[string]time.Time
 	versions      map[string]uint64
-	found         []*Violation
+	reported      []*Violation
 }
 
 func newLedger() *Ledger {
@@ -92,8 +92,8 @@
 	return l.operations[id]
 }
 
-// send assigns an id to a presentation that is about to be sent and records it.
-func (l *Ledger) send(p Presentation) *Presentation {
+// recordSent assigns an id to a presentation that is about to be sent and records it.
+func (l *Ledger) recordSent(p Presentation) *Presentation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.next++
@@ -103,8 +103,8 @@
 	return &p
 }
 
-// answered records the answer of a presentation, and whether its caller left.
-func (l *Ledger) answered(p *Presentation, r Reply, left bool) {
+// recordReply records the answer of a presentation, and whether its caller left.
+func (l *Ledger) recordReply(p *Presentation, r Reply, left bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p.Reply = r
@@ -115,8 +115,8 @@
 	p.Done = time.Now()
 }
 
-// arrived records a call at an upstream and returns its index in the ledger.
-func (l *Ledger) arrived(a Arrival) int {
+// recordArrival records a call at an upstream and returns its index in the ledger.
+func (l *Ledger) recordArrival(a Arrival) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a.At = time.Now()
@@ -124,9 +124,9 @@
 	return len(l.arrivals) - 1
 }
 
-// ran records that the upstream executes its own work for the call with this
+// recordRun records that the upstream executes its own work for the call with this
 // index.
-func (l *Ledger) ran(number int) {
+func (l *Ledger) recordRun(number int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.arrivals[number].Ran = true
@@ -136,7 +136,7 @@
 func (l *Ledger) Report(v *Violation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.found = append(l.found, v)
+	l.reported = append(l.reported, v)
 }
 
 // SetDraining records that the upstream of a host must receive no new calls from
@@ -157,7 +157,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if version < l.versions[id] {
-		l.found = append(l.found, &Violation{
+		l.reported = append(l.reported, &Violation{
 			Promise: ConfigNeverReverts,
 			Subject: id,
 			Detail:  "version " + strconv.FormatUint(version, 10) + " after " + strconv.FormatUint(l.versions[id], 10),
--- a/proof/operation.go
+++ b/proof/operation.go
@@ -21,10 +21,10 @@
 // Call is one call of an operation, with the downstream calls that its upstream
 // makes in order to answer it.
 type Call struct {
-	Service string
-	Method  string
-	Path    string
-	Below   []Call
+	Service    string
+	Method     string
+	Path       string
+	Downstream []Call
 	// Parallel makes the downstream calls concurrently rather than in sequence.
 	Parallel bool
 	// OwnKey is an idempotency key that the calling upstream chooses and sends.
@@ -57,18 +57,18 @@
 	parts := strings.Split(step, ".")
 	for _, part := range parts[1:] {
 		i, err := strconv.Atoi(part)
-		if err != nil || i < 0 || i >= len(c.Below) {
+		if err != nil || i < 0 || i >= len(c.Downstream) {
 			return Call{}, false
 		}
-		c = c.Below[i]
+		c = c.Downstream[i]
 	}
 	return c, parts[0] == rootStep
 }
 
-// once reports whether a step may run at most once for each run of the
+// runsAtMostOnce reports whether a step may run at most once for each run of the
 // operation: neither the step's call nor any call upstream of it in the call
 // tree is idempotent.
-func (o *Operation) once(step string) bool {
+func (o *Operation) runsAtMostOnce(step string) bool {
 	for ; step != ""; step = parentStep(step) {
 		if c, ok := o.at(step); !ok || c.Method != http.MethodPost {
 			return false
@@ -100,20 +100,20 @@
 
 // answer returns the complete answer of one call, given the answers of its
 // downstream calls.
-func (o *Operation) answer(c Call, step string, below []string) string {
-	return c.Service + " " + o.ID + " " + step + " [" + strings.Join(below, ",") + "]" + padding(o.ID, c.AnswerBytes)
+func (o *Operation) answer(c Call, step string, downstream []string) string {
+	return c.Service + " " + o.ID + " " + step + " [" + strings.Join(downstream, ",") + "]" + padding(o.ID, c.AnswerBytes)
 }
 
-// whole returns the complete answer that the caller of the operation must
+// completeAnswer returns the complete answer that the caller of the operation must
 // receive.
-func (o *Operation) whole() string { return o.wholeOf(o.Root, rootStep) }
+func (o *Operation) completeAnswer() string { return o.completeAnswerOf(o.Root, rootStep) }
 
-func (o *Operation) wholeOf(c Call, step string) string {
-	below := make([]string, len(c.Below))
-	for i, child := range c.Below {
-		below[i] = o.wholeOf(child, childStep(step, i))
+func (o *Operation) completeAnswerOf(c Call, step string) string {
+	downstream := make([]string, len(c.Downstream))
+	for i, child := range c.Downstream {
+		downstream[i] = o.completeAnswerOf(child, childStep(step, i))
 	}
-	return o.answer(c, step, below)
+	return o.answer(c, step, downstream)
 }
 
 // request returns the request body of a call, which is empty for GET and HEAD.
--- a/proof/oracle.go
+++ b/proof/oracle.go
@@ -8,15 +8,16 @@
 	"pollengauge.dev/call"
 )
 
-// drainNews bounds the time until all nodes have learned that a node drains.
-const drainNews = 2 * time.Second
+// drainNoticeTimeout bounds the time until all nodes have learned that a node
+// drains.
+const drainNoticeTimeout = 2 * time.Second
 
 // Check checks everything recorded so far and returns the violations of
 // promises.
 func (l *Ledger) Check() []*Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	found := append([]*Violation(nil), l.found...)
+	found := append([]*Violation(nil), l.reported...)
 	add := func(v *Violation) {
 		if v != nil {
 			found = append(found, v)
@@ -53,7 +54,7 @@
 	if !p.Reply.Complete() || o.Root.Method == http.MethodHead {
 		return nil
 	}
-	if want := o.whole(); p.Reply.Status != http.StatusOK || p.Reply.Body != want {
+	if want := o.completeAnswer(); p.Reply.Status != http.StatusOK || p.Reply.Body != want {
 		broken.Detail = "status " + strconv.Itoa(p.Reply.Status) + ", got " + brief(p.Reply.Body) + ", want " + brief(want)
 		return broken
 	}
@@ -89,7 +90,7 @@
 			return &Violation{
 				Promise: NotRunIsTrue,
 				Subject: p.Operation + " " + p.ID,
-				Detail:  "told not-run, " + p.Reply.Reason + "; step " + a.Step + " ran at " + a.Host + " for " + a.Presentation,
+				Detail:  "answered not-run, " + p.Reply.Reason + "; step " + a.Step + " ran at " + a.Host + " for " + a.Presentation,
 			}
 		}
 	}
@@ -107,7 +108,7 @@
 
 // identity identifies an execution that may happen at most once: a step of an
 // operation under an idempotency key, or under one presentation if it has no key.
-type identity struct{ operation, under, step string }
+type identity struct{ operation, scope, step string }
 
 type runCount struct {
 	identity
@@ -122,7 +123,7 @@
 	return &Violation{
 		Promise: AtMostOnce,
 		Subject: r.operation + " step " + r.step,
-		Detail:  "ran " + strconv.Itoa(r.runs) + " times, at" + r.hosts + ", under " + r.under,
+		Detail:  "ran " + strconv.Itoa(r.runs) + " times, at" + r.hosts + ", under " + r.scope,
 	}
 }
 
@@ -137,12 +138,12 @@
 	}
 	for _, a := range l.arrivals {
 		o := l.operations[a.Operation]
-		if !a.Ran || !o.once(a.Step) {
+		if !a.Ran || !o.runsAtMostOnce(a.Step) {
 			continue
 		}
-		id := identity{operation: a.Operation, under: a.Presentation, step: a.Step}
+		id := identity{operation: a.Operation, scope: a.Presentation, step: a.Step}
 		if key := keys[a.Presentation]; o.Unrepeatable && key != "" {
-			id.under = key
+			id.scope = key
 		}
 		if counts[id] == nil {
 			counts[id] = &runCount{identity: id}
@@ -186,18 +187,18 @@
 	}
 }
 
-// newWork records a violation if the upstream of a host receives a call although
-// its drain should be known everywhere. The caller must not hold the ledger's
-// lock.
-func (l *Ledger) newWork(host string) {
+// checkDrain records a violation if the upstream of a host receives a call after
+// all nodes should have learned of its drain. The caller must not hold the
+// ledger's lock.
+func (l *Ledger) checkDrain(host string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	since, draining := l.draining[host]
-	if late := time.Since(since); draining && late > drainNews {
-		l.found = append(l.found, &Violation{
+	if elapsed := time.Since(since); draining && elapsed > drainNoticeTimeout {
+		l.reported = append(l.reported, &Violation{
 			Promise: LeavingGetsNoWork,
 			Subject: host,
-			Detail:  "new work " + late.String() + " after it began to drain",
+			Detail:  "new work " + elapsed.String() + " after it began to drain",
 		})
 	}
 }
--- a/proof/overload_test.go
+++ b/proof/overload_test.go
@@ -151,19 +151,19 @@
 			time.Sleep(every)
 		}
 		w.callers.Wait()
-		portal, below := 0, 0
+		portalCalls, downstream := 0, 0
 		for _, host := range []string{"p1", "p2", "p3"} {
-			portal += w.Ledger.Arrivals(host, start)
+			portalCalls += w.Ledger.Arrivals(host, start)
 		}
 		for _, host := range []string{"r1", "r2", "r3"} {
-			below += w.Ledger.Arrivals(host, start)
+			downstream += w.Ledger.Arrivals(host, start)
 		}
 		// Each request is a first attempt at its entry, and so is each call that an
 		// upstream makes. Calls that a draining node refuses arrive at no upstream.
-		first := requests + portal
-		retries := max(portal-requests, 0) + below - portal
+		first := requests + portalCalls
+		retries := max(portalCalls-requests, 0) + downstream - portalCalls
 		const ratio, burst, nodes, windows = 0.1, 3, 3, 2
-		t.Logf("%d requests, %d calls at portals, %d downstream: %d retries for %d first attempts", requests, portal, below, retries, first)
+		t.Logf("%d requests, %d calls at portals, %d downstream: %d retries for %d first attempts", requests, portalCalls, downstream, retries, first)
 		c.Check(float64(retries) <= ratio*float64(first)+burst*nodes*windows, qt.IsTrue)
 		c.Check(retries > 0, qt.IsTrue)
 		c.Check(w.Ledger.Check(), qt.HasLen, 0)
--- a/proof/safeguards_test.go
+++ b/proof/safeguards_test.go
@@ -22,7 +22,7 @@
 }
 
 var safeguards = []safeguard{
-	{"credit is split", RetriesBounded, node.Ablation{CopiedCredit: true}, failingAtTheBottom},
+	{"credit is split", RetriesBounded, node.Ablation{CopiedCredit: true}, failingMostDownstream},
 	{"broken answers are torn down", OwnWholeAnswer, node.Ablation{NoAbort: true}, truncatedAnswer},
 	{"keys have fingerprints", OwnWholeAnswer, node.Ablation{NoFingerprint: true}, oneKeyForTwo},
 	{"keyed runs are detached", OwnWholeAnswer, node.Ablation{NoDetach: true}, callerLeaves},
@@ -34,7 +34,7 @@
 	{"keys have homes", AtMostOnce, node.Ablation{NoKeyHome: true}, keyAtThreeNodes},
 	{"the transport never replays", AtMostOnce, node.Ablation{TransportReplays: true}, reusedConnectionBreaks},
 	{"drains are told and refused", LeavingGetsNoWork, node.Ablation{NoDrainNews: true}, drainUnderLoad},
-	{"requests under which upstreams end are held", UpstreamsOutlast, node.Ablation{NoQuarantine: true}, endsItsUpstreams},
+	{"requests under which upstreams end are held", UpstreamsOutlast, node.Ablation{NoQuarantine: true}, crashesItsUpstreams},
 	{"drains wait", GracefulCutsNothing, node.Ablation{NoDrainWait: true}, exitWithCallsInFlight},
 }
 
@@ -74,7 +74,7 @@
 
 // A request fans out, and all upstreams of the most downstream service break the
 // connection. The retries of the three calls in the middle add up.
-func failingAtTheBottom(w *world, adjust func(*node.Settings)) {
+func failingMostDownstream(w *world, adjust func(*node.Settings)) {
 	w.startAll("portal", 10, adjust, "p1")
 	w.startAll("registry", 10, adjust, "r1", "r2", "r3")
 	w.startAll("billing", 10, adjust, "b1", "b2", "b3")
@@ -83,36 +83,36 @@
 		w.Member(host).Upstream.Behave(Behavior{Mode: CrashFirst})
 	}
 	deep := Call{Service: "billing", Method: "GET", Path: "/sum"}
-	middle := Call{Service: "registry", Method: "GET", Path: "/lookup", Below: []Call{deep}}
+	middle := Call{Service: "registry", Method: "GET", Path: "/lookup", Downstream: []Call{deep}}
 	o := w.Ledger.Add(Operation{Credit: testCredit, Root: Call{
-		Service: "portal", Method: "GET", Path: "/read", Parallel: true, Below: []Call{middle, middle, middle},
+		Service: "portal", Method: "GET", Path: "/read", Parallel: true, Downstream: []Call{middle, middle, middle},
 	}})
 	w.presentNow(o, "p1", "", 0)
 }
 
-// mostEnds is the number of upstreams that one request may crash until it is
+// maxCrashes is the number of upstreams that one request may crash until it is
 // identified as the cause: two before it is quarantined, and one at its trial.
-const mostEnds = 3
+const maxCrashes = 3
 
 // A request crashes each upstream that runs it, and callers repeat it.
-func endsItsUpstreams(w *world, adjust func(*node.Settings)) {
+func crashesItsUpstreams(w *world, adjust func(*node.Settings)) {
 	hosts := []string{"p1", "p2", "p3"}
 	w.startAll("portal", 10, adjust, hosts...)
 	w.settle()
 	for _, host := range hosts {
-		w.Member(host).Upstream.Behave(Behavior{Mode: End, Path: "/fatal"})
+		w.Member(host).Upstream.Behave(Behavior{Mode: Crash, Path: "/fatal"})
 	}
 	for i := range 20 {
 		o := w.Ledger.Add(Operation{Credit: testCredit, Root: Call{Service: "portal", Method: "GET", Path: "/fatal"}})
 		w.presentNow(o, hosts[i%len(hosts)], "", 0)
 		time.Sleep(time.Second)
 	}
-	ends := 0
+	crashes := 0
 	for _, host := range hosts {
-		ends += w.Member(host).Upstream.Ends()
+		crashes += w.Member(host).Upstream.Crashes()
 	}
-	if ends > mostEnds {
-		w.Ledger.Report(&Violation{Promise: UpstreamsOutlast, Subject: "/fatal", Detail: strconv.Itoa(ends) + " upstream crashes"})
+	if crashes > maxCrashes {
+		w.Ledger.Report(&Violation{Promise: UpstreamsOutlast, Subject: "/fatal", Detail: strconv.Itoa(crashes) + " upstream crashes"})
 	}
 }
 
@@ -153,18 +153,18 @@
 func streamBreaks(w *world, adjust func(*node.Settings)) {
 	const credit = 5 // enough that the credit left by a lost attempt allows another attempt
 	w.apply(strings.Replace(profiles, "credit: 2", "credit: 5", 1))
-	held := func(s *node.Settings) {
+	withReplayLimit := func(s *node.Settings) {
 		adjust(s)
 		s.MaxReplayBytes = 4 << 10
 	}
-	w.startAll("portal", 10, held, "p1")
-	w.startAll("registry", 10, held, "r1", "r2", "r3")
+	w.startAll("portal", 10, withReplayLimit, "p1")
+	w.startAll("registry", 10, withReplayLimit, "r1", "r2", "r3")
 	w.settle()
 	put := Call{Service: "registry", Method: "PUT", Path: "/put", RequestBytes: 20_000}
 	for range 20 {
 		w.Net.CutAfter("p1", "r1", 9000)
 		w.Net.CutAfter("p1", "r2", 9000)
-		w.presentNow(w.Ledger.Add(Operation{Credit: credit, Root: Call{Service: "portal", Method: "PUT", Path: "/put", Below: []Call{put}}}), "p1", "", 0)
+		w.presentNow(w.Ledger.Add(Operation{Credit: credit, Root: Call{Service: "portal", Method: "PUT", Path: "/put", Downstream: []Call{put}}}), "p1", "", 0)
 	}
 }
 
--- a/proof/upstream.go
+++ b/proof/upstream.go
@@ -15,23 +15,24 @@
 // Upstream is the test server beside a node. It executes calls of operations as
 // its current Behavior configures.
 type Upstream struct {
-	net     *memnet.Network
-	host    string
-	service string
-	ledger  *Ledger
-	out     *http.Transport
-	addr    string
-	late    sync.WaitGroup
+	net        *memnet.Network
+	host       string
+	service    string
+	ledger     *Ledger
+	out        *http.Transport
+	addr       string
+	background sync.WaitGroup
 
 	mu       sync.Mutex
 	behavior Behavior
-	usual    Behavior
+	// lasting is the last behavior without a Count; it follows one with a Count.
+	lasting Behavior
 	// server is the HTTP server of the current incarnation, nil while the upstream
-	// is down. ends counts the crashes, and closed is set once the upstream
-	// must not restart.
-	server *http.Server
-	ends   int
-	closed bool
+	// is down. crashes counts the crashes, and closed is set once the upstream must
+	// not restart.
+	server  *http.Server
+	crashes int
+	closed  bool
 }
 
 // startUpstream starts an upstream on a host; outbound is the address of its
@@ -70,29 +71,29 @@
 	if server != nil {
 		_ = server.Close()
 	}
-	u.late.Wait()
+	u.background.Wait()
 	u.out.CloseIdleConnections()
 }
 
-// awayFor is the downtime of an upstream after a crash.
-const awayFor = 2 * time.Second
+// crashDowntime is the downtime of an upstream after a crash.
+const crashDowntime = 2 * time.Second
 
-// end crashes the upstream during a call. All its connections break, and nothing
-// listens on its address until it restarts after awayFor.
-func (u *Upstream) end() {
+// crash crashes the upstream during a call. All its connections break, and nothing
+// listens on its address until it restarts after crashDowntime.
+func (u *Upstream) crash() {
 	u.mu.Lock()
 	server := u.server
 	u.server = nil
 	if server != nil {
-		u.ends++
+		u.crashes++
 	}
 	u.mu.Unlock()
 	if server == nil {
 		return
 	}
 	_ = server.Close()
-	u.late.Go(func() {
-		time.Sleep(awayFor)
+	u.background.Go(func() {
+		time.Sleep(crashDowntime)
 		u.mu.Lock()
 		closed := u.closed
 		u.mu.Unlock()
@@ -109,11 +110,11 @@
 	})
 }
 
-// Ends returns how often the upstream has crashed during a call.
-func (u *Upstream) Ends() int {
+// Crashes returns how often the upstream has crashed during a call.
+func (u *Upstream) Crashes() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.ends
+	return u.crashes
 }
 
 // Behave sets the behavior for the following calls. After a behavior with a Count
@@ -123,7 +124,7 @@
 	defer u.mu.Unlock()
 	u.behavior = b
 	if b.Count == 0 {
-		u.usual = b
+		u.lasting = b
 	}
 }
 
@@ -138,7 +139,7 @@
 	if b.Count > 0 {
 		u.behavior.Count--
 		if u.behavior.Count == 0 {
-			u.behavior = u.usual
+			u.behavior = u.lasting
 		}
 	}
 	return b
@@ -169,8 +170,8 @@
 		c = Call{Service: u.service, Method: r.Method, Path: r.URL.Path}
 	}
 	k := &work{Upstream: u, operation: o, step: step, call: c, behavior: u.next(r.URL.Path), w: w, r: r}
-	u.ledger.newWork(u.host)
-	k.number = u.ledger.arrived(Arrival{Operation: o.ID, Presentation: r.Header.Get(headerPresentation), Step: step, Host: u.host})
+	u.ledger.checkDrain(u.host)
+	k.number = u.ledger.recordArrival(Arrival{Operation: o.ID, Presentation: r.Header.Get(headerPresentation), Step: step, Host: u.host})
 	k.checkRequest(planned)
 	k.run()
 }
@@ -211,18 +212,18 @@
 		k.w.WriteHeader(http.StatusSwitchingProtocols)
 		return
 	}
-	below, failed := k.callBelow()
+	downstream, failed := k.callDownstream()
 	if failed != nil {
-		k.giveUp(failed)
+		k.respondFailure(failed)
 		return
 	}
 	if k.behavior.Mode == ShedAfterCalls {
 		k.w.WriteHeader(ShedStatus)
 		return
 	}
-	k.ledger.ran(k.number)
+	k.ledger.recordRun(k.number)
 	k.pause(k.behavior.Work)
-	k.answer(below)
+	k.answer(downstream)
 }
 
 // pause simulates work for a duration, or until the caller has disconnected.
@@ -234,15 +235,15 @@
 	k.net.AwaitThaw(k.host)
 }
 
-func (k *work) answer(below []string) {
-	body := k.operation.answer(k.call, k.step, below)
+func (k *work) answer(downstream []string) {
+	body := k.operation.answer(k.call, k.step, downstream)
 	if k.call.Trailer {
 		k.w.Header().Set("Trailer", "X-End")
 		defer func() { k.w.Header().Set("X-End", k.call.trailer(k.operation.ID)) }()
 	}
 	switch k.behavior.Mode {
-	case End:
-		k.end()
+	case Crash:
+		k.crash()
 		panic(http.ErrAbortHandler)
 	case CrashAfter:
 		panic(http.ErrAbortHandler)
--- a/proof/upstream_calls.go
+++ b/proof/upstream_calls.go
@@ -17,13 +17,13 @@
 	outcome, reason, hop string
 }
 
-// callBelow makes the downstream calls and returns their answers, or the first
-// failure.
-func (k *work) callBelow() ([]string, *failure) {
-	answers := make([]string, len(k.call.Below))
-	failures := make([]*failure, len(k.call.Below))
+// callDownstream makes the downstream calls and returns their answers, or the
+// first failure.
+func (k *work) callDownstream() ([]string, *failure) {
+	answers := make([]string, len(k.call.Downstream))
+	failures := make([]*failure, len(k.call.Downstream))
 	var parallel sync.WaitGroup
-	for i, child := range k.call.Below {
+	for i, child := range k.call.Downstream {
 		one := func() {
 			answers[i], failures[i] = k.callOut(k.r.Context(), child, childStep(k.step, i), true)
 		}
@@ -44,9 +44,9 @@
 	return answers, nil
 }
 
-// giveUp responds 503 with the outcome, reason and hop of the failed downstream
-// call, as the contract for upstreams requires.
-func (k *work) giveUp(f *failure) {
+// respondFailure responds 503 with the outcome, reason and hop of the failed
+// downstream call, as the contract for upstreams requires.
+func (k *work) respondFailure(f *failure) {
 	h := k.w.Header()
 	h.Set(call.HeaderOutcome, f.outcome)
 	if f.reason != "" {
@@ -58,12 +58,13 @@
 	k.w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// lost is the failure of a downstream call without a readable answer.
-var lost = &failure{outcome: call.Unknown.String(), reason: string(call.ReasonLost)}
+// lostFailure is the failure of a downstream call without a readable answer.
+var lostFailure = &failure{outcome: call.Unknown.String(), reason: string(call.ReasonLost)}
 
-// requestBelow creates the request of a downstream call. If named is set, the
-// request carries the context headers that tie it to the handled call.
-func (k *work) requestBelow(ctx context.Context, c Call, step string, named bool) (*http.Request, error) {
+// newDownstreamRequest creates the request of a downstream call. If withContext
+// is set, the request carries the context headers that tie it to the handled
+// call.
+func (k *work) newDownstreamRequest(ctx context.Context, c Call, step string, withContext bool) (*http.Request, error) {
 	body := strings.NewReader(k.operation.request(c, step))
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Service+c.Path, body)
 	if err != nil {
@@ -75,7 +76,7 @@
 	if c.OwnKey != "" {
 		req.Header.Set(call.HeaderIdempotencyKey, c.OwnKey)
 	}
-	if named {
+	if withContext {
 		for _, name := range call.PropagatedHeaders {
 			req.Header.Set(name, k.r.Header.Get(name))
 		}
@@ -84,19 +85,19 @@
 }
 
 // callOut makes one outbound call through the upstream's own node.
-func (k *work) callOut(ctx context.Context, c Call, step string, named bool) (string, *failure) {
-	req, err := k.requestBelow(ctx, c, step, named)
+func (k *work) callOut(ctx context.Context, c Call, step string, withContext bool) (string, *failure) {
+	req, err := k.newDownstreamRequest(ctx, c, step, withContext)
 	if err != nil {
-		return "", lost
+		return "", lostFailure
 	}
 	resp, err := k.out.RoundTrip(req)
 	if err != nil {
-		return "", lost
+		return "", lostFailure
 	}
 	defer func() { _ = resp.Body.Close() }()
 	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return "", lost
+		return "", lostFailure
 	}
 	if resp.Header.Get(call.HeaderOutcome) != call.Complete.String() {
 		h := resp.Header
@@ -105,20 +106,20 @@
 	return string(answer), nil
 }
 
-// lateAfter is the delay between an upstream's answer and its late outbound call.
-const lateAfter = 50 * time.Millisecond
+// lateCallDelay is the delay between an upstream's answer and its late outbound call.
+const lateCallDelay = 50 * time.Millisecond
 
 // callLater schedules an outbound call for a request that will already have been
 // answered when the call is made.
 func (k *work) callLater() {
 	service := k.service
-	if len(k.call.Below) > 0 {
-		service = k.call.Below[0].Service
+	if len(k.call.Downstream) > 0 {
+		service = k.call.Downstream[0].Service
 	}
 	_ = http.NewResponseController(k.w).Flush()
 	late := Call{Service: service, Method: http.MethodPost, Path: "/late"}
-	k.late.Go(func() {
-		time.Sleep(lateAfter)
+	k.background.Go(func() {
+		time.Sleep(lateCallDelay)
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(k.r.Context()), time.Second)
 		defer cancel()
 		k.callOut(ctx, late, k.step+".late", true)
