--- a/proof/cluster.go
+++ b/proof/cluster.go
@@ -29,15 +29,15 @@
 	Upstream *Upstream
 }
 
-// Cluster is a few nodes on one network.
+// Cluster is a set of nodes with their upstreams on one in-memory network.
 type Cluster struct {
 	Net    *memnet.Network
 	Store  *standin.Memory
 	Ledger *Ledger
 
-	mu      sync.Mutex
-	members map[string]*Member
-	ending  sync.WaitGroup
+	mu       sync.Mutex
+	members  map[string]*Member
+	stopping sync.WaitGroup
 }
 
 // NewCluster returns a cluster without members.
@@ -50,11 +50,11 @@
 	}
 }
 
-// gossipInterval is shorter than a node's default, since a cluster of a few
-// nodes lives for some seconds only.
+// gossipInterval is shorter than a node's default because a test cluster runs
+// for only a few seconds.
 const gossipInterval = 200 * time.Millisecond
 
-// Start runs a node on a host that has none.
+// Start starts a node and its upstream on a host where no node runs.
 func (c *Cluster) Start(spec MemberSpec) (*Member, error) {
 	host := c.Net.Host(spec.Host)
 	settings := node.DefaultSettings()
@@ -105,14 +105,14 @@
 	return addrs
 }
 
-// Member returns what runs on a host, nil if nothing does.
+// Member returns the member that runs on a host, or nil if there is none.
 func (c *Cluster) Member(host string) *Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.members[host]
 }
 
-// Hosts returns the hosts with a running node, in order.
+// Hosts returns the hosts with a running node in sorted order.
 func (c *Cluster) Hosts() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,8 +124,8 @@
 	return hosts
 }
 
-// take removes a member from those that run.
-func (c *Cluster) take(host string) (*Member, error) {
+// remove removes a member from the running members and returns it.
+func (c *Cluster) remove(host string) (*Member, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.members[host]
@@ -136,29 +136,30 @@
 	return m, nil
 }
 
-// Kill ends a node and its upstream at once, as when the VM is lost.
+// Kill stops a node and its upstream abruptly, as when the VM is lost.
 func (c *Cluster) Kill(host string) error {
-	m, err := c.take(host)
+	m, err := c.remove(host)
 	if err != nil {
 		return err
 	}
 	c.Ledger.SetDraining(host, false)
 	c.Net.Kill(host)
 	c.Net.Thaw(host)
-	c.ending.Go(func() {
+	c.stopping.Go(func() {
 		m.Upstream.close()
 		m.Node.Close()
 	})
 	return nil
 }
 
-// SetDraining begins or cancels a drain.
+// SetDraining starts or cancels a drain of a host's node.
 func (c *Cluster) SetDraining(host string, draining bool) error {
 	m := c.Member(host)
 	if m == nil {
 		return &UnknownMemberError{Host: host}
 	}
-	// The ledger must not count what comes after the end of a drain.
+	// The ledger's record of the drain is deleted first: the node may accept calls
+	// as soon as its drain is cancelled, and they must not count as violations.
 	if !draining {
 		c.Ledger.SetDraining(host, false)
 	}
@@ -169,15 +170,15 @@
 	return nil
 }
 
-// Exit drains a node and ends it gracefully, and its upstream after it. The
-// channel brings how the drain ended.
+// Exit drains a node, shuts it down gracefully, and then stops its upstream. The
+// channel receives the result of the drain.
 func (c *Cluster) Exit(ctx context.Context, host string) (<-chan error, error) {
-	m, err := c.take(host)
+	m, err := c.remove(host)
 	if err != nil {
 		return nil, err
 	}
 	ended := make(chan error, 1)
-	c.ending.Go(func() {
+	c.stopping.Go(func() {
 		c.Ledger.SetDraining(host, true)
 		err := m.Node.Drain(ctx)
 		c.Ledger.SetDraining(host, false)
@@ -187,13 +188,15 @@
 	return ended, nil
 }
 
-// Apply puts a configuration in force through the platform.
+// Apply writes a configuration to the platform's store, from which the nodes
+// receive it.
 func (c *Cluster) Apply(ctx context.Context, set config.Set, opts config.ApplyOptions) (config.Result, error) {
 	opts.Now = time.Now()
 	return config.Apply(ctx, c.Store, set, opts)
 }
 
-// Watch notes the version that each node has in force.
+// Watch records in the ledger the configuration version that each node has in
+// force.
 func (c *Cluster) Watch() {
 	for _, host := range c.Hosts() {
 		if m := c.Member(host); m != nil {
@@ -202,11 +205,11 @@
 	}
 }
 
-// Close ends everything at once.
+// Close heals the network, kills all members and waits until they have stopped.
 func (c *Cluster) Close() {
 	c.Net.HealAll()
 	for _, host := range c.Hosts() {
 		_ = c.Kill(host)
 	}
-	c.ending.Wait()
+	c.stopping.Wait()
 }
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -9,27 +9,29 @@
 	"pollengauge.dev/config"
 )
 
-// taker is what a node does with a configuration that it hears of.
-type taker interface {
-	take(set config.Set)
+// configReceiver receives configurations as a node does and reports the version
+// that it has in force.
+type configReceiver interface {
+	receive(set config.Set)
 	version() uint64
 }
 
-// storeTaker is the store that nodes have.
-type storeTaker struct{ store *config.Store }
+// storeReceiver is the configuration store that nodes use.
+type storeReceiver struct{ store *config.Store }
 
-func (s storeTaker) take(set config.Set) { _, _ = s.store.OfferSet(set, config.SourcePeer) }
-func (s storeTaker) version() uint64     { return s.store.Status().Version }
+func (s storeReceiver) receive(set config.Set) { _, _ = s.store.OfferSet(set, config.SourcePeer) }
+func (s storeReceiver) version() uint64        { return s.store.Status().Version }
 
-// lastHeard is a store without the safeguard: it takes whatever came last.
-type lastHeard struct{ current uint64 }
+// lastReceived is a store without the version comparison: it adopts every version
+// that it receives.
+type lastReceived struct{ current uint64 }
 
-func (l *lastHeard) take(set config.Set) { l.current = set.Version }
-func (l *lastHeard) version() uint64     { return l.current }
+func (l *lastReceived) receive(set config.Set) { l.current = set.Version }
+func (l *lastReceived) version() uint64        { return l.current }
 
-// News of ten versions comes late, doubled and out of order, as from a watch
-// and from many peers at once. A node must never go back; one that takes what
-// it heard last does.
+// Updates of ten versions arrive late, duplicated and out of order, as they do
+// from a watch and many peers at once. A node must never revert to an older
+// version; a store that adopts the last received version does.
 func TestOldNewsNeverTakesOver(t *testing.T) {
 	c := qt.New(t)
 	set, err := config.Parse([]byte(profiles), config.YAML)
@@ -41,11 +43,11 @@
 		}
 	}
 	rand.New(rand.NewPCG(1, 2)).Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
-	reverts := func(node taker) (count int) {
+	reverts := func(node configReceiver) (count int) {
 		var seen uint64
 		for _, version := range order {
 			set.Version = version
-			node.take(set)
+			node.receive(set)
 			if node.version() < seen {
 				count++
 			}
@@ -54,8 +56,8 @@
 		c.Check(node.version() == 10 || count > 0, qt.IsTrue)
 		return count
 	}
-	c.Check(reverts(storeTaker{config.NewStore()}), qt.Equals, 0)
-	without := reverts(&lastHeard{})
+	c.Check(reverts(storeReceiver{config.NewStore()}), qt.Equals, 0)
+	without := reverts(&lastReceived{})
 	t.Logf("without the comparison: %d of %d times at an older version than before", without, len(order))
 	c.Check(without > 0, qt.IsTrue)
 }
--- a/proof/layers/layers_test.go
+++ b/proof/layers/layers_test.go
@@ -9,10 +9,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// root is the project's folder, seen from this package.
+// root is the project's root folder relative to this package.
 const root = "../.."
 
-// readProject reads the project's table and sources.
+// readProject reads the project's table of layers and its sources.
 func readProject(c *qt.C) (Order, Sources) {
 	page, err := os.ReadFile(root + "/docs/DESIGN.md")
 	c.Assert(err, qt.IsNil)
@@ -23,22 +23,24 @@
 	return order, sources
 }
 
-// A developer adds an import against the order, as of a node in what decides.
-// It compiles and all tests pass, but the module can't be used without the
-// rest from then on. This fails in its place.
+// TestModulesImportLowerLayersOnly fails if a developer adds an import that
+// violates the order, such as an import of node in a decision package. The
+// import compiles and all other tests pass, but the module can then no longer
+// be used on its own.
 func TestModulesImportLowerLayersOnly(t *testing.T) {
 	c := qt.New(t)
 	order, sources := readProject(c)
-	for _, against := range order.Check(sources) {
-		c.Errorf("%v", against)
+	for _, violation := range order.Check(sources) {
+		c.Errorf("%v", violation)
 	}
 	c.Assert(len(sources.Imports) > 100, qt.IsTrue, qt.Commentf("%d imports read", len(sources.Imports)))
 }
 
-// Each import against the order is told, with the file that has it: one upwards,
-// one within the layer, and one past a package that stands apart.
+// Check must report each import that violates the order, with the importing
+// file: an import of a higher layer, an import within the same layer, and an
+// import of its own module by a package that has a separate layer.
 func TestPlantedImportIsTold(t *testing.T) {
-	for _, test := range []struct{ name, file, imported, told string }{
+	for _, test := range []struct{ name, file, imported, want string }{
 		{"upwards", "admission/planted.go", "node", "admission/planted.go imports node: admission is in layer 2, node in layer 5"},
 		{"within the layer", "retry/deep/planted.go", "routing", "retry/deep/planted.go imports routing: retry is in layer 2, routing in layer 2"},
 		{"a helper of tests", "objects/planted.go", "node/testing/memnet", "objects/planted.go imports node/testing/memnet: objects is in layer 3, node in layer 5"},
@@ -55,15 +57,15 @@
 			c.Assert(err, qt.IsNil)
 			sources.Folders = append(sources.Folders, planted.Folders...)
 			sources.Imports = planted.Imports
-			against := order.Check(sources)
-			c.Assert(against, qt.HasLen, 1)
-			c.Assert(against[0].Error(), qt.Equals, test.told)
+			violations := order.Check(sources)
+			c.Assert(violations, qt.HasLen, 1)
+			c.Assert(violations[0].Error(), qt.Equals, test.want)
 		})
 	}
 }
 
-// An import downwards, one within the module, one of another project and those
-// of tests are in order.
+// Check must not report an import of a lower layer, within a module, of another
+// project's package, or in a test file.
 func TestImportInOrderIsNotTold(t *testing.T) {
 	c := qt.New(t)
 	sources, err := ReadSources(fstest.MapFS{
@@ -78,16 +80,16 @@
 	c.Assert(Order{"low": 1, "high": 2}.Check(sources), qt.HasLen, 0)
 }
 
-// A module that was removed leaves no entry behind in the table.
+// Check must report a table entry that is left over from a removed module.
 func TestEntryWithoutSourceIsTold(t *testing.T) {
 	c := qt.New(t)
-	against := Order{"gone": 1}.Check(Sources{})
-	c.Assert(against, qt.HasLen, 1)
-	c.Assert(against[0].Error(), qt.Equals, "gone is in a layer and has no source")
+	violations := Order{"gone": 1}.Check(Sources{})
+	c.Assert(violations, qt.HasLen, 1)
+	c.Assert(violations[0].Error(), qt.Equals, "gone is in a layer and has no source")
 }
 
-// A page without a table, or with one that can be read in two ways, would let
-// every import pass.
+// ReadOrder must reject a page whose table of layers is missing or ambiguous.
+// Check would otherwise let wrong imports pass.
 func TestPageThatCannotBeReadIsRefused(t *testing.T) {
 	for name, page := range map[string]string{
 		"no table":            "# Design\n",
@@ -99,17 +101,18 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			_, err := ReadOrder(page)
-			var refused *PageError
-			c.Assert(err, qt.ErrorAs, &refused)
+			var pageErr *PageError
+			c.Assert(err, qt.ErrorAs, &pageErr)
 		})
 	}
 }
 
-// A file that can't be parsed may hide any import.
+// ReadSources must reject a file that can't be parsed, since it may contain any
+// import.
 func TestSourceThatCannotBeReadIsRefused(t *testing.T) {
 	c := qt.New(t)
 	_, err := ReadSources(fstest.MapFS{"call/call.go": {Data: []byte("import")}})
-	var refused *SourceError
-	c.Assert(err, qt.ErrorAs, &refused)
-	c.Assert(refused.File, qt.Equals, "call/call.go")
+	var sourceErr *SourceError
+	c.Assert(err, qt.ErrorAs, &sourceErr)
+	c.Assert(sourceErr.File, qt.Equals, "call/call.go")
 }
--- a/proof/oracle.go
+++ b/proof/oracle.go
@@ -8,14 +8,16 @@
 	"pollengauge.dev/call"
 )
 
-// drainNews is the time that the news of a drain may take.
-const drainNews = 2 * time.Second
+// drainNoticeTimeout bounds the time until all nodes have learned that a node
+// drains.
+const drainNoticeTimeout = 2 * time.Second
 
-// Check judges everything so far and returns what breaks a promise.
+// Check checks everything recorded so far and returns the violations of
+// promises.
 func (l *Ledger) Check() []*Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	found := append([]*Violation(nil), l.found...)
+	found := append([]*Violation(nil), l.reported...)
 	add := func(v *Violation) {
 		if v != nil {
 			found = append(found, v)
@@ -37,8 +39,8 @@
 	return found
 }
 
-// checkAnswer: an answer has exactly one outcome, and one that calls itself
-// complete is the whole answer to what this caller asked.
+// checkAnswer checks that an answer has exactly one outcome, and that an answer
+// with the outcome complete is the complete answer to this caller's request.
 func (l *Ledger) checkAnswer(p *Presentation) *Violation {
 	broken := &Violation{Promise: OwnWholeAnswer, Subject: p.Operation + " " + p.ID}
 	if p.Left || p.Reply.Err != nil {
@@ -52,7 +54,7 @@
 	if !p.Reply.Complete() || o.Root.Method == http.MethodHead {
 		return nil
 	}
-	if want := o.whole(); p.Reply.Status != http.StatusOK || p.Reply.Body != want {
+	if want := o.completeAnswer(); p.Reply.Status != http.StatusOK || p.Reply.Body != want {
 		broken.Detail = "status " + strconv.Itoa(p.Reply.Status) + ", got " + brief(p.Reply.Body) + ", want " + brief(want)
 		return broken
 	}
@@ -63,7 +65,7 @@
 	return nil
 }
 
-// brief shortens a body for a message, and keeps its length.
+// brief quotes a body for a message. It shortens a long body and adds its length.
 func brief(body string) string {
 	const shown = 80
 	if len(body) <= shown {
@@ -72,8 +74,9 @@
 	return strconv.Quote(body[:shown]) + " (" + strconv.Itoa(len(body)) + " bytes)"
 }
 
-// checkNotRun: nothing ran for this presentation, before or after its answer;
-// and if it came with a key, no presentation before it had run the key.
+// checkNotRun checks a presentation that was answered not-run: no upstream ran
+// any step for it, before or after the answer. If it has a key, no upstream
+// ran a step under that key before it was sent.
 func (l *Ledger) checkNotRun(p *Presentation) *Violation {
 	if p.Left || !p.Reply.NotRun() {
 		return nil
@@ -87,7 +90,7 @@
 			return &Violation{
 				Promise: NotRunIsTrue,
 				Subject: p.Operation + " " + p.ID,
-				Detail:  "told not-run, " + p.Reply.Reason + "; step " + a.Step + " ran at " + a.Host + " for " + a.Presentation,
+				Detail:  "answered not-run, " + p.Reply.Reason + "; step " + a.Step + " ran at " + a.Host + " for " + a.Presentation,
 			}
 		}
 	}
@@ -103,9 +106,9 @@
 	return false
 }
 
-// identity is what may run at most once: a step of an operation under a key,
-// or under one presentation where there is no key.
-type identity struct{ operation, under, step string }
+// identity identifies an execution that may happen at most once: a step of an
+// operation under an idempotency key, or under one presentation if it has no key.
+type identity struct{ operation, scope, step string }
 
 type runCount struct {
 	identity
@@ -120,13 +123,13 @@
 	return &Violation{
 		Promise: AtMostOnce,
 		Subject: r.operation + " step " + r.step,
-		Detail:  "ran " + strconv.Itoa(r.runs) + " times, at" + r.hosts + ", under " + r.under,
+		Detail:  "ran " + strconv.Itoa(r.runs) + " times, at" + r.hosts + ", under " + r.scope,
 	}
 }
 
-// countRuns counts the runs of calls that must not be repeated: those of an
-// unrepeatable profile by their key, and any other call that is not
-// idempotent by its presentation.
+// countRuns counts the executions of calls that must not be repeated. Calls with
+// an unrepeatable profile are counted per key, and all other calls that are
+// not idempotent per presentation.
 func (l *Ledger) countRuns() map[identity]*runCount {
 	counts := make(map[identity]*runCount)
 	keys := make(map[string]string)
@@ -135,12 +138,12 @@
 	}
 	for _, a := range l.arrivals {
 		o := l.operations[a.Operation]
-		if !a.Ran || !o.once(a.Step) {
+		if !a.Ran || !o.runsAtMostOnce(a.Step) {
 			continue
 		}
-		id := identity{operation: a.Operation, under: a.Presentation, step: a.Step}
+		id := identity{operation: a.Operation, scope: a.Presentation, step: a.Step}
 		if key := keys[a.Presentation]; o.Unrepeatable && key != "" {
-			id.under = key
+			id.scope = key
 		}
 		if counts[id] == nil {
 			counts[id] = &runCount{identity: id}
@@ -151,9 +154,10 @@
 	return counts
 }
 
-// checkRetries counts the calls that upstreams got beyond the first attempts.
-// Each arrival of a call gives one first attempt to each call below it; what
-// comes on top was a retry, and all of a request's together are bounded.
+// checkRetries counts the calls that upstreams received beyond first attempts.
+// Each arrival of a call accounts for one first attempt of each of its
+// downstream calls. All further arrivals are retries, and the credit bounds
+// the total of a request's retries.
 func (l *Ledger) checkRetries(p *Presentation) *Violation {
 	arrived := make(map[string]int)
 	for _, a := range l.arrivals {
@@ -183,16 +187,18 @@
 	}
 }
 
-// newWork is called when an upstream gets a call; the ledger's lock is free.
-func (l *Ledger) newWork(host string) {
+// checkDrain records a violation if the upstream of a host receives a call after
+// all nodes should have learned of its drain. The caller must not hold the
+// ledger's lock.
+func (l *Ledger) checkDrain(host string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	since, draining := l.draining[host]
-	if late := time.Since(since); draining && late > drainNews {
-		l.found = append(l.found, &Violation{
+	if elapsed := time.Since(since); draining && elapsed > drainNoticeTimeout {
+		l.reported = append(l.reported, &Violation{
 			Promise: LeavingGetsNoWork,
 			Subject: host,
-			Detail:  "new work " + late.String() + " after it began to drain",
+			Detail:  "new work " + elapsed.String() + " after it began to drain",
 		})
 	}
 }
--- a/proof/upstream.go
+++ b/proof/upstream.go
@@ -12,28 +12,31 @@
 	"pollengauge.dev/objects"
 )
 
-// Upstream is the back end beside a node. It runs operations as its current
-// Behavior says.
+// Upstream is the test server beside a node. It executes calls of operations as
+// its current Behavior configures.
 type Upstream struct {
-	net     *memnet.Network
-	host    string
-	service string
-	ledger  *Ledger
-	out     *http.Transport
-	addr    string
-	late    sync.WaitGroup
+	net        *memnet.Network
+	host       string
+	service    string
+	ledger     *Ledger
+	out        *http.Transport
+	addr       string
+	background sync.WaitGroup
 
 	mu       sync.Mutex
 	behavior Behavior
-	usual    Behavior
-	// server is the one of this life, nil while the upstream is away; ends counts
-	// its ends, and closed is set once it does not come back.
-	server *http.Server
-	ends   int
-	closed bool
+	// lasting is the last behavior without a Count; it follows one with a Count.
+	lasting Behavior
+	// server is the HTTP server of the current incarnation, nil while the upstream
+	// is down. crashes counts the crashes, and closed is set once the upstream must
+	// not restart.
+	server  *http.Server
+	crashes int
+	closed  bool
 }
 
-// startUpstream serves on a host; outbound is the listener of its node.
+// startUpstream starts an upstream on a host; outbound is the address of its
+// node's listener for outbound calls.
 func startUpstream(network *memnet.Network, name, service string, ledger *Ledger, outbound string) (*Upstream, error) {
 	host := network.Host(name)
 	listener, err := host.Listen("x:0")
@@ -42,8 +45,8 @@
 	}
 	u := &Upstream{net: network, host: name, service: service, ledger: ledger, addr: listener.Addr().String()}
 	u.out = &http.Transport{
-		// A transport that keeps connections may resend a call on its own,
-		// which would be a second call of this upstream.
+		// A transport that reuses connections may resend a request by itself,
+		// which would count as a second call by this upstream.
 		DisableKeepAlives: true,
 		DialContext:       func(ctx context.Context, _, _ string) (net.Conn, error) { return host.Dial(ctx, outbound) },
 	}
@@ -51,7 +54,7 @@
 	return u, nil
 }
 
-// serve begins a life of the upstream.
+// serve starts an incarnation of the upstream.
 func (u *Upstream) serve(listener net.Listener) {
 	server := &http.Server{Handler: u}
 	u.mu.Lock()
@@ -68,29 +71,29 @@
 	if server != nil {
 		_ = server.Close()
 	}
-	u.late.Wait()
+	u.background.Wait()
 	u.out.CloseIdleConnections()
 }
 
-// awayFor is how long an upstream that has ended is away.
-const awayFor = 2 * time.Second
+// crashDowntime is the downtime of an upstream after a crash.
+const crashDowntime = 2 * time.Second
 
-// end ends the upstream under a call: all connections break, and nothing listens until
-// it is back.
-func (u *Upstream) end() {
+// crash crashes the upstream during a call. All its connections break, and nothing
+// listens on its address until it restarts after crashDowntime.
+func (u *Upstream) crash() {
 	u.mu.Lock()
 	server := u.server
 	u.server = nil
 	if server != nil {
-		u.ends++
+		u.crashes++
 	}
 	u.mu.Unlock()
 	if server == nil {
 		return
 	}
 	_ = server.Close()
-	u.late.Go(func() {
-		time.Sleep(awayFor)
+	u.background.Go(func() {
+		time.Sleep(crashDowntime)
 		u.mu.Lock()
 		closed := u.closed
 		u.mu.Unlock()
@@ -100,32 +103,32 @@
 		_, port, _ := net.SplitHostPort(u.addr)
 		listener, err := u.net.Host(u.host).Listen("x:" + port)
 		if err != nil {
-			u.ledger.Report(&Violation{Promise: UpstreamsOutlast, Subject: u.host, Detail: "not back: " + err.Error()})
+			u.ledger.Report(&Violation{Promise: UpstreamsOutlast, Subject: u.host, Detail: "upstream did not restart: " + err.Error()})
 			return
 		}
 		u.serve(listener)
 	})
 }
 
-// Ends returns how often the upstream has ended under a call.
-func (u *Upstream) Ends() int {
+// Crashes returns how often the upstream has crashed during a call.
+func (u *Upstream) Crashes() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.ends
+	return u.crashes
 }
 
-// Behave sets what the upstream does from now on. A behavior with a Count is
-// followed by the one before.
+// Behave sets the behavior for the following calls. After a behavior with a Count
+// is used up, the last behavior without a Count applies again.
 func (u *Upstream) Behave(b Behavior) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.behavior = b
 	if b.Count == 0 {
-		u.usual = b
+		u.lasting = b
 	}
 }
 
-// next returns the behavior for one call.
+// next returns the behavior for one call and counts the call.
 func (u *Upstream) next(path string) Behavior {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -136,13 +139,13 @@
 	if b.Count > 0 {
 		u.behavior.Count--
 		if u.behavior.Count == 0 {
-			u.behavior = u.usual
+			u.behavior = u.lasting
 		}
 	}
 	return b
 }
 
-// work is one call at the upstream.
+// work is one call that the upstream is handling.
 type work struct {
 	*Upstream
 	operation *Operation
@@ -167,14 +170,14 @@
 		c = Call{Service: u.service, Method: r.Method, Path: r.URL.Path}
 	}
 	k := &work{Upstream: u, operation: o, step: step, call: c, behavior: u.next(r.URL.Path), w: w, r: r}
-	u.ledger.newWork(u.host)
-	k.number = u.ledger.arrived(Arrival{Operation: o.ID, Presentation: r.Header.Get(headerPresentation), Step: step, Host: u.host})
+	u.ledger.checkDrain(u.host)
+	k.number = u.ledger.recordArrival(Arrival{Operation: o.ID, Presentation: r.Header.Get(headerPresentation), Step: step, Host: u.host})
 	k.checkRequest(planned)
 	k.run()
 }
 
-// checkRequest reads the request's body. One that is not whole, or another's,
-// must not reach an upstream as if it were.
+// checkRequest reads the request body. A truncated body, or the body of another
+// request, must not reach an upstream as if it were complete.
 func (k *work) checkRequest(planned bool) {
 	body, err := io.ReadAll(k.r.Body)
 	if err != nil {
@@ -209,21 +212,21 @@
 		k.w.WriteHeader(http.StatusSwitchingProtocols)
 		return
 	}
-	below, failed := k.callBelow()
+	downstream, failed := k.callDownstream()
 	if failed != nil {
-		k.giveUp(failed)
+		k.respondFailure(failed)
 		return
 	}
 	if k.behavior.Mode == ShedAfterCalls {
 		k.w.WriteHeader(ShedStatus)
 		return
 	}
-	k.ledger.ran(k.number)
+	k.ledger.recordRun(k.number)
 	k.pause(k.behavior.Work)
-	k.answer(below)
+	k.answer(downstream)
 }
 
-// pause works for a while, or until the caller is gone.
+// pause simulates work for a duration, or until the caller has disconnected.
 func (k *work) pause(d time.Duration) {
 	if d <= 0 {
 		return
@@ -232,15 +235,15 @@
 	k.net.AwaitThaw(k.host)
 }
 
-func (k *work) answer(below []string) {
-	body := k.operation.answer(k.call, k.step, below)
+func (k *work) answer(downstream []string) {
+	body := k.operation.answer(k.call, k.step, downstream)
 	if k.call.Trailer {
 		k.w.Header().Set("Trailer", "X-End")
 		defer func() { k.w.Header().Set("X-End", k.call.trailer(k.operation.ID)) }()
 	}
 	switch k.behavior.Mode {
-	case End:
-		k.end()
+	case Crash:
+		k.crash()
 		panic(http.ErrAbortHandler)
 	case CrashAfter:
 		panic(http.ErrAbortHandler)
--- a/proof/upstream_calls.go
+++ b/proof/upstream_calls.go
@@ -11,18 +11,19 @@
 	"pollengauge.dev/call"
 )
 
-// failure is what a call below came back with instead of an answer.
+// failure describes why a downstream call has no complete answer, in the values
+// of the outcome, reason and hop headers.
 type failure struct {
 	outcome, reason, hop string
 }
 
-// callBelow makes the calls below and returns their answers, or the first
-// failure.
-func (k *work) callBelow() ([]string, *failure) {
-	answers := make([]string, len(k.call.Below))
-	failures := make([]*failure, len(k.call.Below))
+// callDownstream makes the downstream calls and returns their answers, or the
+// first failure.
+func (k *work) callDownstream() ([]string, *failure) {
+	answers := make([]string, len(k.call.Downstream))
+	failures := make([]*failure, len(k.call.Downstream))
 	var parallel sync.WaitGroup
-	for i, child := range k.call.Below {
+	for i, child := range k.call.Downstream {
 		one := func() {
 			answers[i], failures[i] = k.callOut(k.r.Context(), child, childStep(k.step, i), true)
 		}
@@ -43,8 +44,9 @@
 	return answers, nil
 }
 
-// giveUp passes on why a call below failed, as the contract for upstreams asks.
-func (k *work) giveUp(f *failure) {
+// respondFailure responds 503 with the outcome, reason and hop of the failed
+// downstream call, as the contract for upstreams requires.
+func (k *work) respondFailure(f *failure) {
 	h := k.w.Header()
 	h.Set(call.HeaderOutcome, f.outcome)
 	if f.reason != "" {
@@ -56,11 +58,13 @@
 	k.w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// lost is a call below that has no answer.
-var lost = &failure{outcome: call.Unknown.String(), reason: string(call.ReasonLost)}
+// lostFailure is the failure of a downstream call without a readable answer.
+var lostFailure = &failure{outcome: call.Unknown.String(), reason: string(call.ReasonLost)}
 
-// requestBelow makes the request of a call below, named as its own or not.
-func (k *work) requestBelow(ctx context.Context, c Call, step string, named bool) (*http.Request, error) {
+// newDownstreamRequest creates the request of a downstream call. If withContext
+// is set, the request carries the context headers that tie it to the handled
+// call.
+func (k *work) newDownstreamRequest(ctx context.Context, c Call, step string, withContext bool) (*http.Request, error) {
 	body := strings.NewReader(k.operation.request(c, step))
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Service+c.Path, body)
 	if err != nil {
@@ -72,7 +76,7 @@
 	if c.OwnKey != "" {
 		req.Header.Set(call.HeaderIdempotencyKey, c.OwnKey)
 	}
-	if named {
+	if withContext {
 		for _, name := range call.PropagatedHeaders {
 			req.Header.Set(name, k.r.Header.Get(name))
 		}
@@ -80,20 +84,20 @@
 	return req, nil
 }
 
-// callOut makes one call through the own node.
-func (k *work) callOut(ctx context.Context, c Call, step string, named bool) (string, *failure) {
-	req, err := k.requestBelow(ctx, c, step, named)
+// callOut makes one outbound call through the upstream's own node.
+func (k *work) callOut(ctx context.Context, c Call, step string, withContext bool) (string, *failure) {
+	req, err := k.newDownstreamRequest(ctx, c, step, withContext)
 	if err != nil {
-		return "", lost
+		return "", lostFailure
 	}
 	resp, err := k.out.RoundTrip(req)
 	if err != nil {
-		return "", lost
+		return "", lostFailure
 	}
 	defer func() { _ = resp.Body.Close() }()
 	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return "", lost
+		return "", lostFailure
 	}
 	if resp.Header.Get(call.HeaderOutcome) != call.Complete.String() {
 		h := resp.Header
@@ -102,19 +106,20 @@
 	return string(answer), nil
 }
 
-// lateAfter is how long after its answer an upstream calls out.
-const lateAfter = 50 * time.Millisecond
+// lateCallDelay is the delay between an upstream's answer and its late outbound call.
+const lateCallDelay = 50 * time.Millisecond
 
-// callLater calls out for a request that will have been answered by then.
+// callLater schedules an outbound call for a request that will already have been
+// answered when the call is made.
 func (k *work) callLater() {
 	service := k.service
-	if len(k.call.Below) > 0 {
-		service = k.call.Below[0].Service
+	if len(k.call.Downstream) > 0 {
+		service = k.call.Downstream[0].Service
 	}
 	_ = http.NewResponseController(k.w).Flush()
 	late := Call{Service: service, Method: http.MethodPost, Path: "/late"}
-	k.late.Go(func() {
-		time.Sleep(lateAfter)
+	k.background.Go(func() {
+		time.Sleep(lateCallDelay)
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(k.r.Context()), time.Second)
 		defer cancel()
 		k.callOut(ctx, late, k.step+".late", true)
