--- a/node/events_test.go
+++ b/node/events_test.go
@@ -14,7 +14,7 @@
 // would never fire. Each event must be emitted here or by the logger itself.
 func TestEveryEventIsEmitted(t *testing.T) {
 	c := qt.New(t)
-	defined := regexp.MustCompile(`(?m)^\t([A-Z]\w+) += event\(`)
+	defined := regexp.MustCompile(`(?m)^\t([A-Z]\w+) += defineEvent\(`)
 	var names []string
 	var code strings.Builder
 	for _, pattern := range []string{"*.go", "../observe/*.go", "../platform/*.go"} {
