--- a/demo/load/class.go
+++ b/demo/load/class.go
@@ -6,36 +6,38 @@
 	"pollengauge.dev/demo/upstream"
 )
 
-// Retrying says what a client does after an attempt that gave no whole answer.
+// Retrying is the retry policy of a client for attempts without a complete
+// answer.
 type Retrying struct {
-	// Tries bounds the attempts of one operation, the first included. More
-	// tries complete more operations one by one, and multiply the load when
-	// all fail together.
+	// Tries is the maximum number of attempts per operation, including the
+	// first. More tries let more operations complete while failures are
+	// isolated, and multiply the load when all operations fail together.
 	Tries int
-	// Hard clients try again at once. Others wait as long as Retry-After
-	// says, or Backoff without it.
+	// Hard makes the client retry immediately. Otherwise it waits for the
+	// time in Retry-After, or for Backoff if the answer has no Retry-After.
 	Hard bool
-	// Backoff is the wait of a client that is not hard, when the answer names
-	// none.
+	// Backoff is the wait before a retry when Hard is false and the answer
+	// has no Retry-After.
 	Backoff time.Duration
 }
 
-// Keying says where an operation's idempotency key comes from.
+// Keying is the source of an operation's idempotency key.
 type Keying uint8
 
 const (
-	// NoKey sends none.
+	// NoKey sends no idempotency key.
 	NoKey Keying = iota
-	// OwnKey sends a key that the client chose.
+	// OwnKey sends a key that the client generated.
 	OwnKey
-	// MintedKey asks the system for a key first.
+	// MintedKey first requests a key from the system.
 	MintedKey
 )
 
 // Class is one kind of traffic.
 type Class struct {
 	Name string
-	// Profile is the profile that the class is expected to be given.
+	// Profile is the profile that the system is expected to assign to the
+	// class.
 	Profile string
 	Target  upstream.Call
 	Method  string
@@ -47,23 +49,24 @@
 	Timeout time.Duration
 	// Once marks operations that must not run twice.
 	Once bool
-	// Shed is the class's place in the order that overload must respect.
+	// Shed is the class's position in the order in which overload must shed
+	// classes.
 	Shed ShedOrder
 }
 
-// ShedOrder tells which classes overload may touch first.
+// ShedOrder is the order in which classes are shed under overload.
 type ShedOrder uint8
 
 const (
-	// ShedFree classes have no promised place.
+	// ShedFree classes have no guaranteed position.
 	ShedFree ShedOrder = iota
 	// ShedFirst classes are refused before any ShedLast class.
 	ShedFirst
-	// ShedLast classes survive longest.
+	// ShedLast classes are refused last.
 	ShedLast
 )
 
-// Phase multiplies all rates from Start to End.
+// Phase multiplies all rates by Factor from Start to End.
 type Phase struct {
 	Start, End time.Duration
 	Factor     float64
--- a/demo/load/client.go
+++ b/demo/load/client.go
@@ -12,13 +12,14 @@
 	"pollengauge.dev/objects"
 )
 
-// maxAnswerBytes bounds what a client reads of one answer.
+// maxAnswerBytes is the maximum number of bytes that a client reads from one
+// response body.
 const maxAnswerBytes = 1 << 20
 
-// headerRequestID is the customary name of a client's own request id.
+// headerRequestID is the customary header for a client's own request ID.
 const headerRequestID = "X-Request-Id"
 
-// attempt sends one try and judges its answer.
+// attempt sends one try of an operation and classifies its answer.
 func (r *Runner) attempt(ctx context.Context, class *Class, addr, key string, stamp upstream.Stamp) (t Try) {
 	ctx, cancel := context.WithTimeout(ctx, class.Timeout)
 	defer cancel()
@@ -35,7 +36,8 @@
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		// The client knows that the answer was cut, so it claims nothing.
+		// The transport reported that the answer is incomplete, so the client
+		// isn't misled: the try stays Unknown and isn't marked as truncated.
 		return t
 	}
 	objects.Pause(ctx, r.Delay)
@@ -58,9 +60,10 @@
 	return r.client.Do(req)
 }
 
-// judge compares an answer with its request. An answer that calls itself
-// complete must name this operation, service and route and reach its end. One
-// marked as stored may name an earlier operation of the same caller.
+// judge compares an answer with its request and records the result in t. A
+// complete answer must name this operation, service and route and contain its
+// last line. An answer marked as stored may name another operation with the
+// same caller and item.
 func judge(t *Try, class *Class, stamp upstream.Stamp, resp *http.Response, body []byte) {
 	t.Status = resp.StatusCode
 	t.Reason = call.Reason(resp.Header.Get(call.HeaderReason))
@@ -88,8 +91,9 @@
 	}
 }
 
-// claimed returns what an answer says of itself. A plain forwarder gives no
-// outcome: a failure of its kind proves nothing.
+// claimed returns the result that the status and the outcome header of a
+// response claim. A plain forwarder sends no outcome header, and its 5xx
+// responses don't show whether the operation ran: they are Unknown.
 func claimed(resp *http.Response) Result {
 	header := resp.Header.Get(call.HeaderOutcome)
 	outcome, err := call.ParseOutcome(header)
@@ -110,7 +114,8 @@
 	}
 }
 
-// headerRetryAfterMs is the finer figure that a node adds to Retry-After.
+// headerRetryAfterMs carries the retry delay in milliseconds; a node sends it
+// along with Retry-After, which has a resolution of one second.
 const headerRetryAfterMs = "Pollengauge-Retry-After-Ms"
 
 func retryAfter(h http.Header) time.Duration {
--- a/demo/load/errors.go
+++ b/demo/load/errors.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// KeyError reports that no idempotency key was minted.
+// KeyError reports that an edge minted no idempotency key.
 type KeyError struct {
 	Addr   string
 	Status int
@@ -17,11 +17,12 @@
 	return "mint a key at " + e.Addr + ": status " + strconv.Itoa(e.Status)
 }
 
-// Unwrap returns the cause, nil for a status.
+// Unwrap returns the cause; it is nil if the edge answered with an error
+// status.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// OverflowError reports an operation that was not sent because too many were
-// in flight at once.
+// OverflowError reports an operation that was not sent because the limit of
+// operations in flight was reached.
 type OverflowError struct{ Limit int }
 
 // Error implements error.
--- a/demo/load/mint.go
+++ b/demo/load/mint.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// minted is the body of an edge's answer to a mint request.
+// minted is the response body of a mint request at an edge.
 type minted struct {
 	Key string `json:"key"`
 }
--- a/demo/load/plan.go
+++ b/demo/load/plan.go
@@ -9,9 +9,9 @@
 
 // Arrival is one planned operation.
 type Arrival struct {
-	// At is the intended start, from the start of the run.
+	// At is the planned start, relative to the start of the run.
 	At time.Duration
-	// Class is the index of the class.
+	// Class is the index of the operation's class.
 	Class     int
 	Operation string
 }
@@ -31,9 +31,9 @@
 	return arrivals
 }
 
-// poisson draws one process whose rate changes with the phases, by thinning:
-// candidates come at the highest rate and each is kept with the probability
-// that the rate of its time has relative to the highest.
+// poisson draws a Poisson process whose rate changes with the phases. It uses
+// thinning: candidates are drawn at the highest rate, and each is accepted with
+// probability (rate at its time) / (highest rate).
 func poisson(rate float64, phases []Phase, length time.Duration, random *rand.Rand) []time.Duration {
 	highest := 1.0
 	for _, p := range phases {
--- a/demo/load/record.go
+++ b/demo/load/record.go
@@ -6,20 +6,21 @@
 	"pollengauge.dev/call"
 )
 
-// Result is how an operation ended for its client.
+// Result is the result of an operation or attempt as its client sees it.
 type Result uint8
 
 const (
-	// Unknown: an attempt may have run; no whole answer came.
+	// Unknown: an attempt may have run, but the client received no complete
+	// answer.
 	Unknown Result = iota
-	// NotRun: the last attempt was told that it was not run.
+	// NotRun: the answer to the last attempt says that it was not run.
 	NotRun
-	// Failed: a complete answer that tells of a failure.
+	// Failed: the client received a complete answer that reports a failure.
 	Failed
-	// Stale: in place of a refusal came a stored answer, which the same caller
-	// was given for the same question by an earlier operation.
+	// Stale: instead of a refusal, the client received a stored answer that
+	// the same caller got for the same item in an earlier operation.
 	Stale
-	// Whole: the operation's own complete answer.
+	// Whole: the client received the operation's own complete answer.
 	Whole
 )
 
@@ -30,25 +31,27 @@
 
 // Try is one attempt of the client.
 type Try struct {
-	// Addr is the edge that was asked.
+	// Addr is the address of the edge that the attempt was sent to.
 	Addr   string
 	Result Result
 	Reason call.Reason
-	// Hop is the service that gave the reason.
+	// Hop is the service that reported Reason.
 	Hop    string
 	Status int
-	// Sent and Answered bound the attempt, from the start of the run.
+	// Sent and Answered are the start and the end of the attempt, relative to
+	// the start of the run.
 	Sent     time.Duration
 	Answered time.Duration
 	// AnsweredAt is the wall-clock time of Answered.
 	AnsweredAt time.Time
 	RetryAfter time.Duration
-	// AnswerTry is the try that a whole answer names: an earlier one when a
-	// keyed attempt was given the answer of its predecessor.
+	// AnswerTry is the number of the try that a complete answer names. It is
+	// an earlier try if a keyed attempt received the stored result of a
+	// previous attempt.
 	AnswerTry int
-	// Crossed: the answer belongs to another operation, or, if it is a stored
-	// one, to another caller or question. Truncated: the answer
-	// ended early, yet the transport called it complete.
+	// Crossed: the answer belongs to another operation, service or route or,
+	// if it is a stored answer, to another caller or item. Truncated: the
+	// answer ended early although the transport reported it as complete.
 	Crossed   bool
 	Truncated bool
 }
@@ -57,12 +60,12 @@
 type Record struct {
 	Arrival
 	Tries []Try
-	// Latency counts from the intended start to the end of the last try.
+	// Latency is the time from the planned start to the end of the last try.
 	Latency time.Duration
 	Result  Result
 }
 
-// last returns the last try; the zero Try if there is none.
+// last returns the last try, or the zero Try if there is none.
 func (r *Record) last() Try {
 	if len(r.Tries) == 0 {
 		return Try{}
@@ -70,10 +73,11 @@
 	return r.Tries[len(r.Tries)-1]
 }
 
-// End returns when the operation ended, from the start of the run.
+// End returns the end of the operation, relative to the start of the run.
 func (r *Record) End() time.Duration { return r.At + r.Latency }
 
-// AnswerTry returns the try whose work the client was given, 0 if none.
+// AnswerTry returns the number of the try that produced the client's complete
+// answer, or 0 if the client has none.
 func (r *Record) AnswerTry() int {
 	if r.Result != Whole {
 		return 0
--- a/demo/load/recovery.go
+++ b/demo/load/recovery.go
@@ -7,21 +7,23 @@
 // Bucket is the resolution of time series and of recovery times.
 const Bucket = 100 * time.Millisecond
 
-// Normal service is defined by these. An operation belongs to the time of its
-// intended start, so a backlog worked off late counts against the time when
-// it was offered, and a user who arrives after Recovered is served normally.
+// These constants define normal service. An operation is counted at its
+// planned start, so a backlog that is processed late counts against the time
+// at which it was offered, and a user who arrives after the recovery is served
+// normally.
 const (
-	// goodputShare: normal service completes at least this share of the
-	// goodput before the surge. Goodput is taken per operation offered, so
-	// that chance in the arrivals is no loss.
+	// goodputShare is the smallest goodput of normal service, as a share of
+	// the goodput before the surge. Goodput is measured per offered operation,
+	// so that random variation of the arrivals doesn't count as a loss.
 	goodputShare = 0.95
-	// latencyFactor: the 99th percentile is at most this many times that
-	// before the surge.
+	// latencyFactor is the highest 99th percentile latency of normal service,
+	// as a multiple of that before the surge.
 	latencyFactor = 1.5
-	// recoveryWindow is the span over which both are measured: the shortest
-	// in which a class of some ten operations a second can be judged.
+	// recoveryWindow is the window in which goodput and latency are measured:
+	// the shortest that holds enough operations of a class with a rate of
+	// about ten per second.
 	recoveryWindow = time.Second
-	// recoverySteady is for how long windows must go on to be normal.
+	// recoverySteady is how long consecutive windows must be normal.
 	recoverySteady = 300 * time.Millisecond
 )
 
@@ -30,16 +32,16 @@
 
 // RecoveryTime is the result of Recovery.
 type RecoveryTime struct {
-	// Took is from the end of the surge to normal service.
+	// Took is the time from the end of the surge to normal service.
 	Took time.Duration
-	// Recovered is false when service was not normal before the end of the
-	// observed span; Took is then that span's length, a lower bound.
+	// Recovered is false if service was not normal again by the end of the
+	// observed span. Took is then the length of that span, a lower bound.
 	Recovered bool
 }
 
-// Recovery returns how long after the surge the service of one class was
-// normal again. before is a span of normal service ahead of the surge; until
-// is the end of the span observed after it.
+// Recovery returns how long after the end of the surge the service of one
+// class was normal again. before is a span of normal service before the surge,
+// and until is the end of the span observed after the surge.
 func Recovery(records []Record, class int, before Span, surgeEnd, until time.Duration) RecoveryTime {
 	normal := measure(records, class, before)
 	steady := 0
@@ -57,7 +59,7 @@
 	return RecoveryTime{Took: until - surgeEnd}
 }
 
-// service is what one class was given over one span.
+// service holds the measurements of one class over one span.
 type service struct {
 	offered int
 	whole   int
@@ -96,15 +98,16 @@
 	PerSecond float64
 }
 
-// Goodput returns the rate of whole operations by the time when they ended,
-// in buckets.
+// Goodput returns the rate of completed operations (Whole) per Bucket, counted
+// at the time when they ended.
 func Goodput(records []Record, length time.Duration) []Point {
 	return series(records, length, func(r Record) (time.Duration, bool) {
 		return r.End(), r.Result == Whole
 	})
 }
 
-// Offered returns the rate of operations by their intended start.
+// Offered returns the rate of operations per Bucket, counted at their planned
+// start.
 func Offered(records []Record, length time.Duration) []Point {
 	return series(records, length, func(r Record) (time.Duration, bool) {
 		return r.At, true
@@ -128,18 +131,19 @@
 // AllClasses selects every class in OfferedIn, WholeIn and StaleIn.
 const AllClasses = -1
 
-// OfferedIn returns how many operations were meant to start in span.
+// OfferedIn returns the number of operations with a planned start in span.
 func OfferedIn(records []Record, class int, span Span) float64 {
 	return count(records, class, span, func(Record) bool { return true })
 }
 
-// WholeIn returns how many operations meant to start in span became whole.
+// WholeIn returns the number of operations with a planned start in span whose
+// result is Whole.
 func WholeIn(records []Record, class int, span Span) float64 {
 	return count(records, class, span, func(r Record) bool { return r.Result == Whole })
 }
 
-// StaleIn returns how many operations meant to start in span ended with a
-// stored answer.
+// StaleIn returns the number of operations with a planned start in span that
+// ended with a stored answer.
 func StaleIn(records []Record, class int, span Span) float64 {
 	return count(records, class, span, func(r Record) bool { return r.Result == Stale })
 }
--- a/demo/load/recovery_test.go
+++ b/demo/load/recovery_test.go
@@ -7,7 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// records returns ten operations a bucket; each is judged by how.
+// steady returns ten operations per bucket; how returns the result and the
+// latency of each.
 func steady(length time.Duration, how func(at time.Duration) (Result, time.Duration)) []Record {
 	var records []Record
 	for at := time.Duration(0); at < length; at += Bucket / 10 {
@@ -17,9 +18,9 @@
 	return records
 }
 
-// After the surge a user sees failures for a while, then slow answers, then
-// normal service. Recovery ends with the last of these, and a short good
-// moment in between doesn't count.
+// After a surge, users see failures, then slow answers, then normal service.
+// The recovery time must last until normal service is steady: a short normal
+// interval in between doesn't end it.
 func TestRecovery(t *testing.T) {
 	c := qt.New(t)
 	const surgeEnd, length = 4 * time.Second, 10 * time.Second
@@ -89,7 +90,8 @@
 			c.Assert(arrival.At >= plan[i-1].At, qt.IsTrue)
 		}
 	}
-	// Within four standard deviations of 400 and 1200 arrivals.
+	// The bounds are four standard deviations around the expected 400 and
+	// 1200 arrivals.
 	calm := OfferedIn(records, 0, Span{0, surge.Start})
 	c.Check(calm > 320 && calm < 480, qt.IsTrue, qt.Commentf("%v", calm))
 	busy := OfferedIn(records, 0, surge)
--- a/demo/load/runner.go
+++ b/demo/load/runner.go
@@ -16,24 +16,27 @@
 	"pollengauge.dev/objects"
 )
 
-// Edges tells where clients reach a service at this moment.
+// Edges returns the addresses of the edges that currently accept clients of a
+// service.
 type Edges func(service string) []string
 
-// Runner sends a plan.
+// Runner sends the arrivals of a plan to the edges of a system.
 type Runner struct {
 	Classes []Class
-	// Edges gives the addresses of a class's service; asked for every try.
+	// Edges returns the edge addresses of a class's service. It is called for
+	// every try.
 	Edges Edges
-	// MintPath is where an edge mints idempotency keys; "" when the system
-	// has none, and classes with MintedKey then send none.
+	// MintPath is the path at which an edge mints idempotency keys. It is ""
+	// if the system mints none; classes with MintedKey then send no key.
 	MintPath string
 	// Delay is the one-way network delay between clients and the system.
 	Delay time.Duration
-	// MaxInFlight bounds the operations open at once. Operations over it are
-	// recorded as unknown without being sent: the bound protects the machine
-	// that sends the load, and reaching it is a failure of the system under it.
+	// MaxInFlight is the maximum number of operations in flight. Operations
+	// beyond it are recorded as unknown without being sent: the limit protects
+	// the machine that sends the load, and a system that lets the load reach
+	// it has failed.
 	MaxInFlight int
-	// Dial opens connections to edges; nil is plain TCP.
+	// Dial opens connections to edges; nil means plain TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	start  time.Time
@@ -42,8 +45,9 @@
 
 const maxIdleConns = 512
 
-// Run sends every arrival at its time and returns the records in the order of
-// the plan. When ctx ends, operations not yet sent are recorded as unknown.
+// Run sends every arrival at its planned time and returns the records in the
+// order of the plan. When ctx ends, operations not yet sent are recorded as
+// unknown.
 func (r *Runner) Run(ctx context.Context, plan []Arrival) []Record {
 	transport := &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true, DialContext: r.Dial}
 	r.client = &http.Client{Transport: transport}
@@ -69,7 +73,7 @@
 	return records
 }
 
-// operation runs one operation to its end, with the client's own retries.
+// operation runs one operation to its end, including the client's retries.
 func (r *Runner) operation(ctx context.Context, record *Record) {
 	class := &r.Classes[record.Class]
 	random := rand.New(rand.NewPCG(xxhash.Sum64String(record.Operation), 0))
@@ -91,7 +95,7 @@
 	record.Latency = time.Since(r.start) - record.At
 }
 
-// wait returns how long a client waits before its next try.
+// wait returns the time that a client waits before its next try.
 func (p Retrying) wait(t Try) time.Duration {
 	switch {
 	case p.Hard:
@@ -111,12 +115,12 @@
 	return addrs[random.IntN(len(addrs))]
 }
 
-// mintTries bounds the edges asked for one key.
+// mintTries is the maximum number of requests for one key.
 const mintTries = 3
 
-// key returns the operation's idempotency key, "" if it has none. A client
-// that can't get a minted key sends the operation without one; a profile that
-// requires a key then refuses it.
+// key returns the operation's idempotency key, or "" if it has none. A client
+// that can't get a minted key sends the operation without a key; the system
+// then refuses the operation if its profile requires a key.
 func (r *Runner) key(ctx context.Context, class *Class, operation string, random *rand.Rand) string {
 	switch class.Key {
 	case OwnKey:
@@ -158,25 +162,25 @@
 	return mintedKey(body)
 }
 
-// items is the number of distinct things that are asked for: enough that a
-// stored answer seldom fits a customer's next question.
+// items is the number of distinct items that operations request. It is large
+// enough that a stored answer seldom matches a customer's next request.
 const items = 40
 
-// itemOf returns what an operation asks for.
+// itemOf returns the item that an operation requests.
 func itemOf(operation string) string {
 	return strconv.FormatUint(xxhash.Sum64String(operation)/callers%items, decimal)
 }
 
-// callers is the number of distinct customers that send the load.
+// callers is the number of distinct customers that send requests.
 const callers = 50
 
-// callerOf returns the credentials of the customer behind an operation.
+// callerOf returns the credentials of the customer that sends an operation.
 func callerOf(operation string) string {
 	return "Bearer caller-" + strconv.FormatUint(xxhash.Sum64String(operation)%callers, decimal)
 }
 
-// sameQuestion reports whether two operations of a class are of one caller and
-// ask for the same item.
+// sameQuestion reports whether two operations of a class have the same caller
+// and the same item.
 func sameQuestion(a, b string) bool { return callerOf(a) == callerOf(b) && itemOf(a) == itemOf(b) }
 
 const decimal = 10
--- a/demo/load/runner_test.go
+++ b/demo/load/runner_test.go
@@ -19,13 +19,13 @@
 	Retry: Retrying{Tries: 2, Hard: true}, Timeout: 5 * time.Second,
 }
 
-// answerOf returns the honest answer to r.
+// answerOf returns the correct answer to r.
 func answerOf(r *http.Request) upstream.Answer {
 	stamp, _ := upstream.ParseStamp(r.Header.Get(upstream.HeaderOperation))
 	return upstream.Answer{Stamp: stamp, Service: "portal", Route: "status"}
 }
 
-// earlier returns the first operation, by number, that fits.
+// earlier returns the first operation in numeric order that fits accepts.
 func earlier(fits func(operation string) bool) string {
 	for i := 0; ; i++ {
 		if operation := strconv.Itoa(i); fits(operation) {
@@ -34,10 +34,11 @@
 	}
 }
 
-// A system under load mixes up answers, or ends one early as if it were
-// whole. The client sees status 200 each time; only comparing the answer with
-// the request shows it. An answer cut off openly proves nothing and is no
-// broken promise.
+// Guards against undetected wrong answers: a system under load may send an
+// answer to the wrong request, or end an answer early as if it were complete.
+// The status is 200 each time, so only a comparison with the request shows the
+// fault. An answer whose transport reports the truncation is Unknown and is
+// not counted as a fault.
 func TestCrossedAndTruncatedAnswersAreNoticed(t *testing.T) {
 	c := qt.New(t)
 	for name, test := range map[string]struct {
@@ -112,8 +113,9 @@
 	}
 }
 
-// The system is so stuck that the client side is full. Operations that could
-// not be sent must still count as offered, or the stall would look like rest.
+// When a stalled system fills the client's limit of operations in flight,
+// operations that could not be sent must still count as offered; otherwise the
+// stall would look like an idle period.
 func TestOperationsOverTheBoundCountAsUnknown(t *testing.T) {
 	c := qt.New(t)
 	runner := Runner{Classes: []Class{testClass}, Edges: func(string) []string { return nil }}
--- a/demo/load/summary.go
+++ b/demo/load/summary.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Summary is the account of one class. Every operation offered is counted
+// Summary holds the totals of one class. Every offered operation is counted
 // under exactly one result.
 type Summary struct {
 	Class     string
@@ -15,7 +15,8 @@
 	Retries   int
 	Crossed   int
 	Truncated int
-	// P50 and P99 are of whole operations, from the intended start.
+	// P50 and P99 are latency percentiles of the operations with result Whole,
+	// measured from the planned start.
 	P50, P99 time.Duration
 }
 
@@ -26,7 +27,7 @@
 	tailPercentile   = 99
 )
 
-// Summarize accounts the records of each class, in the order of classes.
+// Summarize returns the summary of each class, in the order of classes.
 func Summarize(classes []Class, records []Record) []Summary {
 	summaries := make([]Summary, len(classes))
 	histograms := make([]*hdrhistogram.Histogram, len(classes))
