--- a/demo/load/client.go
+++ b/demo/load/client.go
@@ -69,7 +69,7 @@
 	t.Reason = call.Reason(resp.Header.Get(call.HeaderReason))
 	t.Hop = resp.Header.Get(call.HeaderHop)
 	t.RetryAfter = retryAfter(resp.Header)
-	t.Result = claimed(resp)
+	t.Result = claimedResult(resp)
 	if t.Result != Whole {
 		return
 	}
@@ -81,7 +81,7 @@
 	case answer.Service != class.Target.Service || answer.Route != class.Target.Route:
 		t.Crossed = true
 		t.Result = Unknown
-	case resp.Header.Get(call.HeaderStale) != "" && sameQuestion(answer.Stamp.Operation, stamp.Operation):
+	case resp.Header.Get(call.HeaderStale) != "" && sameCallerAndItem(answer.Stamp.Operation, stamp.Operation):
 		t.Result = Stale
 	case answer.Stamp.Operation != stamp.Operation:
 		t.Crossed = true
@@ -91,10 +91,10 @@
 	}
 }
 
-// claimed returns the result that the status and the outcome header of a
+// claimedResult returns the result that the status and the outcome header of a
 // response claim. A plain forwarder sends no outcome header, and its 5xx
 // responses don't show whether the operation ran: they are Unknown.
-func claimed(resp *http.Response) Result {
+func claimedResult(resp *http.Response) Result {
 	header := resp.Header.Get(call.HeaderOutcome)
 	outcome, err := call.ParseOutcome(header)
 	succeeded := resp.StatusCode >= http.StatusOK && resp.StatusCode < http.StatusMultipleChoices
--- a/demo/load/recovery.go
+++ b/demo/load/recovery.go
@@ -45,29 +45,29 @@
 func Recovery(records []Record, class int, before Span, surgeEnd, until time.Duration) RecoveryTime {
 	normal := measure(records, class, before)
 	steady := 0
-	need := int(recoverySteady / Bucket)
+	requiredWindows := int(recoverySteady / Bucket)
 	for at := surgeEnd; at+recoveryWindow <= until; at += Bucket {
 		if !measure(records, class, Span{at, at + recoveryWindow}).isNormal(normal) {
 			steady = 0
 			continue
 		}
 		steady++
-		if steady == need {
-			return RecoveryTime{Took: at - time.Duration(need-1)*Bucket - surgeEnd, Recovered: true}
+		if steady == requiredWindows {
+			return RecoveryTime{Took: at - time.Duration(requiredWindows-1)*Bucket - surgeEnd, Recovered: true}
 		}
 	}
 	return RecoveryTime{Took: until - surgeEnd}
 }
 
-// service holds the measurements of one class over one span.
-type service struct {
+// serviceMeasurement holds the measurements of one class over one span.
+type serviceMeasurement struct {
 	offered int
 	whole   int
 	p99     time.Duration
 }
 
-func measure(records []Record, class int, span Span) service {
-	var s service
+func measure(records []Record, class int, span Span) serviceMeasurement {
+	var s serviceMeasurement
 	histogram := newHistogram()
 	for _, r := range records {
 		if r.Class != class || r.At < span.Start || r.At >= span.End {
@@ -83,7 +83,7 @@
 	return s
 }
 
-func (s service) isNormal(normal service) bool {
+func (s serviceMeasurement) isNormal(normal serviceMeasurement) bool {
 	if normal.whole == 0 || s.whole == 0 {
 		return s.offered == 0
 	}
--- a/demo/load/recovery_test.go
+++ b/demo/load/recovery_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// steady returns ten operations per bucket; how returns the result and the
+// recordsByTime returns ten operations per bucket; how returns the result and the
 // latency of each.
-func steady(length time.Duration, how func(at time.Duration) (Result, time.Duration)) []Record {
+func recordsByTime(length time.Duration, how func(at time.Duration) (Result, time.Duration)) []Record {
 	var records []Record
 	for at := time.Duration(0); at < length; at += Bucket / 10 {
 		result, latency := how(at)
@@ -68,7 +68,7 @@
 		}, RecoveryTime{length - surgeEnd, false}},
 	} {
 		c.Run(name, func(c *qt.C) {
-			records := steady(length, test.how)
+			records := recordsByTime(length, test.how)
 			got := Recovery(records, 0, Span{time.Second, 2 * time.Second}, surgeEnd, length)
 			c.Check(got, qt.Equals, test.want)
 		})
--- a/demo/load/runner.go
+++ b/demo/load/runner.go
@@ -54,19 +54,19 @@
 	defer transport.CloseIdleConnections()
 	r.start = time.Now()
 	records := make([]Record, len(plan))
-	open := make(chan struct{}, r.MaxInFlight)
+	inFlight := make(chan struct{}, r.MaxInFlight)
 	var group sync.WaitGroup
 	for i, arrival := range plan {
 		objects.Pause(ctx, arrival.At-time.Since(r.start))
 		records[i] = Record{Arrival: arrival}
 		select {
-		case open <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
 			continue
 		}
 		group.Go(func() {
 			r.operation(ctx, &records[i])
-			<-open
+			<-inFlight
 		})
 	}
 	group.Wait()
@@ -179,8 +179,8 @@
 	return "Bearer caller-" + strconv.FormatUint(xxhash.Sum64String(operation)%callers, decimal)
 }
 
-// sameQuestion reports whether two operations of a class have the same caller
+// sameCallerAndItem reports whether two operations of a class have the same caller
 // and the same item.
-func sameQuestion(a, b string) bool { return callerOf(a) == callerOf(b) && itemOf(a) == itemOf(b) }
+func sameCallerAndItem(a, b string) bool { return callerOf(a) == callerOf(b) && itemOf(a) == itemOf(b) }
 
 const decimal = 10
--- a/demo/load/runner_test.go
+++ b/demo/load/runner_test.go
@@ -25,8 +25,8 @@
 	return upstream.Answer{Stamp: stamp, Service: "portal", Route: "status"}
 }
 
-// earlier returns the first operation in numeric order that fits accepts.
-func earlier(fits func(operation string) bool) string {
+// firstOperation returns the first operation in numeric order that fits accepts.
+func firstOperation(fits func(operation string) bool) string {
 	for i := 0; ; i++ {
 		if operation := strconv.Itoa(i); fits(operation) {
 			return operation
@@ -71,13 +71,13 @@
 		}, Unknown, 2, 0, 0},
 		"stored answer, marked": {func(w http.ResponseWriter, r *http.Request) {
 			a := answerOf(r)
-			a.Stamp.Operation = earlier(func(o string) bool { return sameQuestion(o, "op") })
+			a.Stamp.Operation = firstOperation(func(o string) bool { return sameCallerAndItem(o, "op") })
 			w.Header().Set(call.HeaderStale, "3")
 			_, _ = w.Write(a.Bytes())
 		}, Stale, 1, 0, 0},
 		"stored answer of another caller": {func(w http.ResponseWriter, r *http.Request) {
 			a := answerOf(r)
-			a.Stamp.Operation = earlier(func(o string) bool { return itemOf(o) == itemOf("op") && callerOf(o) != callerOf("op") })
+			a.Stamp.Operation = firstOperation(func(o string) bool { return itemOf(o) == itemOf("op") && callerOf(o) != callerOf("op") })
 			w.Header().Set(call.HeaderStale, "3")
 			_, _ = w.Write(a.Bytes())
 		}, Unknown, 2, 2, 0},
