--- a/demo/upstream/answer.go
+++ b/demo/upstream/answer.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Answer is what a complete answer says about itself.
+// Answer holds the fields that identify a complete answer.
 type Answer struct {
 	Stamp   Stamp
 	Service string
@@ -14,16 +14,16 @@
 
 const (
 	endMark = "end "
-	// filler makes an answer span several reads, so a cut in the middle is
-	// likely to be seen.
+	// The filler lines make an answer span several reads, so that a
+	// truncation in the middle is likely to be detected.
 	fillerLine  = "................................................................\n"
 	fillerLines = 32
 )
 
-// Bytes renders the answer: a line that names the operation, filler, and a
-// last line that names it again. A reader can tell a crossed answer (another
-// operation) from a truncated one (no last line) even when the transport
-// ended cleanly.
+// Bytes renders the answer: a first line with the stamp, the service and the
+// route, filler lines, and a last line that repeats the stamp. A reader can
+// distinguish a crossed answer (another operation) from a truncated one (no
+// last line) even if the transport ended cleanly.
 func (a Answer) Bytes() []byte {
 	stamp := a.Stamp.String()
 	var b bytes.Buffer
@@ -35,8 +35,8 @@
 	return b.Bytes()
 }
 
-// ParseAnswer is the inverse of Bytes. An answer that is not whole is an
-// *AnswerError.
+// ParseAnswer is the inverse of Bytes. It returns an *AnswerError if the answer
+// is incomplete, and a *StampError if its stamp is malformed.
 func ParseAnswer(body []byte) (Answer, error) {
 	head, _, found := strings.Cut(string(body), "\n")
 	fields := strings.Fields(head)
--- a/demo/upstream/calls.go
+++ b/demo/upstream/calls.go
@@ -13,11 +13,13 @@
 // failure is the answer to a request that could not be completed.
 type failure struct {
 	status int
-	// report is passed up: what the call below said of itself.
+	// The headers of the failed downstream call, which are passed on to the
+	// caller.
 	outcome, reason, hop string
 }
 
-// goneFailure ends a request whose caller left; nobody reads the answer.
+// goneFailure returns the failure of a request whose caller has disconnected;
+// nobody reads the answer.
 func goneFailure() *failure { return &failure{status: http.StatusGatewayTimeout} }
 
 const retryAfterSeconds = "1"
@@ -39,8 +41,9 @@
 	}
 }
 
-// calls sends the calls of one step together and waits for all. When one
-// fails the others are cancelled, because the request can't complete any more.
+// calls sends the calls of one step in parallel and waits for all of them. When
+// one call fails, it cancels the others, because the request can no longer
+// complete. It returns the first failure.
 func (x *execution) calls(ctx context.Context, calls []Call) *failure {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,7 +62,8 @@
 	return failed
 }
 
-// call sends one call through the own node and reads its whole answer.
+// call sends one call through the upstream's own node and reads the complete
+// answer.
 func (x *execution) call(ctx context.Context, c Call) *failure {
 	req, err := x.request(ctx, c)
 	if err != nil {
@@ -100,15 +104,16 @@
 	return req, nil
 }
 
-// failed turns a failed call below into this request's own failure. Only a
-// request that has done no work of its own may pass not-run on; after that it
-// is partly done, and its fate unknown to the caller.
+// failed returns the failure of this request after a downstream call failed. A
+// request may pass on the outcome not-run only if it has done no work of its
+// own. Otherwise it is partly done, and its outcome is unknown.
 func (x *execution) failed(below http.Header) *failure {
 	outcome, err := call.ParseOutcome(below.Get(call.HeaderOutcome))
 	f := &failure{status: http.StatusBadGateway, reason: below.Get(call.HeaderReason), hop: below.Get(call.HeaderHop)}
 	switch {
 	case err != nil:
-		// The node below is a plain forwarder, or there is no answer at all.
+		// The downstream answer came from a plain forwarder, which sends no
+		// outcome, or there is no complete answer.
 	case outcome == call.NotRun && !x.begun:
 		f.status = ShedStatus
 		f.outcome = call.NotRun.String()
--- a/demo/upstream/errors.go
+++ b/demo/upstream/errors.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// StampError reports an operation header that is not "operation.try".
+// StampError reports an operation stamp without the form "operation.try".
 type StampError struct{ Text string }
 
 // Error implements error.
@@ -10,11 +10,11 @@
 	return "operation stamp " + strconv.Quote(e.Text) + ": want operation.try"
 }
 
-// AnswerError reports an answer that is not whole.
+// AnswerError reports an incomplete answer.
 type AnswerError struct {
 	// Length is the number of bytes received.
 	Length int
-	// Missing names the part that could not be found.
+	// Missing names the part of the answer that is missing.
 	Missing string
 }
 
--- a/demo/upstream/execution.go
+++ b/demo/upstream/execution.go
@@ -9,13 +9,14 @@
 	"pollengauge.dev/objects"
 )
 
-// execution is one request being served.
+// execution is the state of a request that the upstream serves.
 type execution struct {
 	server *Server
 	entry  *Entry
 	stamp  Stamp
 	header http.Header
-	begun  bool
+	// begun reports whether the upstream's own work has begun.
+	begun bool
 }
 
 func (u *Server) serve(w http.ResponseWriter, r *http.Request, name string, route Route) {
@@ -45,7 +46,7 @@
 	_, _ = w.Write(answer.Bytes())
 }
 
-// run takes a worker and does the steps.
+// run waits for a worker and executes the steps of the route.
 func (x *execution) run(ctx context.Context, route Route) *failure {
 	u := x.server
 	u.queued.Add(1)
@@ -72,8 +73,8 @@
 	return x.work(ctx, step.Work)
 }
 
-// work sleeps for one service time, longer while the upstream is slow or
-// frozen, and stops early when the caller has gone.
+// work sleeps for one service time, longer if the upstream is slow or frozen.
+// It stops early when the caller disconnects.
 func (x *execution) work(ctx context.Context, d Distribution) *failure {
 	u := x.server
 	if !u.faults.awaitThaw(ctx) {
--- a/demo/upstream/faults.go
+++ b/demo/upstream/faults.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// faults are the switches of an upstream's behaviour.
+// faults holds the faults that are injected into an upstream's work.
 type faults struct {
+	// slowBits is the factor on service times, as IEEE 754 bits.
 	slowBits atomic.Uint64
 
 	mu sync.Mutex
@@ -21,8 +22,8 @@
 
 func (f *faults) slow() float64 { return math.Float64frombits(f.slowBits.Load()) }
 
-// awaitThaw waits while the upstream is frozen. It returns false if the
-// caller left.
+// awaitThaw waits while the upstream is frozen. It returns false if ctx ended
+// because the caller disconnected.
 func (f *faults) awaitThaw(ctx context.Context) bool {
 	f.mu.Lock()
 	thawed := f.thawed
@@ -38,7 +39,8 @@
 	}
 }
 
-// SetSlow multiplies every service time from now on; 1 is normal.
+// SetSlow multiplies all service times drawn from now on by factor; 1 is
+// normal.
 func (u *Server) SetSlow(factor float64) { u.faults.setSlow(factor) }
 
 // Freeze stops all work, as a paused VM would, until Thaw.
@@ -60,13 +62,15 @@
 	}
 }
 
-// Reporting says how an upstream's reports deviate from the truth.
+// Reporting defines how an upstream's reports deviate from its real load and
+// health.
 type Reporting struct {
-	// Lag is the age of the load that is reported.
+	// Lag is the maximum age of the reported load.
 	Lag time.Duration
-	// Factor multiplies the load; 0 hides it wholly, 1 is honest.
+	// Factor multiplies the load: 1 reports the real load, 0 reports none.
 	Factor float64
-	// Unhealthy makes the health endpoint fail although the upstream works.
+	// Unhealthy makes the health endpoint report a failure although the
+	// upstream works.
 	Unhealthy bool
 }
 
@@ -78,7 +82,7 @@
 	current float64
 }
 
-// SetReporting makes the health and load endpoints lag or lie.
+// SetReporting sets how the health and load endpoints deviate from the truth.
 func (u *Server) SetReporting(r Reporting) {
 	u.reports.mu.Lock()
 	defer u.reports.mu.Unlock()
@@ -92,7 +96,7 @@
 	return !r.how.Unhealthy
 }
 
-// report returns what is said of the true load at now.
+// report returns the load to report at now, given the real load.
 func (r *reports) report(load float64, now time.Time) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/demo/upstream/ledger.go
+++ b/demo/upstream/ledger.go
@@ -8,19 +8,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is how far an execution came.
+// State is the progress of an execution.
 type State uint8
 
 const (
-	// Arrived: the upstream has the request, no work was done.
+	// Arrived: the upstream has received the request and done no work.
 	Arrived State = iota
-	// Refused: the upstream gave the request up before any work.
+	// Refused: the upstream ended the request before any work.
 	Refused
 	// Running: work has begun.
 	Running
-	// Finished: all steps were done.
+	// Finished: all steps are complete.
 	Finished
-	// Abandoned: work had begun, but a step failed or the caller left.
+	// Abandoned: work had begun, but a step failed or the caller disconnected.
 	Abandoned
 )
 
@@ -30,7 +30,7 @@
 // Execution is one arrival of a request at an upstream.
 type Execution struct {
 	ID uint64
-	// Parent is the ID of the calling execution, 0 for a client's call.
+	// Parent is the ID of the calling execution, or 0 for a client's call.
 	Parent  uint64
 	Try     int
 	Service string
@@ -40,14 +40,14 @@
 	State   State
 	// Worked is the service time spent.
 	Worked time.Duration
-	// Began is when work began; zero if it did not.
+	// Began is the time at which work began, or zero if it didn't.
 	Began time.Time
 }
 
 const ledgerShards = 64
 
-// Ledger records every execution of every upstream by operation. It is
-// sharded by operation, so that upstreams don't queue behind one lock.
+// Ledger records the executions of all upstreams by operation. It is sharded by
+// operation, so that upstreams don't contend for a single lock.
 type Ledger struct {
 	lastID atomic.Uint64
 	shards [ledgerShards]ledgerShard
@@ -71,7 +71,7 @@
 	return &l.shards[xxhash.Sum64String(operation)%ledgerShards]
 }
 
-// Entry is the open record of one execution.
+// Entry updates the ledger's record of one execution.
 type Entry struct {
 	shard     *ledgerShard
 	operation string
@@ -79,7 +79,8 @@
 	id        uint64
 }
 
-// Arrive opens a record. Of e, the ID and the State are set here.
+// Arrive adds e to the ledger with a new ID and the state Arrived, and returns
+// its entry.
 func (l *Ledger) Arrive(operation string, e Execution) *Entry {
 	e.ID = l.lastID.Add(1)
 	e.State = Arrived
@@ -90,7 +91,8 @@
 	return &Entry{shard: s, operation: operation, index: len(s.operations[operation]) - 1, id: e.ID}
 }
 
-// Begin notes that work starts now.
+// Begin records that work began at now. It has no effect unless the state is
+// Arrived.
 func (r *Entry) Begin(now time.Time) {
 	r.update(func(e *Execution) {
 		if e.State == Arrived {
@@ -100,18 +102,18 @@
 	})
 }
 
-// AddWork adds service time spent.
+// AddWork adds d to the service time spent.
 func (r *Entry) AddWork(d time.Duration) {
 	r.update(func(e *Execution) { e.Worked += d })
 }
 
-// Finish notes that all steps were done.
+// Finish records that all steps are complete.
 func (r *Entry) Finish() {
 	r.update(func(e *Execution) { e.State = Finished })
 }
 
-// GiveUp notes that the execution ends here: Refused if no work had begun,
-// else Abandoned. It returns the resulting state.
+// GiveUp records that the execution ended without finishing: Refused if no work
+// had begun, otherwise Abandoned. It returns the new state.
 func (r *Entry) GiveUp() State {
 	var state State
 	r.update(func(e *Execution) {
@@ -131,7 +133,7 @@
 	change(&r.shard.operations[r.operation][r.index])
 }
 
-// Executions returns a copy of what is known of an operation.
+// Executions returns a copy of the recorded executions of an operation.
 func (l *Ledger) Executions(operation string) []Execution {
 	s := l.shard(operation)
 	s.mu.Lock()
@@ -139,7 +141,8 @@
 	return append([]Execution(nil), s.operations[operation]...)
 }
 
-// Duplicates returns how many runs of Once routes there were beyond the first.
+// Duplicates returns the number of executions of Once routes that did work,
+// beyond the first of each route.
 func Duplicates(executions []Execution) int {
 	runs := map[Call]int{}
 	extra := 0
@@ -156,7 +159,8 @@
 	return extra
 }
 
-// RanBy reports whether any work was done for the given try, 0 for any try.
+// RanBy reports whether any work was done for the given try, or for any try if
+// try is 0.
 func RanBy(executions []Execution, try int) bool {
 	for _, e := range executions {
 		if e.State.Ran() && (try == 0 || e.Try == try) {
@@ -166,15 +170,17 @@
 	return false
 }
 
-// callSite is one call that one execution made.
+// callSite identifies a call that an execution makes; the executions of the
+// call's retries have the same call site.
 type callSite struct {
 	parent uint64
 	call   Call
 }
 
-// Retries returns, for one try of the client, the number of arrivals beyond
-// the first at each call site, summed over the chain. A client's own tries
-// are not retries in this sense: each is a request of its own.
+// Retries returns the number of retries inside the chain for one try of the
+// client: the arrivals beyond the first at each call site, summed over the
+// chain. A client's own tries are not counted as retries, because each is a
+// separate request.
 func Retries(executions []Execution, try int) int {
 	arrivals := map[callSite]int{}
 	extra := 0
@@ -191,7 +197,7 @@
 	return extra
 }
 
-// Worked returns the service time spent on the tries that keep accepts.
+// Worked returns the total service time spent on the tries that keep accepts.
 func Worked(executions []Execution, keep func(try int) bool) time.Duration {
 	var sum time.Duration
 	for _, e := range executions {
--- a/demo/upstream/ledger_test.go
+++ b/demo/upstream/ledger_test.go
@@ -7,9 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A caller books once and two plumbers come: the first run was abandoned
-// half-way, a retry ran again, and both counted as work. A refusal before any
-// work is no run, so refused and then run is no duplicate.
+// Guards against missed and false duplicates. If the first run is abandoned
+// half-way and a retry runs again, both did work (a customer books once and two
+// plumbers come), so the ledger must count a duplicate. A request that was
+// refused before any work doesn't count as a run.
 func TestLedgerTellsDuplicatesFromRefusals(t *testing.T) {
 	c := qt.New(t)
 	for name, test := range map[string]struct {
@@ -37,8 +38,9 @@
 
 func finish(e *Entry) { e.Begin(time.Unix(1, 0)); e.AddWork(time.Second); e.Finish() }
 
-// One retry at the top repeats the calls below it. Those are first attempts
-// of a second visit; counting them as retries would overstate the chain.
+// A retry at the first hop repeats its downstream calls. These are first
+// attempts of a second execution; counting them as retries would overstate the
+// retries of the chain.
 func TestRetriesAreCountedPerCallSite(t *testing.T) {
 	c := qt.New(t)
 	l := NewLedger()
--- a/demo/upstream/listener.go
+++ b/demo/upstream/listener.go
@@ -6,7 +6,8 @@
 	"golang.org/x/net/netutil"
 )
 
-// newBoundedListener accepts at most limit connections at once; 0 is no bound.
+// newBoundedListener returns a listener that has at most limit connections open
+// at once; 0 means no limit.
 func newBoundedListener(l net.Listener, limit int) net.Listener {
 	if limit <= 0 {
 		return l
--- a/demo/upstream/reports.go
+++ b/demo/upstream/reports.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Paths of the reports that every upstream serves: healthPath answers 200 or
-// 503, loadPath a loadReport in JSON.
+// Paths of the reports that every upstream serves. healthPath returns status
+// 200 or 503, and loadPath returns a loadReport in JSON.
 const (
 	healthPath = "/health"
 	loadPath   = "/load"
@@ -21,15 +21,16 @@
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-// loadReport is the body of loadPath.
+// loadReport is the response body of loadPath.
 type loadReport struct {
 	Workers int `json:"workers"`
-	// Load is requests worked on or queued for each worker; over 1, some wait.
+	// Load is the number of requests in progress or queued per worker. Above 1
+	// some requests are waiting.
 	Load float64 `json:"load"`
 }
 
-// Load returns the load as the upstream reports it, 1 when each worker has one
-// request: late, or false, when told to by SetReporting.
+// Load returns the load as the upstream reports it; 1 means one request per
+// worker. SetReporting can make the value outdated or wrong.
 func (u *Server) Load() float64 {
 	load := float64(u.InFlight()) / float64(u.settings.Workers)
 	return u.reports.report(load, time.Now())
--- a/demo/upstream/route.go
+++ b/demo/upstream/route.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Distribution is a log-normal service time.
+// Distribution is a log-normal distribution of service times.
 type Distribution struct {
-	// Median is half-way: as many executions are shorter as are longer.
+	// Median is the median service time.
 	Median time.Duration
-	// Sigma is the spread of the logarithm; 0 makes every draw the median.
-	// About 0.4 is typical of a query against a warm cache, above 1 the tail
-	// dominates the mean.
+	// Sigma is the standard deviation of the logarithm; with 0 every draw
+	// returns the median. About 0.4 is typical of a query against a warm
+	// cache; above 1 the tail dominates the mean.
 	Sigma float64
 }
 
-// Draw returns one service time.
+// Draw returns a random service time.
 func (d Distribution) Draw(r *rand.Rand) time.Duration {
 	return time.Duration(float64(d.Median) * math.Exp(d.Sigma*r.NormFloat64()))
 }
@@ -35,17 +35,18 @@
 
 // Step is one stage of a route: its own work, or calls made in parallel.
 type Step struct {
-	// Work is the time a worker spends; zero for a step of calls.
+	// Work is the service time of the step; it is ignored if the step has
+	// Calls.
 	Work Distribution
-	// Calls are sent together and all have to complete.
+	// Calls are sent in parallel, and all must complete.
 	Calls []Call
 }
 
-// Route says what a request to one path does. Its steps run in order while
-// one worker is held, as in a thread-per-request server.
+// Route defines how requests to one path are executed. The steps of a request
+// run in order and occupy one worker, as in a thread-per-request server.
 type Route struct {
-	// Once marks work that must not run twice for one operation. Such routes
-	// take POST, the others GET.
+	// Once marks work that must not run twice for one operation. Once routes
+	// accept POST, all others GET.
 	Once  bool
 	Steps []Step
 }
@@ -64,9 +65,10 @@
 // Graph is the call graph of a deployment: the routes of every service.
 type Graph map[string]Routes
 
-// Validate checks that every call has a target and that a Once route is
-// reached at most once from any route, because the ledger counts runs of a
-// Once route per operation. A fault is a *RouteError.
+// Validate checks that every call has a target, that no route calls itself, and
+// that any route reaches a Once route at most once, because the ledger counts
+// the runs of a Once route per operation. It returns a *RouteError if a check
+// fails.
 func (g Graph) Validate() error {
 	for service, routes := range g {
 		for name := range routes {
@@ -105,8 +107,9 @@
 	return nil
 }
 
-// Reached returns every service and route that one request to root touches,
-// with the number of visits.
+// Reached returns every service and route that one request to root calls,
+// including root, with the number of calls. It returns nil if the graph is
+// invalid.
 func (g Graph) Reached(root Call) map[Call]int {
 	seen := map[Call]int{}
 	if err := g.walk(root, seen, 0); err != nil {
--- a/demo/upstream/server.go
+++ b/demo/upstream/server.go
@@ -15,24 +15,27 @@
 // Settings describe one upstream.
 type Settings struct {
 	Service string
-	// Replica numbers the upstreams of a service from 0.
+	// Replica is the number of the upstream within its service, from 0.
 	Replica int
-	// Workers is how many requests are worked on at once. A request holds its
-	// worker while it waits for the calls it makes.
+	// Workers is the number of requests that are processed at once. A request
+	// occupies its worker while it waits for the calls that it makes.
 	Workers int
-	// Connections bounds the accepted connections, and with them the queue in
-	// front of the workers: one more connection waits unaccepted.
+	// Connections is the maximum number of accepted connections, which also
+	// limits the queue in front of the workers. Further connections wait to be
+	// accepted.
 	Connections int
-	// Graph is the whole call graph; the upstream serves its service's routes.
+	// Graph is the call graph of the deployment. The upstream serves the
+	// routes of its own service.
 	Graph  Graph
 	Ledger *Ledger
-	// Seed fixes the service times.
+	// Seed is the random seed of the service times.
 	Seed uint64
-	// Network replaces TCP on loopback, for runs in virtual time.
+	// Network replaces TCP on loopback, for runs in virtual time. Nil means
+	// TCP.
 	Network Network
 }
 
-// Network is how an upstream listens and dials.
+// Network opens the listeners and connections of an upstream.
 type Network interface {
 	Listen(addr string) (net.Listener, error)
 	Dial(ctx context.Context, addr string) (net.Conn, error)
@@ -47,11 +50,12 @@
 	return net.Listen("tcp", anyPort)
 }
 
-// ShedStatus is the status an upstream answers only before it has begun any
-// work of its own.
+// ShedStatus is the status of a rejected request. An upstream sends it only if
+// it has not begun any work of its own for the request.
 const ShedStatus = http.StatusServiceUnavailable
 
-// Server is one upstream. Use New, then SetOutbound before the first call.
+// Server is one upstream. Create it with New, and call SetOutbound before it
+// receives the first request.
 type Server struct {
 	settings Settings
 	listener net.Listener
@@ -61,7 +65,7 @@
 	workers  *semaphore.Weighted
 	busy     atomic.Int64
 	queued   atomic.Int64
-	// arrived is the time of the last arrival, in Unix nanoseconds.
+	// arrived is the time of the last arrival in Unix nanoseconds; 0 if none.
 	arrived atomic.Int64
 	faults  faults
 	reports reports
@@ -91,8 +95,8 @@
 
 const headerTimeout = 10 * time.Second
 
-// newClient returns the client for calls to the own node. It never asks for
-// compression, so an answer arrives as it was sent.
+// newClient returns the HTTP client for calls through the upstream's own node.
+// It never requests compression, so that answers arrive exactly as sent.
 func newClient(s Settings) *http.Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: s.Connections,
@@ -130,16 +134,18 @@
 // Workers returns the number of workers.
 func (u *Server) Workers() int { return u.settings.Workers }
 
-// Connections returns the bound on connections.
+// Connections returns the maximum number of accepted connections.
 func (u *Server) Connections() int { return u.settings.Connections }
 
-// SetOutbound names the node (host:port) that carries this upstream's calls.
+// SetOutbound sets the address (host:port) of the node through which this
+// upstream sends its calls.
 func (u *Server) SetOutbound(addr string) { u.outbound.Store(&addr) }
 
-// InFlight returns how many requests are worked on or queued.
+// InFlight returns the number of requests in progress or queued.
 func (u *Server) InFlight() int { return int(u.busy.Load() + u.queued.Load()) }
 
-// LastArrival returns when the last request arrived, zero if none did.
+// LastArrival returns the time at which the last request arrived, or the zero
+// time if none did.
 func (u *Server) LastArrival() time.Time {
 	nanos := u.arrived.Load()
 	if nanos == 0 {
@@ -148,8 +154,8 @@
 	return time.Unix(0, nanos)
 }
 
-// Close cuts all connections, as the loss of the VM would. An upstream that
-// leaves in order is first drained by its node.
+// Close closes all connections at once, as the loss of the VM would. For a
+// graceful shutdown, its node must drain the upstream first.
 func (u *Server) Close() {
 	_ = u.http.Close()
 	u.client.CloseIdleConnections()
--- a/demo/upstream/server_test.go
+++ b/demo/upstream/server_test.go
@@ -42,9 +42,10 @@
 	return resp, body, err
 }
 
-// The call below is refused as not-run. Before any own work the upstream may
-// pass that on; after it the request is partly done, and a caller that was
-// told not-run would have the work done twice.
+// A downstream call is refused with the outcome not-run. The upstream may pass
+// that outcome on only before it has done any work of its own. Afterwards the
+// request is partly done, and a caller that receives not-run would retry and
+// have the work done twice.
 func TestNotRunIsPassedOnOnlyBeforeWork(t *testing.T) {
 	c := qt.New(t)
 	work := Step{Work: Distribution{Median: testWork}}
@@ -81,8 +82,8 @@
 	}
 }
 
-// A caller gives up while its request waits behind a frozen one. The request
-// must leave the queue without ever running, and count as refused.
+// A caller disconnects while its request is queued behind a frozen request. The
+// queued request must leave the queue without running and count as refused.
 func TestQueuedRequestOfAGoneCallerNeverRuns(t *testing.T) {
 	c := qt.New(t)
 	u, l := newTestServer(c, Route{Steps: []Step{{Work: Distribution{Median: testWork}}}}, 1)
--- a/demo/upstream/stamp.go
+++ b/demo/upstream/stamp.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// Headers by which an execution is tied to the caller's operation. They are
-// ordinary application headers: nodes know nothing of them.
+// Headers that link an execution to the client's operation and to the calling
+// execution. They are ordinary application headers that nodes don't interpret.
 const (
 	// HeaderOperation carries a Stamp.
 	HeaderOperation = "X-Operation"
-	// headerCaller carries the ledger id of the calling execution; it is
-	// absent on a client's own call.
+	// headerCaller carries the ledger ID of the calling execution. It is
+	// absent from a client's call.
 	headerCaller = "X-Caller"
 )
 
 const decimal = 10
 
-// Stamp names one attempt of a client at one operation.
+// Stamp identifies one attempt of a client's operation.
 type Stamp struct {
 	Operation string
 	// Try counts the client's attempts from 1.
@@ -29,7 +29,8 @@
 	return s.Operation + "." + strconv.Itoa(s.Try)
 }
 
-// ParseStamp is the inverse of String. A malformed stamp is a *StampError.
+// ParseStamp is the inverse of String. It returns a *StampError if the stamp is
+// malformed.
 func ParseStamp(text string) (Stamp, error) {
 	cut := strings.LastIndexByte(text, '.')
 	if cut <= 0 {
