--- a/demo/upstream/calls.go
+++ b/demo/upstream/calls.go
@@ -18,24 +18,24 @@
 	outcome, reason, hop string
 }
 
-// goneFailure returns the failure of a request whose caller has disconnected;
+// disconnectFailure returns the failure of a request whose caller has disconnected;
 // nobody reads the answer.
-func goneFailure() *failure { return &failure{status: http.StatusGatewayTimeout} }
+func disconnectFailure() *failure { return &failure{status: http.StatusGatewayTimeout} }
 
 const retryAfterSeconds = "1"
 
 func (f *failure) write(w http.ResponseWriter) {
 	h := w.Header()
-	setIf(h, call.HeaderOutcome, f.outcome)
-	setIf(h, call.HeaderReason, f.reason)
-	setIf(h, call.HeaderHop, f.hop)
+	setNonEmpty(h, call.HeaderOutcome, f.outcome)
+	setNonEmpty(h, call.HeaderReason, f.reason)
+	setNonEmpty(h, call.HeaderHop, f.hop)
 	if f.status == ShedStatus {
 		h.Set("Retry-After", retryAfterSeconds)
 	}
 	w.WriteHeader(f.status)
 }
 
-func setIf(h http.Header, name, value string) {
+func setNonEmpty(h http.Header, name, value string) {
 	if value != "" {
 		h.Set(name, value)
 	}
@@ -67,23 +67,23 @@
 func (x *execution) call(ctx context.Context, c Call) *failure {
 	req, err := x.request(ctx, c)
 	if err != nil {
-		return x.failed(http.Header{})
+		return x.downstreamFailure(http.Header{})
 	}
 	resp, err := x.server.client.Do(req)
 	if err != nil {
-		return x.failed(http.Header{})
+		return x.downstreamFailure(http.Header{})
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return x.failed(http.Header{})
+		return x.downstreamFailure(http.Header{})
 	}
 	if resp.StatusCode != http.StatusOK {
-		return x.failed(resp.Header)
+		return x.downstreamFailure(resp.Header)
 	}
 	answer, err := ParseAnswer(body)
 	if err != nil || answer.Stamp.Operation != x.stamp.Operation {
-		return x.failed(http.Header{})
+		return x.downstreamFailure(http.Header{})
 	}
 	return nil
 }
@@ -97,19 +97,19 @@
 	}
 	req.Host = c.Service
 	for _, name := range call.PropagatedHeaders {
-		setIf(req.Header, name, x.header.Get(name))
+		setNonEmpty(req.Header, name, x.header.Get(name))
 	}
 	req.Header.Set(HeaderOperation, x.stamp.String())
 	req.Header.Set(headerCaller, strconv.FormatUint(x.entry.id, decimal))
 	return req, nil
 }
 
-// failed returns the failure of this request after a downstream call failed. A
+// downstreamFailure returns the failure of this request after a downstream call downstreamFailure. A
 // request may pass on the outcome not-run only if it has done no work of its
 // own. Otherwise it is partly done, and its outcome is unknown.
-func (x *execution) failed(below http.Header) *failure {
-	outcome, err := call.ParseOutcome(below.Get(call.HeaderOutcome))
-	f := &failure{status: http.StatusBadGateway, reason: below.Get(call.HeaderReason), hop: below.Get(call.HeaderHop)}
+func (x *execution) downstreamFailure(downstream http.Header) *failure {
+	outcome, err := call.ParseOutcome(downstream.Get(call.HeaderOutcome))
+	f := &failure{status: http.StatusBadGateway, reason: downstream.Get(call.HeaderReason), hop: downstream.Get(call.HeaderHop)}
 	switch {
 	case err != nil:
 		// The downstream answer came from a plain forwarder, which sends no
--- a/demo/upstream/execution.go
+++ b/demo/upstream/execution.go
@@ -53,7 +53,7 @@
 	err := u.workers.Acquire(ctx, 1)
 	u.queued.Add(-1)
 	if err != nil {
-		return goneFailure()
+		return disconnectFailure()
 	}
 	defer u.workers.Release(1)
 	u.busy.Add(1)
@@ -78,16 +78,16 @@
 func (x *execution) work(ctx context.Context, d Distribution) *failure {
 	u := x.server
 	if !u.faults.awaitThaw(ctx) {
-		return goneFailure()
+		return disconnectFailure()
 	}
 	start := time.Now()
 	x.begun = true
 	x.entry.Begin(start)
-	took := time.Duration(float64(u.draw(d)) * u.faults.slow())
+	took := time.Duration(float64(u.draw(d)) * u.faults.slowFactor())
 	finished := objects.Pause(ctx, took) && u.faults.awaitThaw(ctx)
 	x.entry.AddWork(time.Since(start))
 	if !finished {
-		return goneFailure()
+		return disconnectFailure()
 	}
 	return nil
 }
--- a/demo/upstream/faults.go
+++ b/demo/upstream/faults.go
@@ -20,7 +20,7 @@
 
 func (f *faults) setSlow(factor float64) { f.slowBits.Store(math.Float64bits(factor)) }
 
-func (f *faults) slow() float64 { return math.Float64frombits(f.slowBits.Load()) }
+func (f *faults) slowFactor() float64 { return math.Float64frombits(f.slowBits.Load()) }
 
 // awaitThaw waits while the upstream is frozen. It returns false if ctx ended
 // because the caller disconnected.
@@ -77,7 +77,7 @@
 type reports struct {
 	mu      sync.Mutex
 	set     bool
-	how     Reporting
+	reporting     Reporting
 	taken   time.Time
 	current float64
 }
@@ -87,13 +87,13 @@
 	u.reports.mu.Lock()
 	defer u.reports.mu.Unlock()
 	u.reports.set = true
-	u.reports.how = r
+	u.reports.reporting = r
 }
 
 func (r *reports) healthy() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.how.Unhealthy
+	return !r.reporting.Unhealthy
 }
 
 // report returns the load to report at now, given the real load.
@@ -103,9 +103,9 @@
 	if !r.set {
 		return load
 	}
-	if now.Sub(r.taken) >= r.how.Lag {
+	if now.Sub(r.taken) >= r.reporting.Lag {
 		r.taken = now
 		r.current = load
 	}
-	return r.current * r.how.Factor
+	return r.current * r.reporting.Factor
 }
--- a/demo/upstream/server_test.go
+++ b/demo/upstream/server_test.go
@@ -49,14 +49,14 @@
 func TestNotRunIsPassedOnOnlyBeforeWork(t *testing.T) {
 	c := qt.New(t)
 	work := Step{Work: Distribution{Median: testWork}}
-	below := Step{Calls: []Call{{"tracker", "y"}}}
+	downstream := Step{Calls: []Call{{"tracker", "y"}}}
 	for name, test := range map[string]struct {
 		steps   []Step
 		outcome call.Outcome
 		state   State
 	}{
-		"call, then work": {[]Step{below, work}, call.NotRun, Refused},
-		"work, then call": {[]Step{work, below}, call.Unknown, Abandoned},
+		"call, then work": {[]Step{downstream, work}, call.NotRun, Refused},
+		"work, then call": {[]Step{work, downstream}, call.Unknown, Abandoned},
 	} {
 		c.Run(name, func(c *qt.C) {
 			var seen *http.Request
@@ -121,7 +121,7 @@
 	var r reports
 	start := time.Unix(100, 0)
 	c.Check(r.report(2, start), qt.Equals, 2.0)
-	r.set, r.how = true, Reporting{Lag: time.Second, Factor: 0.5}
+	r.set, r.reporting = true, Reporting{Lag: time.Second, Factor: 0.5}
 	c.Check(r.report(2, start), qt.Equals, 1.0)
 	c.Check(r.report(8, start.Add(time.Second/2)), qt.Equals, 1.0)
 	c.Check(r.report(8, start.Add(time.Second)), qt.Equals, 4.0)
--- a/demo/upstream/stamp.go
+++ b/demo/upstream/stamp.go
@@ -32,13 +32,13 @@
 // ParseStamp is the inverse of String. It returns a *StampError if the stamp is
 // malformed.
 func ParseStamp(text string) (Stamp, error) {
-	cut := strings.LastIndexByte(text, '.')
-	if cut <= 0 {
+	dot := strings.LastIndexByte(text, '.')
+	if dot <= 0 {
 		return Stamp{}, &StampError{Text: text}
 	}
-	try, err := strconv.Atoi(text[cut+1:])
+	try, err := strconv.Atoi(text[dot+1:])
 	if err != nil || try < 1 {
 		return Stamp{}, &StampError{Text: text}
 	}
-	return Stamp{Operation: text[:cut], Try: try}, nil
+	return Stamp{Operation: text[:dot], Try: try}, nil
 }
