--- a/demo/upstream/faults.go
+++ b/demo/upstream/faults.go
@@ -75,11 +75,11 @@
 }
 
 type reports struct {
-	mu      sync.Mutex
-	set     bool
-	reporting     Reporting
-	taken   time.Time
-	current float64
+	mu        sync.Mutex
+	set       bool
+	reporting Reporting
+	taken     time.Time
+	current   float64
 }
 
 // SetReporting sets how the health and load endpoints deviate from the truth.
