--- a/demo/report/audit.go
+++ b/demo/report/audit.go
@@ -7,21 +7,24 @@
 	"pollengauge.dev/demo/upstream"
 )
 
-// Evidence is what a run left behind.
+// Evidence is the recorded data of a run.
 type Evidence struct {
 	Classes []load.Class
 	Records []load.Record
 	Ledger  *upstream.Ledger
 	Graph   upstream.Graph
-	// Start is the wall-clock time from which the run's times count.
+	// Start is the wall-clock time of the start of the run, to which the
+	// times in Records are relative.
 	Start time.Time
-	// Deep is the service that is the bottleneck, DeepSlots its workers.
+	// Deep is the name of the bottleneck service, and DeepSlots is the total
+	// number of its workers.
 	Deep      string
 	DeepSlots int
 }
 
-// DeepBusy returns the share of the deep service's workers that were at work
-// for executions which began in span.
+// DeepBusy returns the utilization of the bottleneck service's workers: the
+// service time of the executions that began in span, divided by the time that
+// all workers have in span.
 func (e Evidence) DeepBusy(span load.Span) float64 {
 	from, to := e.Start.Add(span.Start), e.Start.Add(span.End)
 	var worked time.Duration
@@ -38,33 +41,38 @@
 	return worked.Seconds() / (span.End - span.Start).Seconds() / float64(e.DeepSlots)
 }
 
-// Audit is what the ledger says of one class.
+// Audit holds the findings of comparing a class's answers with the ledger.
 type Audit struct {
-	// Duplicates are runs of work that must run once, beyond the first.
+	// Duplicates counts the runs beyond the first of work that must not run
+	// twice.
 	Duplicates int
-	// PartlyDone are operations of which some work was done, yet the client
-	// has no whole answer.
+	// PartlyDone counts operations for which some work was done although the
+	// client has no complete answer.
 	PartlyDone int
-	// FalseNotRun are attempts told not-run for which work was done.
+	// FalseNotRun counts attempts with the answer not-run for which work was
+	// done.
 	FalseNotRun int
-	// FalseNotRunKey are keyed attempts told not-run although an earlier
-	// attempt with the same key had begun to run.
+	// FalseNotRunKey counts attempts with an idempotency key whose answer was
+	// not-run although an earlier attempt with the same key had begun to run
+	// before that answer.
 	FalseNotRunKey int
-	// Hollow are whole answers without a finished run of every service and
-	// route on the way.
+	// Hollow counts complete answers for which the ledger lacks a finished run
+	// of a service and route in the call chain.
 	Hollow int
-	// Retries are attempts made inside the chain beyond the first, over all
-	// attempts of clients; MaxRetries is the most for one of them.
+	// Retries counts the attempts beyond the first that were made inside the
+	// chain, for all attempts of clients. MaxRetries is the highest number for
+	// one attempt of a client.
 	Retries    int
 	MaxRetries int
-	// Tries are the clients' attempts.
+	// Tries counts the clients' attempts.
 	Tries int
-	// Worked is the service time spent, Wasted the part of it that went into
-	// attempts whose answer no client got whole.
+	// Worked is the service time spent. Wasted is the part spent on attempts
+	// that didn't give a client a complete answer.
 	Worked, Wasted time.Duration
 }
 
-// MeanRetries returns the attempts beyond the first per client attempt.
+// MeanRetries returns the number of retries inside the chain per attempt of a
+// client.
 func (a Audit) MeanRetries() float64 {
 	if a.Tries == 0 {
 		return 0
@@ -72,7 +80,7 @@
 	return float64(a.Retries) / float64(a.Tries)
 }
 
-// add sums two audits.
+// add returns the sum of two audits, with the higher MaxRetries.
 func (a Audit) add(b Audit) Audit {
 	a.Duplicates += b.Duplicates
 	a.PartlyDone += b.PartlyDone
@@ -87,7 +95,7 @@
 	return a
 }
 
-// audits returns the audit of each class for some of the records.
+// audits returns the audit of each class for the given records.
 func (e Evidence) audits(records []load.Record) []Audit {
 	audits := make([]Audit, len(e.Classes))
 	reached := make([]map[upstream.Call]int, len(e.Classes))
@@ -133,8 +141,8 @@
 	return a
 }
 
-// finishedAll reports whether the try finished every route at least as often
-// as the graph visits it.
+// finishedAll reports whether the executions of the try finished every route at
+// least as often as the call graph calls it.
 func finishedAll(executions []upstream.Execution, try int, reached map[upstream.Call]int) bool {
 	finished := map[upstream.Call]int{}
 	for _, e := range executions {
--- a/demo/report/doc.go
+++ b/demo/report/doc.go
@@ -1,7 +1,8 @@
-// Package report judges a run and shows it: Audit checks what callers were
-// told against the upstreams' ledger, Promises turns the audit into PASS or
-// BROKEN lines, Table and Plot show the figures.
+// Package report evaluates and presents a run. Run.Measure compares the answers
+// that clients received with the upstreams' ledger and stores the findings in
+// an Audit for each class. Check turns the audits into promises with a verdict
+// of PASS, BROKEN or SKIPPED; PromiseList, Table and Plot write the results.
 //
-// Everything here is pure apart from the writers it is given, and may be
-// called concurrently.
+// The functions of this package have no side effects apart from the output to
+// their writers, and may be called concurrently. Run.Measure modifies its Run.
 package report
--- a/demo/report/plot.go
+++ b/demo/report/plot.go
@@ -17,17 +17,19 @@
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
 	plotFormat = "svg"
-	// smoothing is the number of buckets averaged for a readable line.
+	// smoothing is the number of buckets in the moving average; without it
+	// the lines are too noisy to read.
 	smoothing = 5
+	// headroom is the height of the plot relative to the highest offered load.
 	headroom  = 1.15
 	lineWidth = vg.Length(1.5)
 )
 
 var markColor = color.Gray{Y: 130}
 
-// Plot writes an SVG of the goodput of several systems under one load, with
-// the load offered and the events of the first run marked. Only classes that
-// keep accepts are counted.
+// Plot writes an SVG that shows the goodput of several systems under the same
+// load. It also shows the offered load and the events of the first run. Only
+// the classes that keep accepts are counted.
 func Plot(w io.Writer, title string, runs []*Run, keep func(load.Class) bool) error {
 	p := plot.New()
 	p.Title.Text = title
@@ -74,7 +76,8 @@
 	return kept
 }
 
-// points smooths a series by a moving average that ends at each point.
+// points returns the moving average of a series; the window of each point ends
+// at that point.
 func points(series []load.Point) plotter.XYs {
 	xys := make(plotter.XYs, len(series))
 	sum := 0.0
@@ -109,8 +112,8 @@
 	return nil
 }
 
-// addMarks draws a vertical line at each event, with its label staggered so
-// that neighbours stay readable.
+// addMarks draws a vertical line at each event of the first run. The labels are
+// staggered vertically so that adjacent ones don't overlap.
 func addMarks(p *plot.Plot, runs []*Run, top float64) error {
 	if len(runs) == 0 {
 		return nil
--- a/demo/report/promise.go
+++ b/demo/report/promise.go
@@ -13,20 +13,21 @@
 const (
 	// Pass: the check ran and the promise held.
 	Pass Verdict = "PASS"
-	// Broken: the check found a case against the promise.
+	// Broken: the check ran and found a violation of the promise.
 	Broken Verdict = "BROKEN"
-	// Skipped: the run had no occasion for the check.
+	// Skipped: the run had nothing to which the check applies.
 	Skipped Verdict = "SKIPPED"
 )
 
-// Promise is one thing that must always hold, and what the run showed.
+// Promise is a property that must always hold, with the result of its check.
 type Promise struct {
 	Claim   string
 	Verdict Verdict
 	Detail  string
 }
 
-// NewPromise returns a promise with the verdict of a check that ran.
+// NewPromise returns a promise with the verdict Pass if held is true, otherwise
+// Broken.
 func NewPromise(claim string, held bool, detail string) Promise {
 	verdict := Broken
 	if held {
@@ -35,11 +36,12 @@
 	return Promise{Claim: claim, Verdict: verdict, Detail: detail}
 }
 
-// Credits are the extra attempts that each profile grants a request's chain.
-// Nil means that the system sets no bound.
+// Credits holds, by profile, the number of retries that a request has over its
+// whole call chain. Nil means that the system sets no limit.
 type Credits map[string]int
 
-// Check judges the promises that a run's answers and ledger can show.
+// Check returns the promises that can be checked with a run's answers and
+// ledger.
 func Check(r *Run, credits Credits) []Promise {
 	total := r.Total()
 	crossed, truncated := 0, 0
@@ -65,8 +67,8 @@
 	return NewPromise(claim, count == 0, strconv.Itoa(count)+" "+what)
 }
 
-// retryPromise names the class that comes closest to its credit, or furthest
-// over it.
+// retryPromise checks that no request used more retries than its credit. The
+// detail names the class that came closest to its credit or exceeded it most.
 func retryPromise(r *Run, credits Credits) Promise {
 	claim := "retries are bounded across the whole chain"
 	worst, class, most := math.MinInt, "", 0
@@ -85,13 +87,15 @@
 	return NewPromise(claim, worst <= 0, detail+", credit "+strconv.Itoa(most-worst))
 }
 
-// shedTolerance is the share of refused operations by which a protected class
-// may exceed another before the order counts as broken: with some tens of
-// operations in a surge, a single one weighs about as much.
+// shedTolerance is the difference by which the lost share of a ShedLast class
+// may exceed that of a ShedFirst class before the order counts as broken. A
+// class has some tens of operations in a surge, so a single operation changes
+// its share by about this much.
 const shedTolerance = 0.02
 
-// shedPromise compares, among the operations offered in the surge, the share
-// that was not completed: no ShedLast class may lose more than a ShedFirst one.
+// shedPromise checks that among the operations offered in the surge, no
+// ShedLast class has a larger share of operations without a complete answer
+// than a ShedFirst class.
 func shedPromise(r *Run) Promise {
 	claim := "important work is shed last"
 	first, last := lostShares(r)
@@ -114,8 +118,8 @@
 
 const percent = 100
 
-// lostShares returns the ShedFirst class that lost least and the ShedLast
-// class that lost most.
+// lostShares returns the ShedFirst class with the smallest lost share and the
+// ShedLast class with the largest one.
 func lostShares(r *Run) (first, last lostShare) {
 	for i, class := range r.Evidence.Classes {
 		offered := load.OfferedIn(r.Evidence.Records, i, r.Timeline.Surge)
--- a/demo/report/report_test.go
+++ b/demo/report/report_test.go
@@ -24,7 +24,7 @@
 	begun = time.Unix(1000, 0)
 )
 
-// run writes an execution that came as far as state.
+// run adds an execution with the given final state to the ledger.
 func run(l *upstream.Ledger, try int, service, route string, state upstream.State) {
 	e := l.Arrive("op", upstream.Execution{Try: try, Service: service, Route: route, Once: true})
 	if state.Ran() {
@@ -38,8 +38,9 @@
 	e.GiveUp()
 }
 
-// What each caller was told is held against what the upstreams really did.
-// Each case is one lie, or one loss, that a caller alone could not see.
+// The audit compares the answer to each caller with the executions in the
+// upstreams' ledger. Each case has a false answer, duplicate or wasted work
+// that the caller alone can't detect.
 func TestAuditFindsWhatCallersCannotSee(t *testing.T) {
 	c := qt.New(t)
 	whole := load.Try{Result: load.Whole, AnswerTry: 1}
@@ -85,8 +86,9 @@
 	}
 }
 
-// A surge is answered half from store. Counted as whole it would look like
-// goodput, left out like refusals; the report has both shares and says which.
+// Half of the operations in a surge get a stored answer. Counted as whole they
+// would look like goodput, and left out they would look like refusals. The
+// report must list the shares of fresh and stored answers separately.
 func TestReportKeepsStoredAnswersApart(t *testing.T) {
 	c := qt.New(t)
 	r := &Run{Timeline: Timeline{Surge: load.Span{End: time.Second}, Settled: 2 * time.Second, Length: 2 * time.Second}}
@@ -99,8 +101,9 @@
 	c.Check(text.String(), qt.Matches, `(?s).*stale: a stored answer .*% whole, a fresh answer +0 +25 +0\s.*% stale, a stored answer +0 +50 +0\s.*`)
 }
 
-// Overload refuses bookings while status checks go on: the order is upside
-// down, and the run must say BROKEN and name both classes.
+// Overload refuses bookings (shed last) while it serves status checks (shed
+// first). The shed order is violated, so the report must contain BROKEN and
+// name both classes.
 func TestReportShowsABrokenOrder(t *testing.T) {
 	c := qt.New(t)
 	r := &Run{System: "pollengauge", Timeline: Timeline{
@@ -113,7 +116,8 @@
 	}}
 	r.Measure()
 	r.Promises = Check(r, Credits{})
-	// The status answer is hollow too: the ledger knows of no run.
+	// The second broken promise is the hollow status answer, for which the
+	// ledger has no execution.
 	c.Check(r.Broken(), qt.Equals, 2)
 
 	var text, svg bytes.Buffer
--- a/demo/report/run.go
+++ b/demo/report/run.go
@@ -6,39 +6,39 @@
 	"pollengauge.dev/demo/load"
 )
 
-// Mark is an event of the run, shown in the plot.
+// Mark is an event of a run that the plot shows.
 type Mark struct {
 	At    time.Duration
 	Label string
 }
 
-// Timeline is how a run was laid out.
+// Timeline holds the times of a run's phases.
 type Timeline struct {
-	// Before is normal service ahead of the surge.
+	// Before is the span of normal service before the surge.
 	Before load.Span
 	Surge  load.Span
-	// Settled is the end of the time in which recovery is observed.
+	// Settled is the end of the span in which recovery is observed.
 	Settled time.Duration
 	Length  time.Duration
 }
 
-// Run is one system under one load, with everything that was measured.
+// Run holds the measurements of one system under one load.
 type Run struct {
 	System     string
 	Deployment string
 	Timeline   Timeline
 	Marks      []Mark
 	Evidence   Evidence
-	// Parts are the part that all systems have in common and, if the run went
-	// on, the rest.
+	// Parts holds the part up to Timeline.Settled, which all systems run, and
+	// the rest of the run if there is one.
 	Parts    []Part
 	Recovery []load.RecoveryTime
 	Promises []Promise
-	// Notes are further findings, one line each.
+	// Notes holds further findings, one line each.
 	Notes []string
 }
 
-// Part is the account of the operations that were meant to start in a span.
+// Part holds the results of the operations with a planned start in a span.
 type Part struct {
 	Name      string
 	Span      load.Span
@@ -47,7 +47,7 @@
 	records   []load.Record
 }
 
-// Measure fills in the figures of a run from its evidence.
+// Measure computes Parts and Recovery from the run's evidence.
 func (r *Run) Measure() {
 	t := r.Timeline
 	r.Parts = []Part{r.part("surge and recovery", load.Span{End: t.Settled})}
@@ -72,7 +72,7 @@
 	return part
 }
 
-// Total returns the audit of all classes and parts together.
+// Total returns the sum of the audits of all classes and parts.
 func (r *Run) Total() Audit {
 	var total Audit
 	for _, part := range r.Parts {
@@ -83,7 +83,7 @@
 	return total
 }
 
-// Broken returns how many promises were broken.
+// Broken returns the number of broken promises.
 func (r *Run) Broken() int {
 	broken := 0
 	for _, p := range r.Promises {
@@ -94,14 +94,14 @@
 	return broken
 }
 
-// goodputIn returns the whole operations per second among those that were
-// meant to start in span, for one class or load.AllClasses.
+// goodputIn returns the goodput of the operations with a planned start in span,
+// in completed operations per second, for one class or load.AllClasses.
 func (r *Run) goodputIn(span load.Span, class int) float64 {
 	return load.WholeIn(r.Evidence.Records, class, span) / (span.End - span.Start).Seconds()
 }
 
-// protectedIn returns the whole operations per second of the classes that are
-// shed last.
+// protectedIn returns the goodput in span of the classes that are shed last, in
+// completed operations per second.
 func (r *Run) protectedIn(span load.Span) float64 {
 	sum := 0.0
 	for i, class := range r.Evidence.Classes {
@@ -112,13 +112,14 @@
 	return sum
 }
 
-// WholePercent returns the share of whole operations among those that were
-// meant to start in span, for one class or load.AllClasses, in percent.
+// WholePercent returns the percentage of completed operations (load.Whole)
+// among those with a planned start in span, for one class or load.AllClasses.
 func (r *Run) WholePercent(class int, span load.Span) float64 {
 	return r.percentOf(load.WholeIn(r.Evidence.Records, class, span), class, span)
 }
 
-// stalePercent is WholePercent for the operations with a stored answer.
+// stalePercent returns the percentage of operations with a stored answer
+// (load.Stale), counted as in WholePercent.
 func (r *Run) stalePercent(class int, span load.Span) float64 {
 	return r.percentOf(load.StaleIn(r.Evidence.Records, class, span), class, span)
 }
--- a/demo/report/table.go
+++ b/demo/report/table.go
@@ -20,12 +20,12 @@
 	tableHeader   = "class\tprofile\toffered\twhole\tstale\tnot-run\tunknown\tfailed\tclient retries\tduplicates\tpartly done\tp50 ms\tp99 ms\tretries mean\tmax\trecovery ms\t\n"
 )
 
-// storedText says what the column "stale" counts.
-const storedText = "stale: a stored answer that the same caller was given before, with its age, in place of a refusal; never counted as whole\n"
+// storedText explains the column "stale".
+const storedText = "stale: a stored answer that the same caller received before, sent with its age instead of a refusal; never counted as whole\n"
 
-// Table writes the account of a run: a line per class for each part, and the
-// rates before, in and after the surge, with the shares of fresh and stored
-// answers apart.
+// Table writes the results of a run: a table for each part with one line per
+// class, and a table of the rates before, during and after the surge, which
+// lists the shares of fresh and stored answers separately.
 func Table(w io.Writer, r *Run) error {
 	for i, part := range r.Parts {
 		if err := partTable(w, r, part, i == 0); err != nil {
@@ -51,7 +51,7 @@
 	if err := t.Flush(); err != nil {
 		return &WriteError{What: "table", Err: err}
 	}
-	_, err := fmt.Fprintf(w, "%sservice time spent %.1f s, of it wasted %.1f %%; partly done %d\n%s\n",
+	_, err := fmt.Fprintf(w, "%sservice time spent %.1f s, %.1f %% of it wasted; %d operations partly done\n%s\n",
 		storedNote(part.Summaries), total.Worked.Seconds(), wastedPercent(total), total.PartlyDone, reasons(part.records))
 	if err != nil {
 		return &WriteError{What: "table", Err: err}
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// storedNote explains the stored answers of a part that has any.
+// storedNote returns the explanation of stored answers if the part has any,
+// otherwise "".
 func storedNote(summaries []load.Summary) string {
 	for _, s := range summaries {
 		if s.Results[load.Stale] > 0 {
@@ -78,7 +79,7 @@
 		a.MeanRetries(), a.MaxRetries, recovery)
 }
 
-// rates writes the rates of the three spans around the surge.
+// rates writes the table of rates before, during and after the surge.
 func rates(w io.Writer, r *Run) error {
 	t := r.Timeline
 	spans := []load.Span{t.Before, t.Surge, t.after()}
@@ -95,7 +96,7 @@
 		{"% of " + e.Deep + " at work", func(s load.Span) float64 { return percent * e.DeepBusy(s) }},
 	}
 	table := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprint(table, "a second\tbefore\tin the surge\tafter it\t\n")
+	_, _ = fmt.Fprint(table, "per second\tbefore the surge\tduring it\tafter it\t\n")
 	for _, line := range lines {
 		_, _ = fmt.Fprint(table, line.what)
 		for _, span := range spans {
@@ -109,10 +110,11 @@
 	return nil
 }
 
-// reasonsShown bounds the reasons listed.
+// reasonsShown is the maximum number of reasons listed.
 const reasonsShown = 8
 
-// reasons lists why attempts got no whole answer, the most frequent first.
+// reasons lists the reasons for which attempts got no complete answer, the most
+// frequent first.
 func reasons(records []load.Record) string {
 	counts := map[string]int{}
 	for _, r := range records {
@@ -144,7 +146,7 @@
 	}
 }
 
-// after is the time in which recovery is observed.
+// after returns the span in which recovery is observed.
 func (t Timeline) after() load.Span { return load.Span{Start: t.Surge.End, End: t.Settled} }
 
 func (r *Run) offeredIn(span load.Span) float64 {
@@ -158,7 +160,8 @@
 	return percent * a.Wasted.Seconds() / a.Worked.Seconds()
 }
 
-// recoveryText writes a lower bound as ">3500".
+// recoveryText returns the recovery time in milliseconds; a lower bound has the
+// form ">3500".
 func recoveryText(r load.RecoveryTime) string {
 	text := strconv.FormatInt(r.Took.Milliseconds(), 10)
 	if !r.Recovered {
@@ -171,7 +174,7 @@
 	return strconv.FormatFloat(float64(d.Microseconds())/1000, 'f', 1, 64)
 }
 
-// PromiseList writes one line per promise and the notes.
+// PromiseList writes one line per promise and one per note.
 func PromiseList(w io.Writer, r *Run) error {
 	for _, p := range r.Promises {
 		if _, err := fmt.Fprintf(w, "%-8s%s: %s\n", p.Verdict, p.Claim, p.Detail); err != nil {
