--- a/demo/report/plot.go
+++ b/demo/report/plot.go
@@ -17,9 +17,9 @@
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
 	plotFormat = "svg"
-	// smoothing is the number of buckets in the moving average; without it
+	// smoothingBuckets is the number of buckets in the moving average; without it
 	// the lines are too noisy to read.
-	smoothing = 5
+	smoothingBuckets = 5
 	// headroom is the height of the plot relative to the highest offered load.
 	headroom  = 1.15
 	lineWidth = vg.Length(1.5)
@@ -83,10 +83,10 @@
 	sum := 0.0
 	for i, point := range series {
 		sum += point.PerSecond
-		if i >= smoothing {
-			sum -= series[i-smoothing].PerSecond
+		if i >= smoothingBuckets {
+			sum -= series[i-smoothingBuckets].PerSecond
 		}
-		xys[i] = plotter.XY{X: point.At.Seconds(), Y: sum / float64(min(i+1, smoothing))}
+		xys[i] = plotter.XY{X: point.At.Seconds(), Y: sum / float64(min(i+1, smoothingBuckets))}
 	}
 	return xys
 }
--- a/demo/report/promise.go
+++ b/demo/report/promise.go
@@ -71,12 +71,12 @@
 // detail names the class that came closest to its credit or exceeded it most.
 func retryPromise(r *Run, credits Credits) Promise {
 	claim := "retries are bounded across the whole chain"
-	worst, class, most := math.MinInt, "", 0
+	maxExcess, class, most := math.MinInt, "", 0
 	for _, part := range r.Parts {
 		for i, a := range part.Audits {
 			c := r.Evidence.Classes[i]
-			if over := a.MaxRetries - credits[c.Profile]; over > worst {
-				worst, class, most = over, c.Name, a.MaxRetries
+			if excess := a.MaxRetries - credits[c.Profile]; excess > maxExcess {
+				maxExcess, class, most = excess, c.Name, a.MaxRetries
 			}
 		}
 	}
@@ -84,7 +84,7 @@
 	if credits == nil {
 		return NewPromise(claim, false, detail+", no bound set")
 	}
-	return NewPromise(claim, worst <= 0, detail+", credit "+strconv.Itoa(most-worst))
+	return NewPromise(claim, maxExcess <= 0, detail+", credit "+strconv.Itoa(most-maxExcess))
 }
 
 // shedTolerance is the difference by which the lost share of a ShedLast class
--- a/demo/report/report_test.go
+++ b/demo/report/report_test.go
@@ -21,14 +21,14 @@
 		{Name: "booking", Target: upstream.Call{Service: "portal", Route: "book"}, Key: load.OwnKey, Once: true, Shed: load.ShedLast},
 		{Name: "status", Target: upstream.Call{Service: "registry", Route: "note"}, Shed: load.ShedFirst},
 	}
-	begun = time.Unix(1000, 0)
+	workBegan = time.Unix(1000, 0)
 )
 
-// run adds an execution with the given final state to the ledger.
-func run(l *upstream.Ledger, try int, service, route string, state upstream.State) {
+// addExecution adds an execution with the given final state to the ledger.
+func addExecution(l *upstream.Ledger, try int, service, route string, state upstream.State) {
 	e := l.Arrive("op", upstream.Execution{Try: try, Service: service, Route: route, Once: true})
 	if state.Ran() {
-		e.Begin(begun)
+		e.Begin(workBegan)
 		e.AddWork(time.Second)
 	}
 	if state == upstream.Finished {
@@ -44,36 +44,36 @@
 func TestAuditFindsWhatCallersCannotSee(t *testing.T) {
 	c := qt.New(t)
 	whole := load.Try{Result: load.Whole, AnswerTry: 1}
-	notRun := load.Try{Result: load.NotRun, AnsweredAt: begun.Add(time.Second)}
+	notRun := load.Try{Result: load.NotRun, AnsweredAt: workBegan.Add(time.Second)}
 	for name, test := range map[string]struct {
 		runs  func(*upstream.Ledger)
 		tries []load.Try
 		want  Audit
 	}{
 		"whole": {func(l *upstream.Ledger) {
-			run(l, 1, "portal", "book", upstream.Finished)
-			run(l, 1, "registry", "note", upstream.Finished)
+			addExecution(l, 1, "portal", "book", upstream.Finished)
+			addExecution(l, 1, "registry", "note", upstream.Finished)
 		}, []load.Try{whole}, Audit{Tries: 1, Worked: 2 * time.Second}},
 		"complete, but a hop never finished": {func(l *upstream.Ledger) {
-			run(l, 1, "portal", "book", upstream.Finished)
-			run(l, 1, "registry", "note", upstream.Abandoned)
+			addExecution(l, 1, "portal", "book", upstream.Finished)
+			addExecution(l, 1, "registry", "note", upstream.Abandoned)
 		}, []load.Try{whole}, Audit{Tries: 1, Worked: 2 * time.Second, Hollow: 1}},
 		"told not-run, yet it ran": {func(l *upstream.Ledger) {
-			run(l, 1, "registry", "note", upstream.Abandoned)
+			addExecution(l, 1, "registry", "note", upstream.Abandoned)
 		}, []load.Try{notRun}, Audit{Tries: 1, Worked: time.Second, Wasted: time.Second, PartlyDone: 1, FalseNotRun: 1}},
 		"second try told not-run, the first had run": {func(l *upstream.Ledger) {
-			run(l, 1, "portal", "book", upstream.Abandoned)
+			addExecution(l, 1, "portal", "book", upstream.Abandoned)
 		}, []load.Try{{}, notRun}, Audit{Tries: 2, Worked: time.Second, Wasted: time.Second, PartlyDone: 1, FalseNotRunKey: 1}},
 		"refused, then run by a retry inside": {func(l *upstream.Ledger) {
-			run(l, 1, "portal", "book", upstream.Refused)
-			run(l, 1, "portal", "book", upstream.Finished)
-			run(l, 1, "registry", "note", upstream.Finished)
+			addExecution(l, 1, "portal", "book", upstream.Refused)
+			addExecution(l, 1, "portal", "book", upstream.Finished)
+			addExecution(l, 1, "registry", "note", upstream.Finished)
 		}, []load.Try{whole}, Audit{Tries: 1, Worked: 2 * time.Second, Retries: 1, MaxRetries: 1}},
 		"the client's retry ran it again": {func(l *upstream.Ledger) {
-			run(l, 1, "portal", "book", upstream.Finished)
-			run(l, 1, "registry", "note", upstream.Finished)
-			run(l, 2, "portal", "book", upstream.Finished)
-			run(l, 2, "registry", "note", upstream.Finished)
+			addExecution(l, 1, "portal", "book", upstream.Finished)
+			addExecution(l, 1, "registry", "note", upstream.Finished)
+			addExecution(l, 2, "portal", "book", upstream.Finished)
+			addExecution(l, 2, "registry", "note", upstream.Finished)
 		}, []load.Try{{}, {Result: load.Whole, AnswerTry: 2}}, Audit{Tries: 2, Worked: 4 * time.Second, Wasted: 2 * time.Second, Duplicates: 2}},
 	} {
 		c.Run(name, func(c *qt.C) {
--- a/demo/report/run.go
+++ b/demo/report/run.go
@@ -100,9 +100,9 @@
 	return load.WholeIn(r.Evidence.Records, class, span) / (span.End - span.Start).Seconds()
 }
 
-// protectedIn returns the goodput in span of the classes that are shed last, in
+// protectedGoodputIn returns the goodput in span of the classes that are shed last, in
 // completed operations per second.
-func (r *Run) protectedIn(span load.Span) float64 {
+func (r *Run) protectedGoodputIn(span load.Span) float64 {
 	sum := 0.0
 	for i, class := range r.Evidence.Classes {
 		if class.Shed == load.ShedLast {
--- a/demo/report/table.go
+++ b/demo/report/table.go
@@ -28,14 +28,14 @@
 // lists the shares of fresh and stored answers separately.
 func Table(w io.Writer, r *Run) error {
 	for i, part := range r.Parts {
-		if err := partTable(w, r, part, i == 0); err != nil {
+		if err := writePart(w, r, part, i == 0); err != nil {
 			return err
 		}
 	}
-	return rates(w, r)
+	return writeRates(w, r)
 }
 
-func partTable(w io.Writer, r *Run, part Part, recovered bool) error {
+func writePart(w io.Writer, r *Run, part Part, recovered bool) error {
 	t := tabwriter.NewWriter(w, 0, 0, columnPadding, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintf(t, "%s, %.1f to %.1f s\n", part.Name, part.Span.Start.Seconds(), part.Span.End.Seconds())
 	_, _ = fmt.Fprint(t, tableHeader)
@@ -45,14 +45,14 @@
 		if recovered {
 			recovery = recoveryText(r.Recovery[i])
 		}
-		row(t, class, part.Summaries[i], part.Audits[i], recovery)
+		writeRow(t, class, part.Summaries[i], part.Audits[i], recovery)
 		total = total.add(part.Audits[i])
 	}
 	if err := t.Flush(); err != nil {
 		return &WriteError{What: "table", Err: err}
 	}
 	_, err := fmt.Fprintf(w, "%sservice time spent %.1f s, %.1f %% of it wasted; %d operations partly done\n%s\n",
-		storedNote(part.Summaries), total.Worked.Seconds(), wastedPercent(total), total.PartlyDone, reasons(part.records))
+		storedNote(part.Summaries), total.Worked.Seconds(), wastedPercent(total), total.PartlyDone, failureReasons(part.records))
 	if err != nil {
 		return &WriteError{What: "table", Err: err}
 	}
@@ -70,7 +70,7 @@
 	return ""
 }
 
-func row(w io.Writer, class load.Class, s load.Summary, a Audit, recovery string) {
+func writeRow(w io.Writer, class load.Class, s load.Summary, a Audit, recovery string) {
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%.3f\t%d\t%s\t\n",
 		class.Name, class.Profile, s.Offered,
 		s.Results[load.Whole], s.Results[load.Stale], s.Results[load.NotRun], s.Results[load.Unknown], s.Results[load.Failed],
@@ -79,8 +79,8 @@
 		a.MeanRetries(), a.MaxRetries, recovery)
 }
 
-// rates writes the table of rates before, during and after the surge.
-func rates(w io.Writer, r *Run) error {
+// writeRates writes the table of writeRates before, during and after the surge.
+func writeRates(w io.Writer, r *Run) error {
 	t := r.Timeline
 	spans := []load.Span{t.Before, t.Surge, t.after()}
 	e := r.Evidence
@@ -90,7 +90,7 @@
 	}{
 		{"offered", r.offeredIn},
 		{"whole", func(s load.Span) float64 { return r.goodputIn(s, load.AllClasses) }},
-		{"whole, of the classes shed last", r.protectedIn},
+		{"whole, of the classes shed last", r.protectedGoodputIn},
 		{"% whole, a fresh answer", func(s load.Span) float64 { return r.WholePercent(load.AllClasses, s) }},
 		{"% stale, a stored answer", func(s load.Span) float64 { return r.stalePercent(load.AllClasses, s) }},
 		{"% of " + e.Deep + " at work", func(s load.Span) float64 { return percent * e.DeepBusy(s) }},
@@ -113,14 +113,14 @@
 // reasonsShown is the maximum number of reasons listed.
 const reasonsShown = 8
 
-// reasons lists the reasons for which attempts got no complete answer, the most
+// failureReasons lists the failureReasons for which attempts got no complete answer, the most
 // frequent first.
-func reasons(records []load.Record) string {
+func failureReasons(records []load.Record) string {
 	counts := map[string]int{}
 	for _, r := range records {
 		for _, t := range r.Tries {
 			if t.Result < load.Failed {
-				counts[reasonOf(t)]++
+				counts[failureReason(t)]++
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 	return text.String()
 }
 
-func reasonOf(t load.Try) string {
+func failureReason(t load.Try) string {
 	switch {
 	case t.Reason != call.ReasonNone:
 		return t.Result.String() + ": " + string(t.Reason) + " at " + t.Hop
