--- a/demo/baseline/baseline_test.go
+++ b/demo/baseline/baseline_test.go
@@ -10,9 +10,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The upstream fails every request. Each hop makes its three attempts, so the
-// caller's one request arrives three times: the multiplication that the
-// comparison is about has to be there.
+// The upstream fails every request. Each hop must make its three attempts, so
+// one request of the caller arrives three times. The comparison depends on this
+// multiplication of retries.
 func TestEachHopMakesItsAttempts(t *testing.T) {
 	c := qt.New(t)
 	var arrived atomic.Int64
--- a/demo/baseline/doc.go
+++ b/demo/baseline/doc.go
@@ -1,8 +1,9 @@
-// Package baseline is the plain forwarding that pollengauge is compared with:
-// every hop makes a fixed number of attempts at random replicas, each with a
-// fixed timeout, and knows nothing of the rest of the chain. A Limiter may be
-// plugged in front of each upstream: none, a static limit, or an additive
-// increase and multiplicative decrease (AIMD) of the limit.
+// Package baseline implements the plain forwarding that pollengauge is compared
+// with. Every hop makes a fixed number of attempts at random replicas, each with
+// a fixed timeout, and has no information about the rest of the chain. A
+// Limiter in front of each upstream admits requests: Unlimited has no limit,
+// Static a fixed one, and AIMD one with additive increase and multiplicative
+// decrease.
 //
 // All methods of Forwarder, Registry and the limiters may be called
 // concurrently.
--- a/demo/baseline/errors.go
+++ b/demo/baseline/errors.go
@@ -16,7 +16,8 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// AnswerError reports an attempt whose answer is worth another attempt.
+// AnswerError reports a response with a 5xx status, after which the forwarder
+// makes another attempt.
 type AnswerError struct {
 	Addr   string
 	Status int
@@ -25,7 +26,7 @@
 // Error implements error.
 func (e *AnswerError) Error() string { return e.Addr + ": status " + strconv.Itoa(e.Status) }
 
-// TargetError reports a service without replicas.
+// TargetError reports that a service has no replicas.
 type TargetError struct{ Service string }
 
 // Error implements error.
--- a/demo/baseline/forwarder.go
+++ b/demo/baseline/forwarder.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// Settings describe one forwarder, which stands beside one upstream.
+// Settings are the settings of one forwarder, which runs beside one upstream.
 type Settings struct {
 	Service string
 	// Upstream is the address of the local upstream.
 	Upstream string
 	Registry *Registry
 	Limiter  Limiter
-	// Attempts is how many replicas a hop tries, whatever the method.
+	// Attempts is the maximum number of attempts of a hop, regardless of the
+	// HTTP method.
 	Attempts int
-	// AttemptTimeout bounds each.
+	// AttemptTimeout is the timeout of each attempt.
 	AttemptTimeout time.Duration
-	// Dial opens connections to other forwarders; nil is plain TCP.
+	// Dial opens connections to other forwarders; nil means plain TCP.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	// Listen opens ports, and DialLocal connections to the upstream; nil is
-	// plain TCP.
+	// Listen opens ports, and DialLocal opens connections to the upstream; nil
+	// means plain TCP.
 	Listen    func(addr string) (net.Listener, error)
 	DialLocal func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Forwarder is one running forwarder.
+// Forwarder forwards the requests to and from one upstream.
 type Forwarder struct {
 	settings Settings
 	edge     *endpoint
@@ -38,13 +39,14 @@
 	peers    *http.Transport
 }
 
-// maxBodyBytes bounds a body held for another attempt.
+// maxBodyBytes limits the request body, which is buffered for further attempts.
 const maxBodyBytes = 1 << 20
 
 const idleConns = 256
 
-// Start opens three loopback ports: the edge for clients, the inbound for
-// other forwarders and the outbound for the local upstream.
+// Start starts a forwarder and adds it to the registry. It opens three loopback
+// ports: the edge for clients, the inbound port for other forwarders and the
+// outbound port for the local upstream.
 func Start(s Settings) (*Forwarder, error) {
 	f := &Forwarder{
 		settings: s,
@@ -76,7 +78,7 @@
 // Outbound returns the address for the local upstream.
 func (f *Forwarder) Outbound() string { return f.outbound.addr }
 
-// Close cuts all connections.
+// Close closes all ports and connections at once.
 func (f *Forwarder) Close() {
 	for _, e := range []*endpoint{f.edge, f.inbound, f.outbound} {
 		if e != nil {
@@ -112,7 +114,8 @@
 	return &endpoint{addr: listener.Addr().String(), server: server}, nil
 }
 
-// serveInbound passes a request to the local upstream, if the limiter agrees.
+// serveInbound passes a request to the local upstream if the limiter accepts it;
+// otherwise it answers with status 503.
 func (f *Forwarder) serveInbound(w http.ResponseWriter, r *http.Request) {
 	if !f.settings.Limiter.Acquire() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -128,7 +131,8 @@
 	got.write(w)
 }
 
-// hop sends a request to replicas of service until one attempt succeeds.
+// hop sends a request to replicas of service until an attempt succeeds, the
+// attempts are used up or the caller disconnects.
 func (f *Forwarder) hop(w http.ResponseWriter, r *http.Request, service string) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
@@ -147,7 +151,7 @@
 	got.write(w)
 }
 
-// answer is a whole answer, held in memory.
+// answer is a complete response, buffered in memory.
 type answer struct {
 	status int
 	header http.Header
@@ -162,7 +166,8 @@
 	_, _ = w.Write(a.body)
 }
 
-// try makes one attempt. With an error the answer tells the failure.
+// try makes one attempt. If it returns an error, the returned answer is the one
+// to send to the caller if no further attempt is made.
 func (f *Forwarder) try(r *http.Request, transport *http.Transport, addr string, body []byte) (*answer, error) {
 	failed := &answer{status: http.StatusBadGateway}
 	out, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+addr+r.URL.RequestURI(), bytes.NewReader(body))
--- a/demo/baseline/limiter.go
+++ b/demo/baseline/limiter.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Limiter decides whether an upstream takes one more request.
+// Limiter decides whether an upstream accepts another request.
 type Limiter interface {
-	// Acquire returns false to refuse.
+	// Acquire reports whether the request is accepted.
 	Acquire() bool
-	// Release ends an acquired request.
+	// Release reports the end of an accepted request, with its latency and
+	// whether it succeeded.
 	Release(latency time.Duration, ok bool)
 }
 
-// Unlimited takes everything.
+// Unlimited accepts every request.
 type Unlimited struct{}
 
 // Acquire implements Limiter.
@@ -22,12 +23,12 @@
 // Release implements Limiter.
 func (Unlimited) Release(time.Duration, bool) {}
 
-// Static takes a fixed number at once.
+// Static accepts a fixed number of concurrent requests.
 type Static struct {
 	slots chan struct{}
 }
 
-// NewStatic returns a Static of the given limit.
+// NewStatic returns a Static with the given limit.
 func NewStatic(limit int) *Static { return &Static{slots: make(chan struct{}, limit)} }
 
 // Acquire implements Limiter.
@@ -43,22 +44,23 @@
 // Release implements Limiter.
 func (s *Static) Release(time.Duration, bool) { <-s.slots }
 
-// AIMDConfig sets up an AIMD limiter.
+// AIMDConfig configures an AIMD limiter.
 type AIMDConfig struct {
-	// Start and Most bound the limit at the beginning and for good; the least
-	// is 1.
+	// Start is the initial limit, and Most is the maximum. The minimum is 1.
 	Start, Most int
-	// Target is the latency over which a request counts as a failure. A low
-	// one shrinks the limit at every fluctuation, a high one lets the queue
-	// behind the workers grow first.
+	// Target is the latency above which a request counts as a failure. A low
+	// target decreases the limit at every fluctuation; a high target lets the
+	// queue in front of the workers grow before the limit decreases.
 	Target time.Duration
 }
 
-// decrease is the factor on a failure.
+// decrease is the factor by which a failed or late request multiplies the limit.
 const decrease = 0.9
 
-// AIMD grows its limit by one per limit's worth of good requests while it is
-// used, and shrinks it by a tenth on each failed or late one.
+// AIMD is a limiter with additive increase and multiplicative decrease. While at
+// least half of the limit is in use, it increases the limit by one for every
+// full limit of successful requests. It decreases the limit by a tenth for each
+// failed or late request.
 type AIMD struct {
 	config AIMDConfig
 
@@ -95,7 +97,7 @@
 	}
 }
 
-// Limit returns the limit of this moment.
+// Limit returns the current limit.
 func (a *AIMD) Limit() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/demo/baseline/registry.go
+++ b/demo/baseline/registry.go
@@ -6,7 +6,8 @@
 	"sync"
 )
 
-// Registry is the fixed list of replicas that every forwarder reads.
+// Registry is the list of replicas that all forwarders share. Replicas are never
+// removed.
 type Registry struct {
 	mu       sync.RWMutex
 	services map[string][]string
@@ -15,15 +16,15 @@
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{services: map[string][]string{}} }
 
-// Add lists the inbound address of a replica.
+// Add adds the inbound address of a replica.
 func (r *Registry) Add(service, addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.services[service] = append(r.services[service], addr)
 }
 
-// pick returns the addresses for up to attempts tries, all different while
-// there are enough replicas.
+// pick returns one randomly chosen address per attempt, or nil if the service
+// has no replicas. The addresses are distinct if there are enough replicas.
 func (r *Registry) pick(service string, attempts int) []string {
 	r.mu.RLock()
 	addrs := slices.Clone(r.services[service])
