--- a/demo/baseline/baseline_test.go
+++ b/demo/baseline/baseline_test.go
@@ -40,7 +40,7 @@
 func TestAIMDFollowsLatency(t *testing.T) {
 	c := qt.New(t)
 	a := NewAIMD(AIMDConfig{Start: 4, Most: 6, Target: time.Second})
-	use := func(latency time.Duration) {
+	fillAndRelease := func(latency time.Duration) {
 		for a.Acquire() {
 		}
 		for range a.used {
@@ -48,10 +48,10 @@
 		}
 	}
 	for range 20 {
-		use(time.Millisecond)
+		fillAndRelease(time.Millisecond)
 	}
 	c.Check(a.Limit(), qt.Equals, 6)
-	use(2 * time.Second)
+	fillAndRelease(2 * time.Second)
 	c.Check(a.Limit(), qt.Equals, 3)
 	c.Check(a.Acquire(), qt.IsTrue)
 }
--- a/demo/baseline/forwarder.go
+++ b/demo/baseline/forwarder.go
@@ -31,32 +31,32 @@
 
 // Forwarder forwards the requests to and from one upstream.
 type Forwarder struct {
-	settings Settings
-	edge     *endpoint
-	inbound  *endpoint
-	outbound *endpoint
-	local    *http.Transport
-	peers    *http.Transport
+	settings          Settings
+	edge              *endpoint
+	inbound           *endpoint
+	outbound          *endpoint
+	upstreamTransport *http.Transport
+	peerTransport     *http.Transport
 }
 
 // maxBodyBytes limits the request body, which is buffered for further attempts.
 const maxBodyBytes = 1 << 20
 
-const idleConns = 256
+const maxIdleConnsPerHost = 256
 
 // Start starts a forwarder and adds it to the registry. It opens three loopback
 // ports: the edge for clients, the inbound port for other forwarders and the
 // outbound port for the local upstream.
 func Start(s Settings) (*Forwarder, error) {
 	f := &Forwarder{
-		settings: s,
-		local:    &http.Transport{MaxIdleConnsPerHost: idleConns, DisableCompression: true, DialContext: s.DialLocal},
-		peers:    &http.Transport{MaxIdleConnsPerHost: idleConns, DisableCompression: true, DialContext: s.Dial},
+		settings:          s,
+		upstreamTransport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true, DialContext: s.DialLocal},
+		peerTransport:     &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost, DisableCompression: true, DialContext: s.Dial},
 	}
 	for endpoint, handler := range map[**endpoint]http.HandlerFunc{
-		&f.edge:     func(w http.ResponseWriter, r *http.Request) { f.hop(w, r, s.Service) },
+		&f.edge:     func(w http.ResponseWriter, r *http.Request) { f.forward(w, r, s.Service) },
 		&f.inbound:  f.serveInbound,
-		&f.outbound: func(w http.ResponseWriter, r *http.Request) { f.hop(w, r, r.Host) },
+		&f.outbound: func(w http.ResponseWriter, r *http.Request) { f.forward(w, r, r.Host) },
 	} {
 		opened, err := s.serve(handler)
 		if err != nil {
@@ -85,8 +85,8 @@
 			_ = e.server.Close()
 		}
 	}
-	f.local.CloseIdleConnections()
-	f.peers.CloseIdleConnections()
+	f.upstreamTransport.CloseIdleConnections()
+	f.peerTransport.CloseIdleConnections()
 }
 
 type endpoint struct {
@@ -125,15 +125,15 @@
 	got := &answer{status: http.StatusBadRequest}
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err == nil {
-		got, err = f.try(r, f.local, f.settings.Upstream, body)
+		got, err = f.attempt(r, f.upstreamTransport, f.settings.Upstream, body)
 	}
 	f.settings.Limiter.Release(time.Since(start), err == nil)
 	got.write(w)
 }
 
-// hop sends a request to replicas of service until an attempt succeeds, the
+// forward sends a request to replicas of service until an attempt succeeds, all
 // attempts are used up or the caller disconnects.
-func (f *Forwarder) hop(w http.ResponseWriter, r *http.Request, service string) {
+func (f *Forwarder) forward(w http.ResponseWriter, r *http.Request, service string) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -142,7 +142,7 @@
 	got := &answer{status: http.StatusBadGateway}
 	for _, addr := range f.settings.Registry.pick(service, f.settings.Attempts) {
 		ctx, cancel := context.WithTimeout(r.Context(), f.settings.AttemptTimeout)
-		got, err = f.try(r.WithContext(ctx), f.peers, addr, body)
+		got, err = f.attempt(r.WithContext(ctx), f.peerTransport, addr, body)
 		cancel()
 		if err == nil || r.Context().Err() != nil {
 			break
@@ -166,9 +166,9 @@
 	_, _ = w.Write(a.body)
 }
 
-// try makes one attempt. If it returns an error, the returned answer is the one
-// to send to the caller if no further attempt is made.
-func (f *Forwarder) try(r *http.Request, transport *http.Transport, addr string, body []byte) (*answer, error) {
+// attempt sends the request to addr once. If it returns an error, the returned
+// answer is the one to send to the caller if no further attempt is made.
+func (f *Forwarder) attempt(r *http.Request, transport *http.Transport, addr string, body []byte) (*answer, error) {
 	failed := &answer{status: http.StatusBadGateway}
 	out, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+addr+r.URL.RequestURI(), bytes.NewReader(body))
 	if err != nil {
--- a/demo/baseline/limiter.go
+++ b/demo/baseline/limiter.go
@@ -87,12 +87,12 @@
 func (a *AIMD) Release(latency time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	half := a.used*2 >= int(a.limit)
+	halfUsed := a.used*2 >= int(a.limit)
 	a.used--
 	switch {
 	case !ok || latency > a.config.Target:
 		a.limit = max(1, a.limit*decrease)
-	case half:
+	case halfUsed:
 		a.limit = min(float64(a.config.Most), a.limit+1/a.limit)
 	}
 }
