--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -13,7 +13,7 @@
 	"pollengauge.dev/demo/report"
 )
 
-// safety are the promises that hold at any speed of the machine.
+// safety lists the promises that must hold at any speed of the machine.
 var safety = []string{
 	"every answer is the caller's own",
 	"every complete answer is whole",
@@ -24,9 +24,10 @@
 	claimNoRevert,
 }
 
-// Clients retry hard through a surge, a slow replica, a platform outage, a
-// drained and a killed VM. Whatever the machine's speed does to the figures,
-// no caller may get another's answer, a false not-run or a second booking.
+// Clients retry immediately during a surge, a slow replica, a platform outage, a
+// drained VM and a killed VM. The figures depend on the speed of the machine,
+// but at any speed no caller may receive another caller's answer, a false
+// not-run or a second booking.
 func TestSafetyPromisesHoldEndToEnd(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
@@ -101,7 +102,8 @@
 	c.Check(err, qt.ErrorAs, &profiles)
 }
 
-// A request written in three pieces crosses the zones once, not three times.
+// A request that is written in three pieces must be delayed once, not three
+// times.
 func TestDelayIsPaidOncePerDirection(t *testing.T) {
 	c := qt.New(t)
 	conn := &delayedConn{oneWay: time.Microsecond}
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -9,7 +9,7 @@
 	"pollengauge.dev/demo/upstream"
 )
 
-// Service is one service of a deployment at its real size.
+// Service is one service of a deployment in its full size, before scaling.
 type Service struct {
 	Name        string
 	Replicas    int
@@ -17,36 +17,39 @@
 	Connections int
 }
 
-// Deployment is everything that tells one user's system from another's.
+// Deployment defines one user's system.
 type Deployment struct {
 	Name   string
 	Region string
 	Zones  []string
-	// ZoneDelay and ClientDelay are one way.
+	// ZoneDelay is the one-way network delay between two availability zones,
+	// and ClientDelay that between clients and the system.
 	ZoneDelay   time.Duration
 	ClientDelay time.Duration
-	// ConnectDelay is the cost of a new connection.
+	// ConnectDelay is the additional delay of opening a connection.
 	ConnectDelay time.Duration
 	Services     []Service
-	// Scale divides slots and connections, to fit one machine.
+	// Scale divides slots and connections, so that the deployment fits on one
+	// machine.
 	Scale   int
 	Graph   upstream.Graph
 	Classes []load.Class
-	// ProfilesFile is the deployment's set of profiles.
+	// ProfilesFile is the name of the file with the deployment's profiles.
 	ProfilesFile string
-	// Deep is the bottleneck that the others call.
+	// Deep is the name of the bottleneck service, which the others call.
 	Deep string
-	// Edit is the live change: the first profile is lifted above the second.
+	// Edit is the change of profiles during the surge.
 	Edit Edit
-	// Restarted and Killed name the services that lose a VM.
+	// Restarted is the service of which a VM is drained and replaced, and
+	// Killed the service of which a VM is lost.
 	Restarted, Killed string
 }
 
 // Edit is a change of profiles made during the surge.
 type Edit struct {
-	// Lifted gets the priority of Lowered and the other way round.
+	// Lifted and Lowered are the profiles that exchange their priorities.
 	Lifted, Lowered string
-	// LiftedClass and LoweredClass are the classes on which it is seen.
+	// LiftedClass and LoweredClass are the classes that show the effect.
 	LiftedClass, LoweredClass string
 }
 
@@ -70,7 +73,7 @@
 	return set, nil
 }
 
-// profiles reads the deployment's set.
+// profiles reads the deployment's set of profiles from files.
 func (d *Deployment) profiles(files fs.FS) (config.Set, error) {
 	data, err := fs.ReadFile(files, d.ProfilesFile)
 	if err != nil {
@@ -83,12 +86,12 @@
 	return set, nil
 }
 
-// slots returns the workers of one upstream at the deployment's scale.
+// slots returns the number of workers of one upstream at the deployment's scale.
 func (d *Deployment) slots(s Service) int { return max(1, s.Slots/d.Scale) }
 
 func (d *Deployment) connections(s Service) int { return max(1, s.Connections/d.Scale) }
 
-// deepSlots returns the workers of the deep service together.
+// deepSlots returns the total number of workers of the bottleneck service.
 func (d *Deployment) deepSlots() int {
 	for _, s := range d.Services {
 		if s.Name == d.Deep {
@@ -98,10 +101,10 @@
 	return 0
 }
 
-// zone returns the zone of a replica: one in each, in turn.
+// zone returns the zone of a replica. Replicas are assigned to zones in rotation.
 func (d *Deployment) zone(replica int) string { return d.Zones[replica%len(d.Zones)] }
 
-// classIndex returns the index of a class by name, -1 if there is none.
+// classIndex returns the index of the class with the given name, or -1.
 func (d *Deployment) classIndex(name string) int {
 	for i, class := range d.Classes {
 		if class.Name == name {
@@ -111,18 +114,20 @@
 	return -1
 }
 
-// Deployments returns the deployments of today, scaled for one machine.
+// Deployments returns the deployments of the current users, scaled to fit on one
+// machine.
 func Deployments() []Deployment { return []Deployment{nyitottkapu(), tenantwise()} }
 
-// The shapes of routes. A read checks below and then works; a write checks
-// first, then does its own work, and only then tells the deep service, so
-// that what is refused on the check has left no trace.
+// The following functions build steps and routes. A read makes its downstream
+// calls and then does its own work. A write first makes its checks, then does
+// its own work and calls the notified service last, so that a request that is
+// refused at its first check has had no effect.
 
 func work(median time.Duration) upstream.Step {
 	return upstream.Step{Work: upstream.Distribution{Median: median, Sigma: workSpread}}
 }
 
-// workSpread is the sigma of all service times.
+// workSpread is the Sigma of all service times.
 const workSpread = 0.4
 
 func calls(targets ...upstream.Call) upstream.Step { return upstream.Step{Calls: targets} }
@@ -139,9 +144,10 @@
 	return upstream.Route{Steps: []upstream.Step{calls(below...), work(median)}}
 }
 
-// write makes its checks one after the other. An upstream whose second check
-// is refused says not-run of itself, though its first has run: as naive as
-// many, and its node must know better.
+// write returns a route that makes its checks one after the other. If the
+// second check is refused, the upstream reports not-run although its first
+// check has run. Many real upstreams make this mistake, so the upstream's node
+// must not rely on the reported outcome.
 func write(median time.Duration, tell upstream.Call, checks ...upstream.Call) upstream.Route {
 	var steps []upstream.Step
 	for _, check := range checks {
--- a/demo/deployments.go
+++ b/demo/deployments.go
@@ -8,19 +8,20 @@
 	"pollengauge.dev/demo/upstream"
 )
 
-// scale divides the slots and connections of both deployments: one process
-// carries the whole fleet and its clients.
+// scale divides the slots and connections of both deployments, because one
+// process runs the complete fleet and its clients.
 const scale = 10
 
-// deepWork is the median service time of the deep services. At a tenth of
-// the slots it bounds them to about 550 calls a second.
+// deepWork is the median service time of the bottleneck services. With a tenth
+// of the slots it limits them to about 550 calls per second.
 const deepWork = 20 * time.Millisecond
 
-// The rates below load the deep services to some 57 % outside a surge and ask
-// for 1.7 times what they can do in it. Reads outnumber writes by about seven
-// to one; the writes alone would fit into the deep service at all times.
+// The rates of the classes load the bottleneck services to about 57 % of their
+// capacity outside a surge and to 1.7 times their capacity during it. Reads
+// outnumber writes by about seven to one. The writes alone stay within the
+// capacity of the bottleneck service at all times.
 
-// Clients that retry hard send again at once; patient ones honour Retry-After.
+// Hard clients retry immediately; patient clients honour Retry-After.
 var (
 	hard    = load.Retrying{Tries: 4, Hard: true}
 	patient = load.Retrying{Tries: 4, Backoff: 200 * time.Millisecond}
@@ -139,7 +140,7 @@
 	}
 }
 
-// reads is a class of repeatable requests whose clients retry hard.
+// reads returns a class of repeatable requests whose clients retry immediately.
 func reads(name, profile, service, route string, rate float64, shed load.ShedOrder) load.Class {
 	return load.Class{
 		Name: name, Profile: profile, Target: upstream.Call{Service: service, Route: route},
@@ -147,7 +148,8 @@
 	}
 }
 
-// writes is a class of unrepeatable requests, whose clients honour Retry-After.
+// writes returns a class of unrepeatable requests whose clients honour
+// Retry-After.
 func writes(name, profile, service, route string, rate float64, key load.Keying) load.Class {
 	return load.Class{
 		Name: name, Profile: profile, Target: upstream.Call{Service: service, Route: route},
--- a/demo/doc.go
+++ b/demo/doc.go
@@ -1,18 +1,20 @@
-// Package demo runs the two deployments of today's users at a reduced scale
-// on loopback and shows how pollengauge treats them under surge, a slow deep
-// service, lost and leaving VMs, a platform outage and a change of profiles,
-// against plain forwarding under the same load.
+// Package demo runs the deployments of the two current users at a reduced scale
+// on loopback. It compares pollengauge with plain forwarding under the same
+// load, during a surge and a slow replica of the bottleneck service. For
+// pollengauge it also changes profiles, drains and kills a VM and takes the
+// platform down.
 //
 //	result, err := demo.Run(ctx, demo.Options{Profiles: examples.Files}, os.Stdout)
 //
-// examples.Files holds the profile sets of both, embedded in the binary.
+// examples.Files holds the profile sets of both deployments, embedded in the
+// binary.
 //
-// Run promises that every answer which clients got was compared with its
-// request and with the upstreams' ledger, and that Result.Broken counts each
-// promise for which a case was found against pollengauge. The figures are of
-// this machine and of this scale: services run with a tenth of their slots,
-// and one process carries clients, nodes, upstreams and platform.
+// Run compares every answer that a client received with its request and with
+// the upstreams' ledger. Result.Broken is the number of promises that
+// pollengauge violated. The figures are valid only for the machine and the
+// scale of the run: services have a tenth of their slots, and one process runs
+// clients, nodes, upstreams and platform.
 //
-// Run may not be called concurrently with itself if its figures matter: two
-// runs share the machine.
+// Don't call Run concurrently if its figures matter, because concurrent runs
+// compete for the machine.
 package demo
--- a/demo/edges.go
+++ b/demo/edges.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// edgeList is what clients know of where services are, as a name service
-// would tell them.
+// edgeList holds the edge addresses of each service that clients know. It stands
+// in for a name service.
 type edgeList struct {
 	mu    sync.RWMutex
 	addrs map[string][]string
--- a/demo/errors.go
+++ b/demo/errors.go
@@ -17,7 +17,7 @@
 // Unwrap returns the cause.
 func (e *ProfilesError) Unwrap() error { return e.Err }
 
-// EditError reports a live edit of profiles that the set does not have.
+// EditError reports an edit of profiles that are not in the set.
 type EditError struct{ Edit Edit }
 
 // Error implements error.
@@ -37,7 +37,7 @@
 // Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Err }
 
-// ReadyError reports that a system was not ready in time.
+// ReadyError reports that a system did not become ready in time.
 type ReadyError struct {
 	System string
 	Reason string
@@ -46,7 +46,7 @@
 // Error implements error.
 func (e *ReadyError) Error() string { return e.System + " not ready: " + e.Reason }
 
-// OptionError reports an option that can't be used.
+// OptionError reports an option with an invalid value.
 type OptionError struct {
 	Option string
 	Value  string
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	// inForceBound and leaveBound are the "few seconds" of the promises.
+	// inForceBound and leaveBound define "within seconds" in the promises
+	// claimInForce and claimLeaving.
 	inForceBound = 3 * time.Second
 	leaveBound   = 3 * time.Second
-	// directoryLag is how long clients go on using an edge that is gone, as
-	// with a name service.
+	// directoryLag is how long clients continue to use an edge that is gone,
+	// as they do with a name service.
 	directoryLag = 300 * time.Millisecond
 	versionPoll  = 20 * time.Millisecond
 )
@@ -29,8 +30,8 @@
 	claimDrain    = "a graceful shutdown cuts off no request in flight"
 )
 
-// edit exchanges two priorities during the surge and measures how long it
-// takes until the change is in force on every node.
+// edit exchanges the priorities of two profiles during the surge and measures
+// how long it takes until the change is in force on every node.
 func (s *stage) edit(ctx context.Context) {
 	started := time.Now()
 	version, err := s.nodes.change(ctx, s.deployment.Edit)
@@ -41,7 +42,9 @@
 	s.promise(s.awaitVersion(ctx, version, started))
 }
 
-// awaitVersion waits until every node has at least version.
+// awaitVersion waits until every node has at least the given configuration
+// version, for at most inForceBound after started, and returns the promise
+// claimInForce.
 func (s *stage) awaitVersion(ctx context.Context, version uint64, started time.Time) report.Promise {
 	for ctx.Err() == nil && time.Since(started) < inForceBound {
 		behind := 0
@@ -60,7 +63,8 @@
 	return report.NewPromise(claimInForce, false, "not on every node after "+inForceBound.String())
 }
 
-// watchVersions notes any node whose configuration goes back, until ctx ends.
+// watchVersions counts the times at which a node's configuration reverts to an
+// older version. When ctx ends, it adds the promise claimNoRevert.
 func (s *stage) watchVersions(ctx context.Context) {
 	seen := map[*node.Node]uint64{}
 	reverted := 0
@@ -84,15 +88,15 @@
 	s.nodes.platform.SetFaults(standin.Faults{})
 }
 
-// drainSpan is one VM's leaving.
+// drainSpan is the time span in which a VM was drained, and the VM's edge.
 type drainSpan struct {
 	edge       string
 	start, end time.Duration
 }
 
-// restart drains a VM, ends it, and boots another in its place. The drain has
-// its own bound: cutting it off with the end of the load would show a drain
-// that failed where one was only slow.
+// restart drains a VM, shuts it down and boots a replacement. The drain has its
+// own timeout and continues after the end of the load: if it were cancelled
+// then, a slow drain would be reported as a failed one.
 func (s *stage) restart(ctx context.Context) {
 	ctx = context.WithoutCancel(ctx)
 	old := s.fleet.find(s.deployment.Restarted, 0)
@@ -109,7 +113,7 @@
 	left := old.upstream.InFlight()
 	s.promise(s.leavingPromise(old, began))
 	took := s.drained.end - s.drained.start
-	detail := strconv.Itoa(left) + " in flight when the VM went, " + strconv.FormatInt(took.Milliseconds(), 10) + " ms after the drain began"
+	detail := strconv.Itoa(left) + " requests in flight when the VM was shut down, " + strconv.FormatInt(took.Milliseconds(), 10) + " ms after the drain began"
 	if err != nil {
 		detail += ", drain: " + err.Error()
 	}
@@ -124,18 +128,19 @@
 	return report.NewPromise(claimLeaving, last <= leaveBound, detail)
 }
 
-// replace boots a VM in place of one that went.
+// replace boots a replacement for the VM old, which was shut down.
 func (s *stage) replace(ctx context.Context, old *vm) {
 	fresh, err := s.fleet.boot(old.service, old.replica)
 	if err == nil {
 		err = s.nodes.attach(ctx, fresh)
 	}
 	if err != nil {
-		s.note("no replacement of " + old.service.Name + ": " + err.Error())
+		s.note("replacing the VM of " + old.service.Name + " failed: " + err.Error())
 	}
 }
 
-// kill takes a VM away without warning. Clients learn of it late.
+// kill stops a VM and its node without warning. Clients continue to use its edge
+// for directoryLag.
 func (s *stage) kill(ctx context.Context) {
 	lost := s.fleet.find(s.deployment.Killed, 1)
 	running := s.nodes.forget(lost)
@@ -146,8 +151,8 @@
 	s.nodes.edgeList.remove(lost.service.Name, edge)
 }
 
-// cutOff counts the attempts at the drained VM's edge that ended without any
-// answer while it left, though the client had not given up.
+// cutOff counts the attempts at the drained VM's edge that ended without an
+// answer during the drain although the client had not timed out.
 func (s *stage) cutOff(records []load.Record) int {
 	count := 0
 	for _, r := range records {
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -8,7 +8,8 @@
 	"pollengauge.dev/demo/upstream"
 )
 
-// vm is one upstream VM. The process beside it belongs to a fabric.
+// vm is one upstream VM. The process beside it, a node or a forwarder, belongs to
+// the fabric.
 type vm struct {
 	service  Service
 	replica  int
@@ -16,20 +17,21 @@
 	upstream *upstream.Server
 }
 
-// fabric is a system that carries the calls of a fleet.
+// fabric is one of the compared systems: it carries the calls of a fleet.
 type fabric interface {
-	// attach starts the process beside v and tells v where to send its calls.
+	// attach starts the process beside v and sets the outbound address of v.
 	attach(ctx context.Context, v *vm) error
-	// edges returns where clients reach a service.
+	// edges returns the addresses at which clients reach a service.
 	edges(service string) []string
-	// outbound returns where v sends its calls.
+	// outbound returns the address to which v sends its calls.
 	outbound(v *vm) string
-	// mintPath is where edges mint keys, "" if they don't.
+	// mintPath returns the path at which edges mint idempotency keys, or "" if
+	// they don't mint any.
 	mintPath() string
 	close()
 }
 
-// fleet is all upstreams of a deployment.
+// fleet holds all upstreams of a deployment.
 type fleet struct {
 	deployment *Deployment
 	ledger     *upstream.Ledger
@@ -43,15 +45,15 @@
 	return &fleet{deployment: d, ledger: upstream.NewLedger(), seed: seed}
 }
 
-// reporting is how the replicas of a service report their load: the first
-// honestly, the second late, the third claims to be idle.
+// reporting defines how the replicas of a service report their load: the first
+// reports the real load, the second an outdated load, and the third no load.
 var reporting = []upstream.Reporting{
 	{Factor: 1},
 	{Factor: 1, Lag: 2 * time.Second},
 	{Factor: 0},
 }
 
-// boot starts the upstream of one replica.
+// boot starts the upstream of one replica and adds it to the fleet.
 func (f *fleet) boot(s Service, replica int) (*vm, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,7 +75,8 @@
 	return v, nil
 }
 
-// start boots every replica and attaches it.
+// start boots every replica, attaches it to system and waits until the system is
+// ready.
 func (f *fleet) start(ctx context.Context, system fabric) error {
 	for _, s := range f.deployment.Services {
 		for replica := range s.Replicas {
@@ -89,7 +92,8 @@
 	return f.awaitReady(ctx, system)
 }
 
-// find returns the youngest VM of a replica.
+// find returns the most recently booted VM of a replica, or nil if there is
+// none.
 func (f *fleet) find(service string, replica int) *vm {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/demo/judge.go
+++ b/demo/judge.go
@@ -9,7 +9,7 @@
 	"pollengauge.dev/demo/report"
 )
 
-// judge adds promises and notes to a measured run.
+// judge adds the promises and notes to a measured run.
 func (s *stage) judge(run *report.Run, set config.Set) {
 	if s.nodes == nil {
 		run.Promises = report.Check(run, nil)
@@ -25,8 +25,9 @@
 	run.Notes = append(s.notes, s.editEffect(run))
 }
 
-// editEffect compares the share of whole operations in the surge before and
-// after the edit.
+// editEffect returns a note with the shares of completed operations in the
+// surge, before and after the edit. It excludes editSettles after the start of
+// the surge and after the edit.
 func (s *stage) editEffect(run *report.Run) string {
 	edit := s.deployment.Edit
 	before := load.Span{Start: s.schedule.at(surgeAt + editSettles), End: s.schedule.at(editAt)}
--- a/demo/network.go
+++ b/demo/network.go
@@ -9,13 +9,12 @@
 	"pollengauge.dev/objects"
 )
 
-// delays knows in which availability zone each address is and how far zones
-// are apart.
+// delays holds the availability zone of each address and the network delays.
 type delays struct {
-	// between is the one-way delay between two zones; within a zone there is
-	// none beyond loopback's own.
+	// between is the one-way delay between two zones. Within a zone no delay
+	// is added to that of loopback.
 	between time.Duration
-	// connect is the cost of a new connection.
+	// connect is the additional delay of opening a connection.
 	connect time.Duration
 
 	mu    sync.RWMutex
@@ -26,7 +25,7 @@
 	return &delays{between: between, connect: connect, zones: map[string]string{}}
 }
 
-// place puts an address into a zone.
+// place records that addr is in zone.
 func (d *delays) place(addr, zone string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,7 +53,7 @@
 // Listen opens a loopback listener.
 func (n *zoneNetwork) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-// Dial opens a connection that is slowed by the distance of addr's zone.
+// Dial opens a connection with the delay between this zone and that of addr.
 func (n *zoneNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	conn, err := n.dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -68,14 +67,14 @@
 	return &delayedConn{Conn: conn, oneWay: oneWay}, nil
 }
 
-// dialContext has the signature that http.Transport wants.
+// dialContext is Dial with the signature of http.Transport.DialContext.
 func (n *zoneNetwork) dialContext(ctx context.Context, _, addr string) (net.Conn, error) {
 	return n.Dial(ctx, addr)
 }
 
-// delayedConn adds the one-way delay to the first write of a request and to
-// the first read of its answer. HTTP/1.1 has one exchange at a time on a
-// connection, so nothing overtakes and no goroutine is needed.
+// delayedConn adds the one-way delay to the first write of a request and to the
+// first read of its answer. HTTP/1.1 has one exchange at a time on a connection,
+// so sleeping in Write and Read keeps the bytes in order and needs no goroutine.
 type delayedConn struct {
 	net.Conn
 	oneWay time.Duration
@@ -84,7 +83,7 @@
 	sending bool
 }
 
-// turn notes the direction of the next bytes and reports whether it changed.
+// turn records the direction of the next bytes and reports whether it changed.
 func (c *delayedConn) turn(sending bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/demo/nodes.go
+++ b/demo/nodes.go
@@ -18,16 +18,19 @@
 )
 
 const (
-	// gossipInterval is shorter than usual, as the demo's time is.
+	// gossipInterval is shorter than usual because the phases of the demo are
+	// short.
 	gossipInterval = 200 * time.Millisecond
-	// announceInterval is how often upstreams tell their node of their load.
+	// announceInterval is the interval at which upstreams report their load to
+	// their node.
 	announceInterval = 500 * time.Millisecond
-	// drainTimeout is the nodes' bound on a drain.
+	// drainTimeout is the longest time that a node waits for a drain.
 	drainTimeout = 10 * time.Second
-	author       = "demo"
+	// author is the recorded author of configuration changes.
+	author = "demo"
 )
 
-// nodeFabric carries calls by pollengauge's nodes.
+// nodeFabric is the fabric of pollengauge: calls go through its nodes.
 type nodeFabric struct {
 	deployment *Deployment
 	delays     *delays
@@ -43,8 +46,8 @@
 	first string
 }
 
-// newNodeFabric starts the platform's stand-in and puts the deployment's
-// profiles in force there.
+// newNodeFabric starts the stand-in of the platform and applies the deployment's
+// profiles to it.
 func newNodeFabric(ctx context.Context, d *Deployment, set config.Set, ablate node.Ablation) (*nodeFabric, error) {
 	n := &nodeFabric{
 		deployment: d,
@@ -67,13 +70,15 @@
 	return n, nil
 }
 
-// apply makes set the next version after expected.
+// apply stores set on the platform as the version after expected. It fails if
+// the platform holds another version.
 func (n *nodeFabric) apply(ctx context.Context, set config.Set, expected uint64) (config.Result, error) {
 	return config.Apply(ctx, n.platform, set, config.ApplyOptions{ExpectVersion: expected, Author: author, Now: time.Now()})
 }
 
-// change makes an edit of the set in force, as an operator does: read, change,
-// apply on the condition that nobody else changed it meanwhile.
+// change edits the set in force as an operator does: it reads the set, changes
+// it and applies it on condition that nobody else has changed it meanwhile. It
+// returns the new version.
 func (n *nodeFabric) change(ctx context.Context, edit Edit) (uint64, error) {
 	document, err := config.Read(ctx, n.platform)
 	if err != nil {
@@ -111,7 +116,7 @@
 	return nil
 }
 
-// settings are those of the node beside v.
+// settings returns the settings of the node beside v.
 func (n *nodeFabric) settings(v *vm) node.Settings {
 	settings := node.DefaultSettings()
 	settings.Service = v.service.Name
@@ -123,8 +128,9 @@
 	settings.GossipInterval = gossipInterval
 	settings.DrainTimeout = drainTimeout
 	settings.Network = &zoneNetwork{delays: n.delays, zone: v.zone}
-	// A stamp differs with each attempt. Taken for a caller's header, as custom
-	// headers are, it would keep every stored answer from being found.
+	// The stamp differs on each attempt. Nodes assume that a custom header
+	// influences the answer, so without this setting no stored answer would
+	// ever match.
 	settings.NeutralHeaders = []string{upstream.HeaderOperation}
 	settings.Ablate = n.ablate
 	if n.first != "" {
@@ -133,7 +139,8 @@
 	return settings
 }
 
-// keepAnnouncing tells the node of the upstream's load while the VM is there.
+// keepAnnouncing announces the upstream to its node at regular intervals until
+// the VM is removed or the fabric is closed.
 func (n *nodeFabric) keepAnnouncing(v *vm, to *node.Node) {
 	for n.ctx.Err() == nil && n.node(v) == to {
 		_ = n.announce(n.ctx, v, to)
@@ -141,7 +148,8 @@
 	}
 }
 
-// announce makes the upstream known to its node, as any upstream does.
+// announce sends the upstream's address, limits and load to its node, as any
+// upstream does.
 func (n *nodeFabric) announce(ctx context.Context, v *vm, to *node.Node) error {
 	body, err := json.Marshal(node.Announcement{
 		Service:     v.service.Name,
@@ -165,19 +173,19 @@
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return &ReadyError{System: v.service.Name, Reason: "announcement answered " + strconv.Itoa(resp.StatusCode)}
+		return &ReadyError{System: v.service.Name, Reason: "announcement failed with status " + strconv.Itoa(resp.StatusCode)}
 	}
 	return nil
 }
 
-// node returns the node beside v, nil if it is gone.
+// node returns the node beside v, or nil if it has been removed.
 func (n *nodeFabric) node(v *vm) *node.Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.nodes[v]
 }
 
-// forget takes the node beside v out of the list and returns it.
+// forget removes the node beside v from the list of nodes and returns it.
 func (n *nodeFabric) forget(v *vm) *node.Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/demo/options.go
+++ b/demo/options.go
@@ -9,26 +9,28 @@
 	"pollengauge.dev/node"
 )
 
-// Options choose what Run does.
+// Options are the options of Run.
 type Options struct {
 	// Profiles holds the deployments' profiles, such as nyitottkapu.yaml.
 	Profiles fs.FS
-	// Deployments and Systems choose by name; empty takes all.
+	// Deployments and Systems select by name; empty means all.
 	Deployments []string
 	Systems     []string
-	// Seed fixes arrivals, service times and clients' choices. The machine's
-	// own timing is not fixed, so figures still vary a little. 0 is 1.
+	// Seed is the random seed of arrivals, service times and clients' choices;
+	// 0 means 1. The timing of the machine is not controlled, so figures still
+	// vary a little with the same seed.
 	Seed uint64
-	// TimeScale stretches every phase; 0 is 1, the whole in under 90 s. A
-	// longer run has less chance in its figures.
+	// TimeScale multiplies the length of every phase; 0 means 1, with which
+	// all systems and deployments run in under 90 s. Figures of a longer run
+	// vary less by chance.
 	TimeScale float64
-	// LoadScale multiplies every rate; 0 is 1. Above 1 the upstreams, then
-	// the machine itself, become the bound.
+	// LoadScale multiplies every rate; 0 means 1. Above 1 the capacity of the
+	// upstreams, and then of the machine itself, becomes the limit.
 	LoadScale float64
-	// PlotDir is where two SVGs for each deployment are written, of all
-	// classes and of those shed last; "" writes none.
+	// PlotDir is the directory to which two SVGs per deployment are written:
+	// one of all classes and one of those shed last. "" writes none.
 	PlotDir string
-	// Ablate switches mechanisms of pollengauge off.
+	// Ablate disables mechanisms of pollengauge.
 	Ablate node.Ablation
 }
 
@@ -37,7 +39,7 @@
 	maxLoadScale = 10
 )
 
-// check fills in defaults and refuses what can't be used.
+// check fills in defaults and returns an *OptionError for an invalid option.
 func (o *Options) check() error {
 	if o.Profiles == nil {
 		return &OptionError{Option: "profiles", Want: "a directory with the deployments' profiles"}
@@ -54,7 +56,8 @@
 	return o.checkNames()
 }
 
-// checkScale fills in 1 and refuses what is not above 0 and at most most.
+// checkScale replaces 0 by 1 and returns an *OptionError unless the scale is
+// above 0 and at most most.
 func checkScale(name string, scale *float64, most float64) error {
 	if *scale == 0 {
 		*scale = 1
@@ -84,7 +87,8 @@
 	return nil
 }
 
-// selects reports whether name is chosen.
+// selects reports whether name is among the chosen names, of which none means
+// all.
 func selects(chosen []string, name string) bool {
 	return len(chosen) == 0 || slices.Contains(chosen, name)
 }
--- a/demo/plain.go
+++ b/demo/plain.go
@@ -11,14 +11,15 @@
 const (
 	plainAttempts = 3
 	plainTimeout  = time.Second
-	// staticFactor: the static limit is this many times the workers, which
-	// leaves room for a queue of one more round.
+	// staticFactor is the static limit per worker. With 2, one request per
+	// worker can be queued.
 	staticFactor = 2
-	// aimdTarget is some ten times the usual latency of the deep service.
+	// aimdTarget is about ten times the usual latency of the bottleneck
+	// service.
 	aimdTarget = 250 * time.Millisecond
 )
 
-// limiterFactory makes the limiter in front of an upstream.
+// limiterFactory returns a new limiter for the upstream of v.
 type limiterFactory func(v *vm) baseline.Limiter
 
 func noLimit(*vm) baseline.Limiter { return baseline.Unlimited{} }
@@ -35,7 +36,7 @@
 	})
 }
 
-// plainFabric carries calls by plain forwarding.
+// plainFabric is the fabric of plain forwarding: calls go through forwarders.
 type plainFabric struct {
 	delays   *delays
 	registry *baseline.Registry
--- a/demo/ready.go
+++ b/demo/ready.go
@@ -31,7 +31,7 @@
 	return group.Wait()
 }
 
-// awaitCalls waits until v can call every service.
+// awaitCalls waits until v can call every service through the outbound address.
 func (f *fleet) awaitCalls(ctx context.Context, v *vm, outbound string) error {
 	for service, routes := range f.deployment.Graph {
 		for {
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// repeatable returns the name of a route that may be called for a probe.
+// repeatable returns the name of a route that a probe may call because it isn't
+// a Once route. It returns "" if there is none.
 func repeatable(routes upstream.Routes) string {
 	for name, route := range routes {
 		if !route.Once {
@@ -58,10 +59,11 @@
 	return ""
 }
 
-// probeStamp marks calls that belong to no operation of the load.
+// probeStamp is the stamp of probes, which belong to no operation of the load.
 var probeStamp = upstream.Stamp{Operation: "probe", Try: 1}
 
-// probe calls a route once and returns "" or why it failed.
+// probe calls a route once. It returns "" if the call succeeded, otherwise the
+// reason of the failure.
 func (f *fleet) probe(ctx context.Context, addr, service, route string) string {
 	if route == "" {
 		return ""
--- a/demo/run.go
+++ b/demo/run.go
@@ -19,23 +19,23 @@
 	SystemAIMD        = "AIMD limit"
 )
 
-// Systems lists them in the order in which they run.
+// Systems returns the names of the systems in the order in which they run.
 func Systems() []string {
 	return []string{SystemPollengauge, SystemPlain, SystemStatic, SystemAIMD}
 }
 
-// Result is what Run found.
+// Result is the result of Run.
 type Result struct {
 	Runs []*report.Run
-	// Broken counts the promises that pollengauge broke. The other systems
-	// make none; what they broke is shown, not counted.
+	// Broken is the number of promises that pollengauge violated. The other
+	// systems make no promises: their violations are reported but not counted.
 	Broken  int
 	Elapsed time.Duration
 }
 
-// Run runs the chosen deployments on the chosen systems and writes a report
-// of each to out. The error tells what kept it from running; broken promises
-// are no error but counted in the result.
+// Run runs the selected deployments on the selected systems and writes a report
+// of each run to out. It returns an error if a run or a report could not be
+// completed. Broken promises are not errors; they are counted in the result.
 func Run(ctx context.Context, o Options, out io.Writer) (Result, error) {
 	start := time.Now()
 	if err := o.check(); err != nil {
@@ -93,13 +93,15 @@
 	return runs, plot(o, d, runs)
 }
 
-// inFlightBound protects the machine from a load that nobody answers.
+// inFlightBound is the maximum number of operations in flight. It protects the
+// machine if a system leaves the load unanswered.
 const inFlightBound = 20_000
 
-// settleTime is left to operations that are still open when the load ends.
+// settleTime is how long operations that are in flight at the end of the load
+// may continue.
 const settleTime = time.Second
 
-// runSystem starts one system, gives it the load and measures it.
+// runSystem starts one system, runs the load against it and measures it.
 func runSystem(ctx context.Context, o Options, d *Deployment, name string, set config.Set) (*report.Run, error) {
 	f := newFleet(d, o.Seed)
 	defer f.close()
@@ -142,7 +144,7 @@
 	return nodes, slices.Concat(commonEvents, nodeEvents), fullLength, nil
 }
 
-// cut returns the arrivals before length.
+// cut returns the arrivals of plan before length.
 func cut(plan []load.Arrival, length time.Duration) []load.Arrival {
 	end := slices.IndexFunc(plan, func(a load.Arrival) bool { return a.At >= length })
 	if end < 0 {
@@ -151,7 +153,7 @@
 	return plan[:end]
 }
 
-// drive sends the load and plays the events beside it.
+// drive sends the load and runs the events at the same time.
 func (s *stage) drive(ctx context.Context, system fabric, plan []load.Arrival, events []event, length time.Duration) []load.Record {
 	ctx, cancel := context.WithTimeout(ctx, length+settleTime)
 	defer cancel()
--- a/demo/scenario.go
+++ b/demo/scenario.go
@@ -10,8 +10,8 @@
 	"pollengauge.dev/objects"
 )
 
-// The course of a run at time scale 1. Every system gets the same load up to
-// settledAt; what follows is for pollengauge alone.
+// The times of a run at time scale 1, and the factors of its faults. Every
+// system gets the same load up to settledAt; only pollengauge runs the rest.
 const (
 	warmAt      = 500 * time.Millisecond
 	surgeAt     = 1800 * time.Millisecond
@@ -26,11 +26,12 @@
 	fullLength  = 11 * time.Second
 	surgeFactor = 3
 	slowFactor  = 3
-	// editSettles is left out of the comparison before and after an edit.
+	// editSettles is the time after the start of the surge and after the edit
+	// that the comparison before and after the edit excludes.
 	editSettles = 200 * time.Millisecond
 )
 
-// schedule is the course of a run at a time scale.
+// schedule holds the time scale of a run and converts times to it.
 type schedule struct{ scale float64 }
 
 func (s schedule) at(d time.Duration) time.Duration { return time.Duration(float64(d) * s.scale) }
@@ -53,21 +54,22 @@
 	}
 }
 
-// event is one thing that happens during a run.
+// event is an event of a run, at a time relative to its start. A nil do only
+// marks the event in the plot.
 type event struct {
 	at    time.Duration
 	label string
 	do    func(s *stage, ctx context.Context)
 }
 
-// commonEvents happen to every system.
+// commonEvents are the events of every system.
 var commonEvents = []event{
 	{surgeAt, "surge x3", nil},
 	{slowAt, "deep replica x3 slower", (*stage).slowDeep},
 	{surgeEndAt, "surge ends, deep normal", (*stage).healDeep},
 }
 
-// nodeEvents happen to pollengauge only.
+// nodeEvents are the events that only pollengauge has.
 var nodeEvents = []event{
 	{editAt, "profiles edited", (*stage).edit},
 	{platformAt, "platform down", (*stage).platformDown},
@@ -76,7 +78,7 @@
 	{platformUp, "platform up", (*stage).platformBack},
 }
 
-// stage is what the events of one run act on.
+// stage is the state of one run, on which its events act.
 type stage struct {
 	deployment *Deployment
 	schedule   schedule
@@ -89,11 +91,11 @@
 	marks    []report.Mark
 	promises []report.Promise
 	notes    []string
-	// drained is the VM's edge and the span in which it left.
+	// drained is the edge of the drained VM and the span of its drain.
 	drained drainSpan
 }
 
-// play runs the events at their times.
+// play runs the events at their times and records their marks.
 func (s *stage) play(ctx context.Context, events []event) {
 	var group sync.WaitGroup
 	for _, e := range events {
--- a/demo/show.go
+++ b/demo/show.go
@@ -34,7 +34,7 @@
 	return report.PromiseList(out, run)
 }
 
-// plots are the pictures of a deployment, by the suffix of their file's name.
+// plots lists the plots of a deployment, each with the suffix of its file name.
 var plots = []struct {
 	suffix, title string
 	keep          func(load.Class) bool
