--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -13,8 +13,8 @@
 	"pollengauge.dev/demo/report"
 )
 
-// safety lists the promises that must hold at any speed of the machine.
-var safety = []string{
+// safetyClaims lists the promises that must hold at any speed of the machine.
+var safetyClaims = []string{
 	"every answer is the caller's own",
 	"every complete answer is whole",
 	"complete means that every hop finished",
@@ -45,16 +45,16 @@
 	for _, p := range result.Runs[0].Promises {
 		verdicts[p.Claim] = p
 	}
-	for _, claim := range safety {
+	for _, claim := range safetyClaims {
 		c.Check(verdicts[claim].Verdict, qt.Equals, report.Pass, qt.Commentf("%s: %s", claim, verdicts[claim].Detail))
 	}
-	whole := 0
+	offered := 0
 	for _, part := range result.Runs[0].Parts {
 		for _, s := range part.Summaries {
-			whole += s.Offered
+			offered += s.Offered
 		}
 	}
-	c.Check(whole, qt.Equals, len(result.Runs[0].Evidence.Records))
+	c.Check(offered, qt.Equals, len(result.Runs[0].Evidence.Records))
 	c.Check(out.String(), qt.Contains, "PASS    unrepeatable work runs at most once")
 }
 
@@ -109,13 +109,13 @@
 	conn := &delayedConn{oneWay: time.Microsecond}
 	turns := 0
 	for _, sending := range []bool{true, true, true, false, false, true, false} {
-		if conn.turn(sending) {
+		if conn.setDirection(sending) {
 			turns++
 		}
 	}
 	c.Check(turns, qt.Equals, 4)
 	d := newDelays(time.Millisecond, 0)
-	d.place("127.0.0.1:1", "zone-a")
+	d.setZone("127.0.0.1:1", "zone-a")
 	c.Check(d.oneWay("zone-a", "127.0.0.1:1"), qt.Equals, time.Duration(0))
 	c.Check(d.oneWay("zone-b", "127.0.0.1:1"), qt.Equals, time.Millisecond)
 }
--- a/demo/deployment.go
+++ b/demo/deployment.go
@@ -140,18 +140,18 @@
 	return upstream.Route{Once: true, Steps: []upstream.Step{work(median)}}
 }
 
-func read(median time.Duration, below ...upstream.Call) upstream.Route {
-	return upstream.Route{Steps: []upstream.Step{calls(below...), work(median)}}
+func read(median time.Duration, downstream ...upstream.Call) upstream.Route {
+	return upstream.Route{Steps: []upstream.Step{calls(downstream...), work(median)}}
 }
 
 // write returns a route that makes its checks one after the other. If the
 // second check is refused, the upstream reports not-run although its first
 // check has run. Many real upstreams make this mistake, so the upstream's node
 // must not rely on the reported outcome.
-func write(median time.Duration, tell upstream.Call, checks ...upstream.Call) upstream.Route {
+func write(median time.Duration, notified upstream.Call, checks ...upstream.Call) upstream.Route {
 	var steps []upstream.Step
 	for _, check := range checks {
 		steps = append(steps, calls(check))
 	}
-	return upstream.Route{Once: true, Steps: append(steps, work(median), calls(tell))}
+	return upstream.Route{Once: true, Steps: append(steps, work(median), calls(notified))}
 }
--- a/demo/edges.go
+++ b/demo/edges.go
@@ -11,7 +11,7 @@
 
 func newEdgeList() *edgeList { return &edgeList{addrs: map[string][]string{}} }
 
-func (l *edgeList) of(service string) []string {
+func (l *edgeList) addrsOf(service string) []string {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.addrs[service]
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -32,7 +32,7 @@
 
 // edit exchanges the priorities of two profiles during the surge and measures
 // how long it takes until the change is in force on every node.
-func (s *stage) edit(ctx context.Context) {
+func (s *runState) edit(ctx context.Context) {
 	started := time.Now()
 	version, err := s.nodes.change(ctx, s.deployment.Edit)
 	if err != nil {
@@ -45,16 +45,16 @@
 // awaitVersion waits until every node has at least the given configuration
 // version, for at most inForceBound after started, and returns the promise
 // claimInForce.
-func (s *stage) awaitVersion(ctx context.Context, version uint64, started time.Time) report.Promise {
+func (s *runState) awaitVersion(ctx context.Context, version uint64, started time.Time) report.Promise {
 	for ctx.Err() == nil && time.Since(started) < inForceBound {
-		behind := 0
+		outdated := 0
 		versions := s.nodes.versions()
 		for _, v := range versions {
 			if v < version {
-				behind++
+				outdated++
 			}
 		}
-		if behind == 0 {
+		if outdated == 0 {
 			took := strconv.FormatInt(time.Since(started).Milliseconds(), 10)
 			return report.NewPromise(claimInForce, true, "version "+strconv.FormatUint(version, 10)+" on "+strconv.Itoa(len(versions))+" nodes after "+took+" ms")
 		}
@@ -65,7 +65,7 @@
 
 // watchVersions counts the times at which a node's configuration reverts to an
 // older version. When ctx ends, it adds the promise claimNoRevert.
-func (s *stage) watchVersions(ctx context.Context) {
+func (s *runState) watchVersions(ctx context.Context) {
 	seen := map[*node.Node]uint64{}
 	reverted := 0
 	for ctx.Err() == nil {
@@ -80,11 +80,11 @@
 	s.promise(report.NewPromise(claimNoRevert, reverted == 0, strconv.Itoa(reverted)+" reversions seen"))
 }
 
-func (s *stage) platformDown(context.Context) {
+func (s *runState) platformDown(context.Context) {
 	s.nodes.platform.SetFaults(standin.Faults{Down: true})
 }
 
-func (s *stage) platformBack(context.Context) {
+func (s *runState) platformBack(context.Context) {
 	s.nodes.platform.SetFaults(standin.Faults{})
 }
 
@@ -97,7 +97,7 @@
 // restart drains a VM, shuts it down and boots a replacement. The drain has its
 // own timeout and continues after the end of the load: if it were cancelled
 // then, a slow drain would be reported as a failed one.
-func (s *stage) restart(ctx context.Context) {
+func (s *runState) restart(ctx context.Context) {
 	ctx = context.WithoutCancel(ctx)
 	old := s.fleet.find(s.deployment.Restarted, 0)
 	leaving := s.nodes.node(old)
@@ -109,7 +109,7 @@
 	objects.Pause(ctx, directoryLag)
 	err := leaving.Drain(ctx)
 	s.drained.end = time.Since(s.start)
-	s.nodes.forget(old)
+	s.nodes.remove(old)
 	left := old.upstream.InFlight()
 	s.promise(s.leavingPromise(old, began))
 	took := s.drained.end - s.drained.start
@@ -122,14 +122,14 @@
 	s.replace(ctx, old)
 }
 
-func (s *stage) leavingPromise(old *vm, began time.Time) report.Promise {
+func (s *runState) leavingPromise(old *vm, began time.Time) report.Promise {
 	last := old.upstream.LastArrival().Sub(began)
 	detail := "last new work " + strconv.FormatInt(max(0, last.Milliseconds()), 10) + " ms after the drain began"
 	return report.NewPromise(claimLeaving, last <= leaveBound, detail)
 }
 
 // replace boots a replacement for the VM old, which was shut down.
-func (s *stage) replace(ctx context.Context, old *vm) {
+func (s *runState) replace(ctx context.Context, old *vm) {
 	fresh, err := s.fleet.boot(old.service, old.replica)
 	if err == nil {
 		err = s.nodes.attach(ctx, fresh)
@@ -141,9 +141,9 @@
 
 // kill stops a VM and its node without warning. Clients continue to use its edge
 // for directoryLag.
-func (s *stage) kill(ctx context.Context) {
+func (s *runState) kill(ctx context.Context) {
 	lost := s.fleet.find(s.deployment.Killed, 1)
-	running := s.nodes.forget(lost)
+	running := s.nodes.remove(lost)
 	edge := running.Addr("edge")
 	lost.upstream.Close()
 	running.Close()
@@ -151,9 +151,9 @@
 	s.nodes.edgeList.remove(lost.service.Name, edge)
 }
 
-// cutOff counts the attempts at the drained VM's edge that ended without an
+// countCutOff counts the attempts at the drained VM's edge that ended without an
 // answer during the drain although the client had not timed out.
-func (s *stage) cutOff(records []load.Record) int {
+func (s *runState) countCutOff(records []load.Record) int {
 	count := 0
 	for _, r := range records {
 		timeout := s.deployment.Classes[r.Class].Timeout
--- a/demo/judge.go
+++ b/demo/judge.go
@@ -9,8 +9,8 @@
 	"pollengauge.dev/demo/report"
 )
 
-// judge adds the promises and notes to a measured run.
-func (s *stage) judge(run *report.Run, set config.Set) {
+// addPromises adds the promises and notes to a measured run.
+func (s *runState) addPromises(run *report.Run, set config.Set) {
 	if s.nodes == nil {
 		run.Promises = report.Check(run, nil)
 		return
@@ -19,7 +19,7 @@
 	for _, p := range set.Profiles {
 		credits[p.Name] = p.Credit
 	}
-	cutOff := s.cutOff(run.Evidence.Records)
+	cutOff := s.countCutOff(run.Evidence.Records)
 	s.promise(report.NewPromise(claimDrain+", at its edge", cutOff == 0, strconv.Itoa(cutOff)+" attempts without an answer"))
 	run.Promises = append(report.Check(run, credits), s.promises...)
 	run.Notes = append(s.notes, s.editEffect(run))
@@ -28,7 +28,7 @@
 // editEffect returns a note with the shares of completed operations in the
 // surge, before and after the edit. It excludes editSettles after the start of
 // the surge and after the edit.
-func (s *stage) editEffect(run *report.Run) string {
+func (s *runState) editEffect(run *report.Run) string {
 	edit := s.deployment.Edit
 	before := load.Span{Start: s.schedule.at(surgeAt + editSettles), End: s.schedule.at(editAt)}
 	after := load.Span{Start: s.schedule.at(editAt + editSettles), End: s.schedule.at(slowAt)}
--- a/demo/network.go
+++ b/demo/network.go
@@ -25,8 +25,8 @@
 	return &delays{between: between, connect: connect, zones: map[string]string{}}
 }
 
-// place records that addr is in zone.
-func (d *delays) place(addr, zone string) {
+// setZone records that addr is in zone.
+func (d *delays) setZone(addr, zone string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.zones[addr] = zone
@@ -83,8 +83,8 @@
 	sending bool
 }
 
-// turn records the direction of the next bytes and reports whether it changed.
-func (c *delayedConn) turn(sending bool) bool {
+// setDirection records the direction of the next bytes and reports whether it changed.
+func (c *delayedConn) setDirection(sending bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	changed := c.sending != sending
@@ -94,7 +94,7 @@
 
 // Write implements net.Conn.
 func (c *delayedConn) Write(p []byte) (int, error) {
-	if c.turn(true) {
+	if c.setDirection(true) {
 		time.Sleep(c.oneWay)
 	}
 	return c.Conn.Write(p)
@@ -103,7 +103,7 @@
 // Read implements net.Conn.
 func (c *delayedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && c.turn(false) {
+	if n > 0 && c.setDirection(false) {
 		time.Sleep(c.oneWay)
 	}
 	return n, err
--- a/demo/nodes.go
+++ b/demo/nodes.go
@@ -32,18 +32,18 @@
 
 // nodeFabric is the fabric of pollengauge: calls go through its nodes.
 type nodeFabric struct {
-	deployment *Deployment
-	delays     *delays
-	platform   *standin.Server
-	platformAt string
-	ablate     node.Ablation
-	edgeList   *edgeList
-	stop       context.CancelFunc
-	ctx        context.Context
-
-	mu    sync.Mutex
-	nodes map[*vm]*node.Node
-	first string
+	deployment  *Deployment
+	delays      *delays
+	platform    *standin.Server
+	platformURL string
+	ablation    node.Ablation
+	edgeList    *edgeList
+	stop        context.CancelFunc
+	ctx         context.Context
+
+	mu              sync.Mutex
+	nodes           map[*vm]*node.Node
+	firstGossipAddr string
 }
 
 // newNodeFabric starts the stand-in of the platform and applies the deployment's
@@ -53,7 +53,7 @@
 		deployment: d,
 		delays:     newDelays(d.ZoneDelay, d.ConnectDelay),
 		platform:   standin.New(standin.Options{}),
-		ablate:     ablate,
+		ablation:   ablate,
 		edgeList:   newEdgeList(),
 		nodes:      map[*vm]*node.Node{},
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, &StartError{Part: "platform", Err: err}
 	}
-	n.platformAt = "http://" + addr
+	n.platformURL = "http://" + addr
 	n.ctx, n.stop = context.WithCancel(ctx)
 	if _, err := n.apply(ctx, set, 0); err != nil {
 		n.close()
@@ -102,16 +102,16 @@
 	}
 	n.mu.Lock()
 	n.nodes[v] = started
-	if n.first == "" {
-		n.first = started.Addr("gossip")
+	if n.firstGossipAddr == "" {
+		n.firstGossipAddr = started.Addr("gossip")
 	}
 	n.mu.Unlock()
-	n.delays.place(started.Addr("peer"), v.zone)
+	n.delays.setZone(started.Addr("peer"), v.zone)
 	v.upstream.SetOutbound(started.Addr("outbound"))
 	if err := n.announce(ctx, v, started); err != nil {
 		return &StartError{Part: "upstream of " + v.service.Name, Err: err}
 	}
-	go n.keepAnnouncing(v, started)
+	go n.announceRepeatedly(v, started)
 	n.edgeList.add(v.service.Name, started.Addr("edge"))
 	return nil
 }
@@ -124,7 +124,7 @@
 	settings.Region = n.deployment.Region
 	settings.Slots = v.upstream.Workers()
 	settings.UpstreamConns = v.upstream.Connections()
-	settings.PlatformURL, settings.OpenPlatform = n.platformAt, store.Open
+	settings.PlatformURL, settings.OpenPlatform = n.platformURL, store.Open
 	settings.GossipInterval = gossipInterval
 	settings.DrainTimeout = drainTimeout
 	settings.Network = &zoneNetwork{delays: n.delays, zone: v.zone}
@@ -132,16 +132,16 @@
 	// influences the answer, so without this setting no stored answer would
 	// ever match.
 	settings.NeutralHeaders = []string{upstream.HeaderOperation}
-	settings.Ablate = n.ablate
-	if n.first != "" {
-		settings.Peers = []string{n.first}
+	settings.Ablate = n.ablation
+	if n.firstGossipAddr != "" {
+		settings.Peers = []string{n.firstGossipAddr}
 	}
 	return settings
 }
 
-// keepAnnouncing announces the upstream to its node at regular intervals until
+// announceRepeatedly announces the upstream to its node at regular intervals until
 // the VM is removed or the fabric is closed.
-func (n *nodeFabric) keepAnnouncing(v *vm, to *node.Node) {
+func (n *nodeFabric) announceRepeatedly(v *vm, to *node.Node) {
 	for n.ctx.Err() == nil && n.node(v) == to {
 		_ = n.announce(n.ctx, v, to)
 		objects.Pause(n.ctx, announceInterval)
@@ -185,8 +185,8 @@
 	return n.nodes[v]
 }
 
-// forget removes the node beside v from the list of nodes and returns it.
-func (n *nodeFabric) forget(v *vm) *node.Node {
+// remove removes the node beside v from the list of nodes and returns it.
+func (n *nodeFabric) remove(v *vm) *node.Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	gone := n.nodes[v]
@@ -205,7 +205,7 @@
 	return versions
 }
 
-func (n *nodeFabric) edges(service string) []string { return n.edgeList.of(service) }
+func (n *nodeFabric) edges(service string) []string { return n.edgeList.addrsOf(service) }
 
 func (n *nodeFabric) outbound(v *vm) string { return n.node(v).Addr("outbound") }
 
--- a/demo/plain.go
+++ b/demo/plain.go
@@ -74,13 +74,13 @@
 	p.mu.Lock()
 	p.forwarders[v] = f
 	p.mu.Unlock()
-	p.delays.place(f.Inbound(), v.zone)
+	p.delays.setZone(f.Inbound(), v.zone)
 	v.upstream.SetOutbound(f.Outbound())
 	p.edgeList.add(v.service.Name, f.Edge())
 	return nil
 }
 
-func (p *plainFabric) edges(service string) []string { return p.edgeList.of(service) }
+func (p *plainFabric) edges(service string) []string { return p.edgeList.addrsOf(service) }
 
 func (p *plainFabric) outbound(v *vm) string {
 	p.mu.Lock()
--- a/demo/ready.go
+++ b/demo/ready.go
@@ -35,12 +35,12 @@
 func (f *fleet) awaitCalls(ctx context.Context, v *vm, outbound string) error {
 	for service, routes := range f.deployment.Graph {
 		for {
-			got := f.probe(ctx, outbound, service, repeatable(routes))
-			if got == "" {
+			problem := f.probe(ctx, outbound, service, repeatable(routes))
+			if problem == "" {
 				break
 			}
 			if ctx.Err() != nil {
-				return &ReadyError{System: service, Reason: "call from " + v.service.Name + "/" + strconv.Itoa(v.replica) + ": " + got}
+				return &ReadyError{System: service, Reason: "call from " + v.service.Name + "/" + strconv.Itoa(v.replica) + ": " + problem}
 			}
 			objects.Pause(ctx, readyPoll)
 		}
--- a/demo/run.go
+++ b/demo/run.go
@@ -73,7 +73,7 @@
 	for i := range d.Classes {
 		d.Classes[i].Rate *= o.LoadScale
 	}
-	if err := introduce(out, o, d); err != nil {
+	if err := writeHeader(out, o, d); err != nil {
 		return nil, err
 	}
 	var runs []*report.Run
@@ -86,11 +86,11 @@
 			return runs, err
 		}
 		runs = append(runs, run)
-		if err := show(out, run); err != nil {
+		if err := writeReport(out, run); err != nil {
 			return runs, err
 		}
 	}
-	return runs, plot(o, d, runs)
+	return runs, writePlots(o, d, runs)
 }
 
 // inFlightBound is the maximum number of operations in flight. It protects the
@@ -113,10 +113,10 @@
 	if err := f.start(ctx, system); err != nil {
 		return nil, err
 	}
-	s := &stage{deployment: d, schedule: schedule{o.TimeScale}, fleet: f}
+	s := &runState{deployment: d, schedule: schedule{o.TimeScale}, fleet: f}
 	s.nodes, _ = system.(*nodeFabric)
 	plan := load.Plan(d.Classes, s.schedule.phases(), s.schedule.at(fullLength), o.Seed)
-	records := s.drive(ctx, system, cut(plan, s.schedule.at(length)), events, s.schedule.at(length))
+	records := s.drive(ctx, system, arrivalsBefore(plan, s.schedule.at(length)), events, s.schedule.at(length))
 	run := &report.Run{
 		System:     name,
 		Deployment: d.Name,
@@ -128,7 +128,7 @@
 		},
 	}
 	run.Measure()
-	s.judge(run, set)
+	s.addPromises(run, set)
 	return run, nil
 }
 
@@ -144,8 +144,8 @@
 	return nodes, slices.Concat(commonEvents, nodeEvents), fullLength, nil
 }
 
-// cut returns the arrivals of plan before length.
-func cut(plan []load.Arrival, length time.Duration) []load.Arrival {
+// arrivalsBefore returns the arrivals of plan before length.
+func arrivalsBefore(plan []load.Arrival, length time.Duration) []load.Arrival {
 	end := slices.IndexFunc(plan, func(a load.Arrival) bool { return a.At >= length })
 	if end < 0 {
 		return plan
@@ -154,7 +154,7 @@
 }
 
 // drive sends the load and runs the events at the same time.
-func (s *stage) drive(ctx context.Context, system fabric, plan []load.Arrival, events []event, length time.Duration) []load.Record {
+func (s *runState) drive(ctx context.Context, system fabric, plan []load.Arrival, events []event, length time.Duration) []load.Record {
 	ctx, cancel := context.WithTimeout(ctx, length+settleTime)
 	defer cancel()
 	runner := &load.Runner{
@@ -170,7 +170,7 @@
 	played := make(chan struct{})
 	go func() {
 		defer close(played)
-		s.play(ctx, events)
+		s.runEvents(ctx, events)
 	}()
 	go func() {
 		defer close(watched)
--- a/demo/scenario.go
+++ b/demo/scenario.go
@@ -13,19 +13,19 @@
 // The times of a run at time scale 1, and the factors of its faults. Every
 // system gets the same load up to settledAt; only pollengauge runs the rest.
 const (
-	warmAt      = 500 * time.Millisecond
-	surgeAt     = 1800 * time.Millisecond
-	editAt      = 3000 * time.Millisecond
-	slowAt      = 3800 * time.Millisecond
-	surgeEndAt  = 4600 * time.Millisecond
-	settledAt   = 7400 * time.Millisecond
-	platformAt  = 7500 * time.Millisecond
-	restartAt   = 7900 * time.Millisecond
-	killAt      = 9200 * time.Millisecond
-	platformUp  = 10 * time.Second
-	fullLength  = 11 * time.Second
-	surgeFactor = 3
-	slowFactor  = 3
+	warmAt       = 500 * time.Millisecond
+	surgeAt      = 1800 * time.Millisecond
+	editAt       = 3000 * time.Millisecond
+	slowAt       = 3800 * time.Millisecond
+	surgeEndAt   = 4600 * time.Millisecond
+	settledAt    = 7400 * time.Millisecond
+	platformAt   = 7500 * time.Millisecond
+	restartAt    = 7900 * time.Millisecond
+	killAt       = 9200 * time.Millisecond
+	platformUpAt = 10 * time.Second
+	fullLength   = 11 * time.Second
+	surgeFactor  = 3
+	slowFactor   = 3
 	// editSettles is the time after the start of the surge and after the edit
 	// that the comparison before and after the edit excludes.
 	editSettles = 200 * time.Millisecond
@@ -59,27 +59,27 @@
 type event struct {
 	at    time.Duration
 	label string
-	do    func(s *stage, ctx context.Context)
+	do    func(s *runState, ctx context.Context)
 }
 
 // commonEvents are the events of every system.
 var commonEvents = []event{
 	{surgeAt, "surge x3", nil},
-	{slowAt, "deep replica x3 slower", (*stage).slowDeep},
-	{surgeEndAt, "surge ends, deep normal", (*stage).healDeep},
+	{slowAt, "deep replica x3 slower", (*runState).slowDeep},
+	{surgeEndAt, "surge ends, deep normal", (*runState).restoreDeep},
 }
 
 // nodeEvents are the events that only pollengauge has.
 var nodeEvents = []event{
-	{editAt, "profiles edited", (*stage).edit},
-	{platformAt, "platform down", (*stage).platformDown},
-	{restartAt, "VM drained and replaced", (*stage).restart},
-	{killAt, "VM killed", (*stage).kill},
-	{platformUp, "platform up", (*stage).platformBack},
+	{editAt, "profiles edited", (*runState).edit},
+	{platformAt, "platform down", (*runState).platformDown},
+	{restartAt, "VM drained and replaced", (*runState).restart},
+	{killAt, "VM killed", (*runState).kill},
+	{platformUpAt, "platform up", (*runState).platformBack},
 }
 
-// stage is the state of one run, on which its events act.
-type stage struct {
+// runState is the state of one run, on which its events act.
+type runState struct {
 	deployment *Deployment
 	schedule   schedule
 	fleet      *fleet
@@ -95,8 +95,8 @@
 	drained drainSpan
 }
 
-// play runs the events at their times and records their marks.
-func (s *stage) play(ctx context.Context, events []event) {
+// runEvents runs the events at their times and records their marks.
+func (s *runState) runEvents(ctx context.Context, events []event) {
 	var group sync.WaitGroup
 	for _, e := range events {
 		at := s.schedule.at(e.at)
@@ -114,22 +114,22 @@
 	group.Wait()
 }
 
-func (s *stage) promise(p report.Promise) {
+func (s *runState) promise(p report.Promise) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.promises = append(s.promises, p)
 }
 
-func (s *stage) note(text string) {
+func (s *runState) note(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notes = append(s.notes, text)
 }
 
-func (s *stage) slowDeep(context.Context) {
+func (s *runState) slowDeep(context.Context) {
 	s.fleet.find(s.deployment.Deep, 0).upstream.SetSlow(slowFactor)
 }
 
-func (s *stage) healDeep(context.Context) {
+func (s *runState) restoreDeep(context.Context) {
 	s.fleet.find(s.deployment.Deep, 0).upstream.SetSlow(1)
 }
--- a/demo/show.go
+++ b/demo/show.go
@@ -11,7 +11,7 @@
 	"pollengauge.dev/demo/report"
 )
 
-func introduce(out io.Writer, o Options, d *Deployment) error {
+func writeHeader(out io.Writer, o Options, d *Deployment) error {
 	rate := 0.0
 	for _, class := range d.Classes {
 		rate += class.Rate
@@ -24,7 +24,7 @@
 	return nil
 }
 
-func show(out io.Writer, run *report.Run) error {
+func writeReport(out io.Writer, run *report.Run) error {
 	if _, err := fmt.Fprintf(out, "\n-- %s on %s\n", run.Deployment, run.System); err != nil {
 		return &WriteError{Err: err}
 	}
@@ -43,7 +43,7 @@
 	{"-shed-last", "classes shed last", func(c load.Class) bool { return c.Shed == load.ShedLast }},
 }
 
-func plot(o Options, d *Deployment, runs []*report.Run) error {
+func writePlots(o Options, d *Deployment, runs []*report.Run) error {
 	if o.PlotDir == "" || len(runs) == 0 {
 		return nil
 	}
