--- a/demo/faults.go
+++ b/demo/faults.go
@@ -109,7 +109,7 @@
 	objects.Pause(ctx, directoryLag)
 	err := leaving.Drain(ctx)
 	s.drained.end = time.Since(s.start)
-	s.nodes.remove(old)
+	s.nodes.removeNode(old)
 	left := old.upstream.InFlight()
 	s.promise(s.leavingPromise(old, began))
 	took := s.drained.end - s.drained.start
@@ -143,7 +143,7 @@
 // for directoryLag.
 func (s *runState) kill(ctx context.Context) {
 	lost := s.fleet.find(s.deployment.Killed, 1)
-	running := s.nodes.remove(lost)
+	running := s.nodes.removeNode(lost)
 	edge := running.Addr("edge")
 	lost.upstream.Close()
 	running.Close()
--- a/demo/nodes.go
+++ b/demo/nodes.go
@@ -185,8 +185,8 @@
 	return n.nodes[v]
 }
 
-// remove removes the node beside v from the list of nodes and returns it.
-func (n *nodeFabric) remove(v *vm) *node.Node {
+// removeNode removes the node beside v from the list of nodes and returns it.
+func (n *nodeFabric) removeNode(v *vm) *node.Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	gone := n.nodes[v]
