--- a/demo/demo_test.go
+++ b/demo/demo_test.go
@@ -13,8 +13,8 @@
 	"pollengauge.dev/demo/report"
 )
 
-// safety are the promises that hold at any speed of the machine.
-var safety = []string{
+// safetyClaims lists the promises that must hold at any speed of the machine.
+var safetyClaims = []string{
 	"every answer is the caller's own",
 	"every complete answer is whole",
 	"complete means that every hop finished",
@@ -24,9 +24,10 @@
 	claimNoRevert,
 }
 
-// Clients retry hard through a surge, a slow replica, a platform outage, a
-// drained and a killed VM. Whatever the machine's speed does to the figures,
-// no caller may get another's answer, a false not-run or a second booking.
+// Clients retry immediately during a surge, a slow replica, a platform outage, a
+// drained VM and a killed VM. The figures depend on the speed of the machine,
+// but at any speed no caller may receive another caller's answer, a false
+// not-run or a second booking.
 func TestSafetyPromisesHoldEndToEnd(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
@@ -44,16 +45,16 @@
 	for _, p := range result.Runs[0].Promises {
 		verdicts[p.Claim] = p
 	}
-	for _, claim := range safety {
+	for _, claim := range safetyClaims {
 		c.Check(verdicts[claim].Verdict, qt.Equals, report.Pass, qt.Commentf("%s: %s", claim, verdicts[claim].Detail))
 	}
-	whole := 0
+	offered := 0
 	for _, part := range result.Runs[0].Parts {
 		for _, s := range part.Summaries {
-			whole += s.Offered
+			offered += s.Offered
 		}
 	}
-	c.Check(whole, qt.Equals, len(result.Runs[0].Evidence.Records))
+	c.Check(offered, qt.Equals, len(result.Runs[0].Evidence.Records))
 	c.Check(out.String(), qt.Contains, "PASS    unrepeatable work runs at most once")
 }
 
@@ -101,19 +102,20 @@
 	c.Check(err, qt.ErrorAs, &profiles)
 }
 
-// A request written in three pieces crosses the zones once, not three times.
+// A request that is written in three pieces must be delayed once, not three
+// times.
 func TestDelayIsPaidOncePerDirection(t *testing.T) {
 	c := qt.New(t)
 	conn := &delayedConn{oneWay: time.Microsecond}
 	turns := 0
 	for _, sending := range []bool{true, true, true, false, false, true, false} {
-		if conn.turn(sending) {
+		if conn.setDirection(sending) {
 			turns++
 		}
 	}
 	c.Check(turns, qt.Equals, 4)
 	d := newDelays(time.Millisecond, 0)
-	d.place("127.0.0.1:1", "zone-a")
+	d.setZone("127.0.0.1:1", "zone-a")
 	c.Check(d.oneWay("zone-a", "127.0.0.1:1"), qt.Equals, time.Duration(0))
 	c.Check(d.oneWay("zone-b", "127.0.0.1:1"), qt.Equals, time.Millisecond)
 }
--- a/demo/nodes.go
+++ b/demo/nodes.go
@@ -18,39 +18,42 @@
 )
 
 const (
-	// gossipInterval is shorter than usual, as the demo's time is.
+	// gossipInterval is shorter than usual because the phases of the demo are
+	// short.
 	gossipInterval = 200 * time.Millisecond
-	// announceInterval is how often upstreams tell their node of their load.
+	// announceInterval is the interval at which upstreams report their load to
+	// their node.
 	announceInterval = 500 * time.Millisecond
-	// drainTimeout is the nodes' bound on a drain.
+	// drainTimeout is the longest time that a node waits for a drain.
 	drainTimeout = 10 * time.Second
-	author       = "demo"
+	// author is the recorded author of configuration changes.
+	author = "demo"
 )
 
-// nodeFabric carries calls by pollengauge's nodes.
+// nodeFabric is the fabric of pollengauge: calls go through its nodes.
 type nodeFabric struct {
-	deployment *Deployment
-	delays     *delays
-	platform   *standin.Server
-	platformAt string
-	ablate     node.Ablation
-	edgeList   *edgeList
-	stop       context.CancelFunc
-	ctx        context.Context
-
-	mu    sync.Mutex
-	nodes map[*vm]*node.Node
-	first string
+	deployment  *Deployment
+	delays      *delays
+	platform    *standin.Server
+	platformURL string
+	ablation    node.Ablation
+	edgeList    *edgeList
+	stop        context.CancelFunc
+	ctx         context.Context
+
+	mu              sync.Mutex
+	nodes           map[*vm]*node.Node
+	firstGossipAddr string
 }
 
-// newNodeFabric starts the platform's stand-in and puts the deployment's
-// profiles in force there.
+// newNodeFabric starts the stand-in of the platform and applies the deployment's
+// profiles to it.
 func newNodeFabric(ctx context.Context, d *Deployment, set config.Set, ablate node.Ablation) (*nodeFabric, error) {
 	n := &nodeFabric{
 		deployment: d,
 		delays:     newDelays(d.ZoneDelay, d.ConnectDelay),
 		platform:   standin.New(standin.Options{}),
-		ablate:     ablate,
+		ablation:   ablate,
 		edgeList:   newEdgeList(),
 		nodes:      map[*vm]*node.Node{},
 	}
@@ -58,7 +61,7 @@
 	if err != nil {
 		return nil, &StartError{Part: "platform", Err: err}
 	}
-	n.platformAt = "http://" + addr
+	n.platformURL = "http://" + addr
 	n.ctx, n.stop = context.WithCancel(ctx)
 	if _, err := n.apply(ctx, set, 0); err != nil {
 		n.close()
@@ -67,13 +70,15 @@
 	return n, nil
 }
 
-// apply makes set the next version after expected.
+// apply stores set on the platform as the version after expected. It fails if
+// the platform holds another version.
 func (n *nodeFabric) apply(ctx context.Context, set config.Set, expected uint64) (config.Result, error) {
 	return config.Apply(ctx, n.platform, set, config.ApplyOptions{ExpectVersion: expected, Author: author, Now: time.Now()})
 }
 
-// change makes an edit of the set in force, as an operator does: read, change,
-// apply on the condition that nobody else changed it meanwhile.
+// change edits the set in force as an operator does: it reads the set, changes
+// it and applies it on condition that nobody else has changed it meanwhile. It
+// returns the new version.
 func (n *nodeFabric) change(ctx context.Context, edit Edit) (uint64, error) {
 	document, err := config.Read(ctx, n.platform)
 	if err != nil {
@@ -97,21 +102,21 @@
 	}
 	n.mu.Lock()
 	n.nodes[v] = started
-	if n.first == "" {
-		n.first = started.Addr("gossip")
+	if n.firstGossipAddr == "" {
+		n.firstGossipAddr = started.Addr("gossip")
 	}
 	n.mu.Unlock()
-	n.delays.place(started.Addr("peer"), v.zone)
+	n.delays.setZone(started.Addr("peer"), v.zone)
 	v.upstream.SetOutbound(started.Addr("outbound"))
 	if err := n.announce(ctx, v, started); err != nil {
 		return &StartError{Part: "upstream of " + v.service.Name, Err: err}
 	}
-	go n.keepAnnouncing(v, started)
+	go n.announceRepeatedly(v, started)
 	n.edgeList.add(v.service.Name, started.Addr("edge"))
 	return nil
 }
 
-// settings are those of the node beside v.
+// settings returns the settings of the node beside v.
 func (n *nodeFabric) settings(v *vm) node.Settings {
 	settings := node.DefaultSettings()
 	settings.Service = v.service.Name
@@ -119,29 +124,32 @@
 	settings.Region = n.deployment.Region
 	settings.Slots = v.upstream.Workers()
 	settings.UpstreamConns = v.upstream.Connections()
-	settings.PlatformURL, settings.OpenPlatform = n.platformAt, store.Open
+	settings.PlatformURL, settings.OpenPlatform = n.platformURL, store.Open
 	settings.GossipInterval = gossipInterval
 	settings.DrainTimeout = drainTimeout
 	settings.Network = &zoneNetwork{delays: n.delays, zone: v.zone}
-	// A stamp differs with each attempt. Taken for a caller's header, as custom
-	// headers are, it would keep every stored answer from being found.
+	// The stamp differs on each attempt. Nodes assume that a custom header
+	// influences the answer, so without this setting no stored answer would
+	// ever match.
 	settings.NeutralHeaders = []string{upstream.HeaderOperation}
-	settings.Ablate = n.ablate
-	if n.first != "" {
-		settings.Peers = []string{n.first}
+	settings.Ablate = n.ablation
+	if n.firstGossipAddr != "" {
+		settings.Peers = []string{n.firstGossipAddr}
 	}
 	return settings
 }
 
-// keepAnnouncing tells the node of the upstream's load while the VM is there.
-func (n *nodeFabric) keepAnnouncing(v *vm, to *node.Node) {
+// announceRepeatedly announces the upstream to its node at regular intervals until
+// the VM is removed or the fabric is closed.
+func (n *nodeFabric) announceRepeatedly(v *vm, to *node.Node) {
 	for n.ctx.Err() == nil && n.node(v) == to {
 		_ = n.announce(n.ctx, v, to)
 		objects.Pause(n.ctx, announceInterval)
 	}
 }
 
-// announce makes the upstream known to its node, as any upstream does.
+// announce sends the upstream's address, limits and load to its node, as any
+// upstream does.
 func (n *nodeFabric) announce(ctx context.Context, v *vm, to *node.Node) error {
 	body, err := json.Marshal(node.Announcement{
 		Service:     v.service.Name,
@@ -165,20 +173,20 @@
 	}
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return &ReadyError{System: v.service.Name, Reason: "announcement answered " + strconv.Itoa(resp.StatusCode)}
+		return &ReadyError{System: v.service.Name, Reason: "announcement failed with status " + strconv.Itoa(resp.StatusCode)}
 	}
 	return nil
 }
 
-// node returns the node beside v, nil if it is gone.
+// node returns the node beside v, or nil if it has been removed.
 func (n *nodeFabric) node(v *vm) *node.Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.nodes[v]
 }
 
-// forget takes the node beside v out of the list and returns it.
-func (n *nodeFabric) forget(v *vm) *node.Node {
+// removeNode removes the node beside v from the list of nodes and returns it.
+func (n *nodeFabric) removeNode(v *vm) *node.Node {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	gone := n.nodes[v]
@@ -197,7 +205,7 @@
 	return versions
 }
 
-func (n *nodeFabric) edges(service string) []string { return n.edgeList.of(service) }
+func (n *nodeFabric) edges(service string) []string { return n.edgeList.addrsOf(service) }
 
 func (n *nodeFabric) outbound(v *vm) string { return n.node(v).Addr("outbound") }
 
--- a/demo/report/report_test.go
+++ b/demo/report/report_test.go
@@ -21,14 +21,14 @@
 		{Name: "booking", Target: upstream.Call{Service: "portal", Route: "book"}, Key: load.OwnKey, Once: true, Shed: load.ShedLast},
 		{Name: "status", Target: upstream.Call{Service: "registry", Route: "note"}, Shed: load.ShedFirst},
 	}
-	begun = time.Unix(1000, 0)
+	workBegan = time.Unix(1000, 0)
 )
 
-// run writes an execution that came as far as state.
-func run(l *upstream.Ledger, try int, service, route string, state upstream.State) {
+// addExecution adds an execution with the given final state to the ledger.
+func addExecution(l *upstream.Ledger, try int, service, route string, state upstream.State) {
 	e := l.Arrive("op", upstream.Execution{Try: try, Service: service, Route: route, Once: true})
 	if state.Ran() {
-		e.Begin(begun)
+		e.Begin(workBegan)
 		e.AddWork(time.Second)
 	}
 	if state == upstream.Finished {
@@ -38,41 +38,42 @@
 	e.GiveUp()
 }
 
-// What each caller was told is held against what the upstreams really did.
-// Each case is one lie, or one loss, that a caller alone could not see.
+// The audit compares the answer to each caller with the executions in the
+// upstreams' ledger. Each case has a false answer, duplicate or wasted work
+// that the caller alone can't detect.
 func TestAuditFindsWhatCallersCannotSee(t *testing.T) {
 	c := qt.New(t)
 	whole := load.Try{Result: load.Whole, AnswerTry: 1}
-	notRun := load.Try{Result: load.NotRun, AnsweredAt: begun.Add(time.Second)}
+	notRun := load.Try{Result: load.NotRun, AnsweredAt: workBegan.Add(time.Second)}
 	for name, test := range map[string]struct {
 		runs  func(*upstream.Ledger)
 		tries []load.Try
 		want  Audit
 	}{
 		"whole": {func(l *upstream.Ledger) {
-			run(l, 1, "portal", "book", upstream.Finished)
-			run(l, 1, "registry", "note", upstream.Finished)
+			addExecution(l, 1, "portal", "book", upstream.Finished)
+			addExecution(l, 1, "registry", "note", upstream.Finished)
 		}, []load.Try{whole}, Audit{Tries: 1, Worked: 2 * time.Second}},
 		"complete, but a hop never finished": {func(l *upstream.Ledger) {
-			run(l, 1, "portal", "book", upstream.Finished)
-			run(l, 1, "registry", "note", upstream.Abandoned)
+			addExecution(l, 1, "portal", "book", upstream.Finished)
+			addExecution(l, 1, "registry", "note", upstream.Abandoned)
 		}, []load.Try{whole}, Audit{Tries: 1, Worked: 2 * time.Second, Hollow: 1}},
 		"told not-run, yet it ran": {func(l *upstream.Ledger) {
-			run(l, 1, "registry", "note", upstream.Abandoned)
+			addExecution(l, 1, "registry", "note", upstream.Abandoned)
 		}, []load.Try{notRun}, Audit{Tries: 1, Worked: time.Second, Wasted: time.Second, PartlyDone: 1, FalseNotRun: 1}},
 		"second try told not-run, the first had run": {func(l *upstream.Ledger) {
-			run(l, 1, "portal", "book", upstream.Abandoned)
+			addExecution(l, 1, "portal", "book", upstream.Abandoned)
 		}, []load.Try{{}, notRun}, Audit{Tries: 2, Worked: time.Second, Wasted: time.Second, PartlyDone: 1, FalseNotRunKey: 1}},
 		"refused, then run by a retry inside": {func(l *upstream.Ledger) {
-			run(l, 1, "portal", "book", upstream.Refused)
-			run(l, 1, "portal", "book", upstream.Finished)
-			run(l, 1, "registry", "note", upstream.Finished)
+			addExecution(l, 1, "portal", "book", upstream.Refused)
+			addExecution(l, 1, "portal", "book", upstream.Finished)
+			addExecution(l, 1, "registry", "note", upstream.Finished)
 		}, []load.Try{whole}, Audit{Tries: 1, Worked: 2 * time.Second, Retries: 1, MaxRetries: 1}},
 		"the client's retry ran it again": {func(l *upstream.Ledger) {
-			run(l, 1, "portal", "book", upstream.Finished)
-			run(l, 1, "registry", "note", upstream.Finished)
-			run(l, 2, "portal", "book", upstream.Finished)
-			run(l, 2, "registry", "note", upstream.Finished)
+			addExecution(l, 1, "portal", "book", upstream.Finished)
+			addExecution(l, 1, "registry", "note", upstream.Finished)
+			addExecution(l, 2, "portal", "book", upstream.Finished)
+			addExecution(l, 2, "registry", "note", upstream.Finished)
 		}, []load.Try{{}, {Result: load.Whole, AnswerTry: 2}}, Audit{Tries: 2, Worked: 4 * time.Second, Wasted: 2 * time.Second, Duplicates: 2}},
 	} {
 		c.Run(name, func(c *qt.C) {
@@ -85,8 +86,9 @@
 	}
 }
 
-// A surge is answered half from store. Counted as whole it would look like
-// goodput, left out like refusals; the report has both shares and says which.
+// Half of the operations in a surge get a stored answer. Counted as whole they
+// would look like goodput, and left out they would look like refusals. The
+// report must list the shares of fresh and stored answers separately.
 func TestReportKeepsStoredAnswersApart(t *testing.T) {
 	c := qt.New(t)
 	r := &Run{Timeline: Timeline{Surge: load.Span{End: time.Second}, Settled: 2 * time.Second, Length: 2 * time.Second}}
@@ -99,8 +101,9 @@
 	c.Check(text.String(), qt.Matches, `(?s).*stale: a stored answer .*% whole, a fresh answer +0 +25 +0\s.*% stale, a stored answer +0 +50 +0\s.*`)
 }
 
-// Overload refuses bookings while status checks go on: the order is upside
-// down, and the run must say BROKEN and name both classes.
+// Overload refuses bookings (shed last) while it serves status checks (shed
+// first). The shed order is violated, so the report must contain BROKEN and
+// name both classes.
 func TestReportShowsABrokenOrder(t *testing.T) {
 	c := qt.New(t)
 	r := &Run{System: "pollengauge", Timeline: Timeline{
@@ -113,7 +116,8 @@
 	}}
 	r.Measure()
 	r.Promises = Check(r, Credits{})
-	// The status answer is hollow too: the ledger knows of no run.
+	// The second broken promise is the hollow status answer, for which the
+	// ledger has no execution.
 	c.Check(r.Broken(), qt.Equals, 2)
 
 	var text, svg bytes.Buffer
--- a/demo/scenario.go
+++ b/demo/scenario.go
@@ -10,27 +10,28 @@
 	"pollengauge.dev/objects"
 )
 
-// The course of a run at time scale 1. Every system gets the same load up to
-// settledAt; what follows is for pollengauge alone.
+// The times of a run at time scale 1, and the factors of its faults. Every
+// system gets the same load up to settledAt; only pollengauge runs the rest.
 const (
-	warmAt      = 500 * time.Millisecond
-	surgeAt     = 1800 * time.Millisecond
-	editAt      = 3000 * time.Millisecond
-	slowAt      = 3800 * time.Millisecond
-	surgeEndAt  = 4600 * time.Millisecond
-	settledAt   = 7400 * time.Millisecond
-	platformAt  = 7500 * time.Millisecond
-	restartAt   = 7900 * time.Millisecond
-	killAt      = 9200 * time.Millisecond
-	platformUp  = 10 * time.Second
-	fullLength  = 11 * time.Second
-	surgeFactor = 3
-	slowFactor  = 3
-	// editSettles is left out of the comparison before and after an edit.
+	warmAt       = 500 * time.Millisecond
+	surgeAt      = 1800 * time.Millisecond
+	editAt       = 3000 * time.Millisecond
+	slowAt       = 3800 * time.Millisecond
+	surgeEndAt   = 4600 * time.Millisecond
+	settledAt    = 7400 * time.Millisecond
+	platformAt   = 7500 * time.Millisecond
+	restartAt    = 7900 * time.Millisecond
+	killAt       = 9200 * time.Millisecond
+	platformUpAt = 10 * time.Second
+	fullLength   = 11 * time.Second
+	surgeFactor  = 3
+	slowFactor   = 3
+	// editSettles is the time after the start of the surge and after the edit
+	// that the comparison before and after the edit excludes.
 	editSettles = 200 * time.Millisecond
 )
 
-// schedule is the course of a run at a time scale.
+// schedule holds the time scale of a run and converts times to it.
 type schedule struct{ scale float64 }
 
 func (s schedule) at(d time.Duration) time.Duration { return time.Duration(float64(d) * s.scale) }
@@ -53,31 +54,32 @@
 	}
 }
 
-// event is one thing that happens during a run.
+// event is an event of a run, at a time relative to its start. A nil do only
+// marks the event in the plot.
 type event struct {
 	at    time.Duration
 	label string
-	do    func(s *stage, ctx context.Context)
+	do    func(s *runState, ctx context.Context)
 }
 
-// commonEvents happen to every system.
+// commonEvents are the events of every system.
 var commonEvents = []event{
 	{surgeAt, "surge x3", nil},
-	{slowAt, "deep replica x3 slower", (*stage).slowDeep},
-	{surgeEndAt, "surge ends, deep normal", (*stage).healDeep},
+	{slowAt, "deep replica x3 slower", (*runState).slowDeep},
+	{surgeEndAt, "surge ends, deep normal", (*runState).restoreDeep},
 }
 
-// nodeEvents happen to pollengauge only.
+// nodeEvents are the events that only pollengauge has.
 var nodeEvents = []event{
-	{editAt, "profiles edited", (*stage).edit},
-	{platformAt, "platform down", (*stage).platformDown},
-	{restartAt, "VM drained and replaced", (*stage).restart},
-	{killAt, "VM killed", (*stage).kill},
-	{platformUp, "platform up", (*stage).platformBack},
+	{editAt, "profiles edited", (*runState).edit},
+	{platformAt, "platform down", (*runState).platformDown},
+	{restartAt, "VM drained and replaced", (*runState).restart},
+	{killAt, "VM killed", (*runState).kill},
+	{platformUpAt, "platform up", (*runState).platformBack},
 }
 
-// stage is what the events of one run act on.
-type stage struct {
+// runState is the state of one run, on which its events act.
+type runState struct {
 	deployment *Deployment
 	schedule   schedule
 	fleet      *fleet
@@ -89,12 +91,12 @@
 	marks    []report.Mark
 	promises []report.Promise
 	notes    []string
-	// drained is the VM's edge and the span in which it left.
+	// drained is the edge of the drained VM and the span of its drain.
 	drained drainSpan
 }
 
-// play runs the events at their times.
-func (s *stage) play(ctx context.Context, events []event) {
+// runEvents runs the events at their times and records their marks.
+func (s *runState) runEvents(ctx context.Context, events []event) {
 	var group sync.WaitGroup
 	for _, e := range events {
 		at := s.schedule.at(e.at)
@@ -112,22 +114,22 @@
 	group.Wait()
 }
 
-func (s *stage) promise(p report.Promise) {
+func (s *runState) promise(p report.Promise) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.promises = append(s.promises, p)
 }
 
-func (s *stage) note(text string) {
+func (s *runState) note(text string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notes = append(s.notes, text)
 }
 
-func (s *stage) slowDeep(context.Context) {
+func (s *runState) slowDeep(context.Context) {
 	s.fleet.find(s.deployment.Deep, 0).upstream.SetSlow(slowFactor)
 }
 
-func (s *stage) healDeep(context.Context) {
+func (s *runState) restoreDeep(context.Context) {
 	s.fleet.find(s.deployment.Deep, 0).upstream.SetSlow(1)
 }
--- a/demo/upstream/calls.go
+++ b/demo/upstream/calls.go
@@ -13,34 +13,37 @@
 // failure is the answer to a request that could not be completed.
 type failure struct {
 	status int
-	// report is passed up: what the call below said of itself.
+	// The headers of the failed downstream call, which are passed on to the
+	// caller.
 	outcome, reason, hop string
 }
 
-// goneFailure ends a request whose caller left; nobody reads the answer.
-func goneFailure() *failure { return &failure{status: http.StatusGatewayTimeout} }
+// disconnectFailure returns the failure of a request whose caller has disconnected;
+// nobody reads the answer.
+func disconnectFailure() *failure { return &failure{status: http.StatusGatewayTimeout} }
 
 const retryAfterSeconds = "1"
 
 func (f *failure) write(w http.ResponseWriter) {
 	h := w.Header()
-	setIf(h, call.HeaderOutcome, f.outcome)
-	setIf(h, call.HeaderReason, f.reason)
-	setIf(h, call.HeaderHop, f.hop)
+	setNonEmpty(h, call.HeaderOutcome, f.outcome)
+	setNonEmpty(h, call.HeaderReason, f.reason)
+	setNonEmpty(h, call.HeaderHop, f.hop)
 	if f.status == ShedStatus {
 		h.Set("Retry-After", retryAfterSeconds)
 	}
 	w.WriteHeader(f.status)
 }
 
-func setIf(h http.Header, name, value string) {
+func setNonEmpty(h http.Header, name, value string) {
 	if value != "" {
 		h.Set(name, value)
 	}
 }
 
-// calls sends the calls of one step together and waits for all. When one
-// fails the others are cancelled, because the request can't complete any more.
+// calls sends the calls of one step in parallel and waits for all of them. When
+// one call fails, it cancels the others, because the request can no longer
+// complete. It returns the first failure.
 func (x *execution) calls(ctx context.Context, calls []Call) *failure {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,27 +62,28 @@
 	return failed
 }
 
-// call sends one call through the own node and reads its whole answer.
+// call sends one call through the upstream's own node and reads the complete
+// answer.
 func (x *execution) call(ctx context.Context, c Call) *failure {
 	req, err := x.request(ctx, c)
 	if err != nil {
-		return x.failed(http.Header{})
+		return x.downstreamFailure(http.Header{})
 	}
 	resp, err := x.server.client.Do(req)
 	if err != nil {
-		return x.failed(http.Header{})
+		return x.downstreamFailure(http.Header{})
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return x.failed(http.Header{})
+		return x.downstreamFailure(http.Header{})
 	}
 	if resp.StatusCode != http.StatusOK {
-		return x.failed(resp.Header)
+		return x.downstreamFailure(resp.Header)
 	}
 	answer, err := ParseAnswer(body)
 	if err != nil || answer.Stamp.Operation != x.stamp.Operation {
-		return x.failed(http.Header{})
+		return x.downstreamFailure(http.Header{})
 	}
 	return nil
 }
@@ -93,22 +97,23 @@
 	}
 	req.Host = c.Service
 	for _, name := range call.PropagatedHeaders {
-		setIf(req.Header, name, x.header.Get(name))
+		setNonEmpty(req.Header, name, x.header.Get(name))
 	}
 	req.Header.Set(HeaderOperation, x.stamp.String())
 	req.Header.Set(headerCaller, strconv.FormatUint(x.entry.id, decimal))
 	return req, nil
 }
 
-// failed turns a failed call below into this request's own failure. Only a
-// request that has done no work of its own may pass not-run on; after that it
-// is partly done, and its fate unknown to the caller.
-func (x *execution) failed(below http.Header) *failure {
-	outcome, err := call.ParseOutcome(below.Get(call.HeaderOutcome))
-	f := &failure{status: http.StatusBadGateway, reason: below.Get(call.HeaderReason), hop: below.Get(call.HeaderHop)}
+// downstreamFailure returns the failure of this request after a downstream call downstreamFailure. A
+// request may pass on the outcome not-run only if it has done no work of its
+// own. Otherwise it is partly done, and its outcome is unknown.
+func (x *execution) downstreamFailure(downstream http.Header) *failure {
+	outcome, err := call.ParseOutcome(downstream.Get(call.HeaderOutcome))
+	f := &failure{status: http.StatusBadGateway, reason: downstream.Get(call.HeaderReason), hop: downstream.Get(call.HeaderHop)}
 	switch {
 	case err != nil:
-		// The node below is a plain forwarder, or there is no answer at all.
+		// The downstream answer came from a plain forwarder, which sends no
+		// outcome, or there is no complete answer.
 	case outcome == call.NotRun && !x.begun:
 		f.status = ShedStatus
 		f.outcome = call.NotRun.String()
--- a/demo/upstream/execution.go
+++ b/demo/upstream/execution.go
@@ -9,13 +9,14 @@
 	"pollengauge.dev/objects"
 )
 
-// execution is one request being served.
+// execution is the state of a request that the upstream serves.
 type execution struct {
 	server *Server
 	entry  *Entry
 	stamp  Stamp
 	header http.Header
-	begun  bool
+	// begun reports whether the upstream's own work has begun.
+	begun bool
 }
 
 func (u *Server) serve(w http.ResponseWriter, r *http.Request, name string, route Route) {
@@ -45,14 +46,14 @@
 	_, _ = w.Write(answer.Bytes())
 }
 
-// run takes a worker and does the steps.
+// run waits for a worker and executes the steps of the route.
 func (x *execution) run(ctx context.Context, route Route) *failure {
 	u := x.server
 	u.queued.Add(1)
 	err := u.workers.Acquire(ctx, 1)
 	u.queued.Add(-1)
 	if err != nil {
-		return goneFailure()
+		return disconnectFailure()
 	}
 	defer u.workers.Release(1)
 	u.busy.Add(1)
@@ -72,21 +73,21 @@
 	return x.work(ctx, step.Work)
 }
 
-// work sleeps for one service time, longer while the upstream is slow or
-// frozen, and stops early when the caller has gone.
+// work sleeps for one service time, longer if the upstream is slow or frozen.
+// It stops early when the caller disconnects.
 func (x *execution) work(ctx context.Context, d Distribution) *failure {
 	u := x.server
 	if !u.faults.awaitThaw(ctx) {
-		return goneFailure()
+		return disconnectFailure()
 	}
 	start := time.Now()
 	x.begun = true
 	x.entry.Begin(start)
-	took := time.Duration(float64(u.draw(d)) * u.faults.slow())
+	took := time.Duration(float64(u.draw(d)) * u.faults.slowFactor())
 	finished := objects.Pause(ctx, took) && u.faults.awaitThaw(ctx)
 	x.entry.AddWork(time.Since(start))
 	if !finished {
-		return goneFailure()
+		return disconnectFailure()
 	}
 	return nil
 }
