--- a/admission/callgraph.go
+++ b/admission/callgraph.go
@@ -57,8 +57,8 @@
 // NewCallGraph returns an empty CallGraph.
 func NewCallGraph() *CallGraph { return &CallGraph{kinds: make(map[string]*kindStats)} }
 
-// Begin records the start of a visit.
-func (g *CallGraph) Begin(kind string, now time.Time) {
+// RecordVisit records the start of a visit.
+func (g *CallGraph) RecordVisit(kind string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
@@ -67,8 +67,8 @@
 	}
 }
 
-// CalledBy records a call that the upstream makes for a visit.
-func (g *CallGraph) CalledBy(kind, call string, now time.Time) {
+// RecordCall records a call that the upstream makes for a visit.
+func (g *CallGraph) RecordCall(kind, call string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
@@ -81,10 +81,10 @@
 	}
 }
 
-// Completed records a successful visit and the calls made for it, by kind.
+// RecordSuccess records a successful visit and the calls made for it, by kind.
 // Failed visits don't show how many calls are needed: most of them end at their
 // first failed call.
-func (g *CallGraph) Completed(kind string, calls map[string]int, now time.Time) {
+func (g *CallGraph) RecordSuccess(kind string, calls map[string]int, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(now)
@@ -103,9 +103,9 @@
 	}
 }
 
-// Needs returns how many calls of a kind a visit needs to succeed, or 0 if that
+// CallsNeeded returns how many calls of a kind a visit needs to succeed, or 0 if that
 // is unknown.
-func (g *CallGraph) Needs(kind, call string) int {
+func (g *CallGraph) CallsNeeded(kind, call string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r := g.kinds[kind]; r != nil {
@@ -114,9 +114,9 @@
 	return 0
 }
 
-// Linked returns the kinds of calls that visits of a kind make. The caller must
+// CallKinds returns the kinds of calls that visits of a kind make. The caller must
 // not modify the result.
-func (g *CallGraph) Linked(kind string) []string {
+func (g *CallGraph) CallKinds(kind string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r := g.kinds[kind]; r != nil {
--- a/admission/callgraph_test.go
+++ b/admission/callgraph_test.go
@@ -15,27 +15,27 @@
 	c := qt.New(t)
 	g := NewCallGraph()
 	now := time.Unix(0, 0)
-	c.Check(g.Needs("lookup", "index"), qt.Equals, 0)
+	c.Check(g.CallsNeeded("lookup", "index"), qt.Equals, 0)
 	for range 20 {
-		g.Begin("lookup", now)
+		g.RecordVisit("lookup", now)
 		for range 4 {
-			g.CalledBy("lookup", "index", now)
+			g.RecordCall("lookup", "index", now)
 		}
-		g.Completed("lookup", map[string]int{"index": 4, "fees": 1}, now)
+		g.RecordSuccess("lookup", map[string]int{"index": 4, "fees": 1}, now)
 		now = now.Add(100 * time.Millisecond)
 	}
 	for range 500 { // all of these fail at their first call
-		g.Begin("lookup", now)
-		g.CalledBy("lookup", "index", now)
+		g.RecordVisit("lookup", now)
+		g.RecordCall("lookup", "index", now)
 		now = now.Add(100 * time.Millisecond)
 	}
-	c.Check(g.Needs("lookup", "index"), qt.Equals, 4)
-	c.Check(g.Needs("lookup", "fees"), qt.Equals, 1)
-	c.Check(g.Needs("lookup", "other"), qt.Equals, 0)
+	c.Check(g.CallsNeeded("lookup", "index"), qt.Equals, 4)
+	c.Check(g.CallsNeeded("lookup", "fees"), qt.Equals, 1)
+	c.Check(g.CallsNeeded("lookup", "other"), qt.Equals, 0)
 	for range 50 { // the service has changed and now makes two calls
-		g.Completed("lookup", map[string]int{"index": 2}, now)
+		g.RecordSuccess("lookup", map[string]int{"index": 2}, now)
 	}
-	c.Check(g.Needs("lookup", "index"), qt.Equals, 2)
+	c.Check(g.CallsNeeded("lookup", "index"), qt.Equals, 2)
 }
 
 // An upstream that names many kinds of calls must not make the graph grow
@@ -47,6 +47,6 @@
 	for i := range 10 * maxKinds {
 		calls[string(rune('a'+i))] = 1
 	}
-	g.Completed("run", calls, time.Unix(0, 0))
+	g.RecordSuccess("run", calls, time.Unix(0, 0))
 	c.Check(len(g.stats("run").needed) <= maxKinds, qt.IsTrue)
 }
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -19,7 +19,7 @@
 // At the root of a request, Feedback and Shedder refuse calls that a downstream
 // hop would refuse, Ranker and FairTiebreak set the tie-break that shares a
 // level fairly among callers, and Brownout stores recent complete responses for
-// profiles that prefer a stale response to a refusal. TooLate reports whether a
+// profiles that prefer a stale response to a refusal. ShouldRefuse reports whether a
 // node is too far behind with its own work to begin more.
 //
 // All exported methods may be called concurrently. The package starts no
--- a/admission/fairshare_test.go
+++ b/admission/fairshare_test.go
@@ -20,11 +20,11 @@
 		rnd := rand.New(rand.NewPCG(1, 2))
 		start := time.Now()
 		s := NewShedder()
-		s.Heard("read", 0.4, start)
+		s.ObservePressure("read", 0.4, start)
 		var arrived, admitted [2]float64
 		for i := range 60_000 {
 			now := start.Add(time.Duration(i) * time.Millisecond / 2)
-			s.Heard("read", 0.4, now)
+			s.ObservePressure("read", 0.4, now)
 			use, kind := usual, 1
 			// The hot customer sends seven of every thirty-six requests.
 			if rnd.Float64()*(customers-1+1/usual) < 1/usual {
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -23,19 +23,19 @@
 	// Progress is the number of calls that have already run for the request.
 	// The higher it is, the more work a refusal would waste.
 	Progress int
-	// HeldBack is the share of similar requests that the root refused at the
+	// RefusedAtRoot is the share of similar requests that the root refused at the
 	// time when it admitted this one, from 0 to below 1.
-	HeldBack float64
+	RefusedAtRoot float64
 	// MaxWait is the longest that the call may be queued, within
 	// Config.MaxQueueWait. Zero means Config.MaxQueueWait; a negative value
 	// means that the call is not queued.
 	MaxWait time.Duration
 	// Deadline is when the caller stops waiting. Zero means no deadline.
 	Deadline time.Time
-	// Hold lets the call be queued for all of MaxWait, even beyond
+	// IgnoreMaxQueueWait lets the call be queued for all of MaxWait, even beyond
 	// Config.MaxQueueWait. It is meant for work whose loss is worse than a
 	// longer queue.
-	Hold bool
+	IgnoreMaxQueueWait bool
 	// Preference is the preference of the call's profile, at most 1; see
 	// Config.Preference. Zero means Config.Preference.
 	Preference float64
@@ -132,7 +132,7 @@
 		return call.ReasonDraining
 	}
 	shard.arrivals[r.Level].Add(1)
-	p.demand.Add(demandOf(r.HeldBack))
+	p.demand.Add(demandOf(r.RefusedAtRoot))
 	if uint32(r.Level) < g.admitLevel(r) {
 		return call.ReasonLevel
 	}
@@ -224,14 +224,14 @@
 	return time.Duration(float64(step) * min(1+prioritiesBelow, maxRetrySteps))
 }
 
-// maxUsedSlotShare is the share of the slots in use up to which HasRoom reports
+// maxUsedSlotShare is the share of the slots in use up to which HasFreeSlots reports
 // free capacity. Upstreams slow down when they are nearly full, and some refuse
 // calls shortly before that.
 const maxUsedSlotShare = 0.75
 
-// HasRoom reports whether the upstream has free slots, counting the visits
+// HasFreeSlots reports whether the upstream has free slots, counting the visits
 // admitted by this gate. The calling visit may be one of them.
-func (g *Gate) HasRoom() bool {
+func (g *Gate) HasFreeSlots() bool {
 	_, inflight := g.counts()
 	return float64(inflight) <= maxUsedSlotShare*float64(g.slots.Load())
 }
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -146,7 +146,7 @@
 			load  float64
 			limit int
 		}{{0, 40}, {-5, 40}, {1.25, 32}, {1e9, 20}} {
-			g.Hint(x.load)
+			g.ReportLoad(x.load)
 			c.Assert(g.Snapshot().Limit, qt.Equals, x.limit)
 		}
 		time.Sleep(2 * reportedLoadTTL)
--- a/admission/lag.go
+++ b/admission/lag.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Work is a kind of work that a node is about to begin.
-type Work uint8
+// WorkKind is a kind of work that a node is about to begin.
+type WorkKind uint8
 
 const (
 	// NewRequest is a request from a caller.
-	NewRequest Work = iota
+	NewRequest WorkKind = iota
 	// PeerCall is a call sent by another node, which can send it elsewhere
 	// instead.
 	PeerCall
@@ -23,7 +23,7 @@
 	maxPeerCallLag = 400 * time.Millisecond
 )
 
-// TooLate reports whether a node should refuse a piece of work, given the lag
+// ShouldRefuse reports whether a node should refuse a piece of work, given the lag
 // with which the node currently does its own work.
 //
 // Load pattern: a VM has too little CPU for its load, as in a surge or on an
@@ -31,7 +31,7 @@
 // already be gone, but it is forwarded all the same. The backlog grows, and the
 // work that is done is useless. Refusing a request costs a fraction of
 // forwarding it, so that the node catches up.
-func TooLate(lag time.Duration, work Work) bool {
+func ShouldRefuse(lag time.Duration, work WorkKind) bool {
 	if work == PeerCall {
 		return lag > maxPeerCallLag
 	}
--- a/admission/lag_test.go
+++ b/admission/lag_test.go
@@ -19,7 +19,7 @@
 		for at := time.Duration(0); at < 2*time.Second; at += every {
 			free = max(free, at)
 			lag := free - at
-			if limited && TooLate(lag, NewRequest) {
+			if limited && ShouldRefuse(lag, NewRequest) {
 				free += refuse
 				continue
 			}
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -180,7 +180,7 @@
 // The only slot stays occupied. A call of a profile that prefers recovery must
 // be refused soon, so that its caller can do something else; a call of a
 // profile that prefers goodput waits four times as long for capacity; a call
-// with Hold waits for as long as its own profile allows.
+// with IgnoreMaxQueueWait waits for as long as its own profile allows.
 func TestPreferenceOfProfileSetsPatience(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -189,9 +189,9 @@
 		_, err = g.Acquire(t.Context(), Request{})
 		c.Assert(err, qt.IsNil)
 		for r, wantWait := range map[Request]time.Duration{
-			{MaxWait: time.Second}:                DefaultMaxQueueWait / 4,
-			{MaxWait: time.Second, Preference: 1}: DefaultMaxQueueWait,
-			{MaxWait: time.Second, Hold: true}:    time.Second,
+			{MaxWait: time.Second}:                           DefaultMaxQueueWait / 4,
+			{MaxWait: time.Second, Preference: 1}:            DefaultMaxQueueWait,
+			{MaxWait: time.Second, IgnoreMaxQueueWait: true}: time.Second,
 		} {
 			start := time.Now()
 			_, err = g.Acquire(t.Context(), r)
--- a/admission/placement_test.go
+++ b/admission/placement_test.go
@@ -40,9 +40,9 @@
 		pressure = min(max(pressure, 0), maxPressure)
 		work = 0
 		for _, k := range kinds {
-			s.Heard(k.name, pressure, now)
+			s.ObservePressure(k.name, pressure, now)
 			if reportWork {
-				s.HeardWork(k.name, k.work)
+				s.ObserveWork(k.name, k.work)
 			}
 			for range k.perTick {
 				level := call.MakeLevel(k.priority, call.Tiebreak(random.IntN(int(call.MaxTiebreak)+1)))
--- a/admission/pressure_test.go
+++ b/admission/pressure_test.go
@@ -143,9 +143,9 @@
 	refused := map[string]int{}
 	for range 20_000 {
 		now = now.Add(time.Millisecond)
-		s.Heard("browse", 0.4, now)
-		s.Heard("file", 0.4, now)
-		s.Heard("pay", 0, now)
+		s.ObservePressure("browse", 0.4, now)
+		s.ObservePressure("file", 0.4, now)
+		s.ObservePressure("pay", 0, now)
 		for profile, priority := range map[string]call.Priority{"browse": 13, "file": 15, "pay": 15} {
 			level := call.MakeLevel(priority, call.Tiebreak(rnd.IntN(int(call.MaxTiebreak)+1)))
 			if !s.Admit(profile, level, now).Admitted {
@@ -166,7 +166,7 @@
 	s := NewShedder()
 	now := time.Unix(1_000_000, 0)
 	for range 200 {
-		s.Heard("browse", 0.97, now)
+		s.ObservePressure("browse", 0.97, now)
 	}
 	for range 30 {
 		now = now.Add(pressureTTL + time.Millisecond)
@@ -184,15 +184,15 @@
 	c := qt.New(t)
 	s := NewShedder()
 	now := time.Unix(1000, 0)
-	s.Heard("status", 0, now)
+	s.ObservePressure("status", 0, now)
 	for range 4 {
 		now = now.Add(400 * time.Millisecond)
-		s.Heard("status", 0.9, now)
+		s.ObservePressure("status", 0.9, now)
 	}
 	c.Check(s.Pressure("status", now) > 0.8, qt.IsTrue, qt.Commentf("%.2f", s.Pressure("status", now)))
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		s.Heard("status", 0, now)
+		s.ObservePressure("status", 0, now)
 	}
 	c.Check(s.Pressure("status", now) < 0.02, qt.IsTrue, qt.Commentf("%.2f after a second without pressure", s.Pressure("status", now)))
 }
@@ -208,13 +208,13 @@
 	for i := range 400 {
 		now = now.Add(25 * time.Millisecond)
 		for range 1 + i/10%4 {
-			g.Begin("payment", now)
-			g.Begin("schedule", now)
+			g.RecordVisit("payment", now)
+			g.RecordVisit("schedule", now)
 			for range 4 {
-				g.CalledBy("schedule", "index", now)
+				g.RecordCall("schedule", "index", now)
 			}
 		}
 	}
-	c.Check(g.Linked("schedule"), qt.DeepEquals, []string{"index"})
-	c.Check(g.Linked("payment"), qt.HasLen, 0)
+	c.Check(g.CallKinds("schedule"), qt.DeepEquals, []string{"index"})
+	c.Check(g.CallKinds("payment"), qt.HasLen, 0)
 }
--- a/admission/shedder.go
+++ b/admission/shedder.go
@@ -73,9 +73,9 @@
 	return &Shedder{profiles: make(map[string]*profilePressure), fallbackWork: defaultWork, thresholds: make(map[int]call.Level)}
 }
 
-// Heard records the pressure, from 0 to 1, that a response reported for a
+// ObservePressure records the pressure, from 0 to 1, that a response reported for a
 // profile.
-func (s *Shedder) Heard(profile string, value float64, now time.Time) {
+func (s *Shedder) ObservePressure(profile string, value float64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.profiles[profile]
@@ -91,9 +91,9 @@
 	h.updatedAt, h.respondedAt = now, now
 }
 
-// HeardWork records the work of a request of the profile at the overloaded
+// ObserveWork records the work of a request of the profile at the overloaded
 // upstream, in milliseconds, as its response reported it. 0 means unknown.
-func (s *Shedder) HeardWork(profile string, ms int) {
+func (s *Shedder) ObserveWork(profile string, ms int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.profiles[profile]
@@ -134,23 +134,23 @@
 // negligiblePressure is the pressure below which nothing is refused.
 const negligiblePressure = 0.005
 
-// Admission is the decision of a Shedder.
-type Admission struct {
+// Decision is the decision of a Shedder.
+type Decision struct {
 	Admitted bool
-	// InForce is the lowest admitted level.
-	InForce call.Level
-	// HeldBack is the share of requests of the same profile that are refused.
-	HeldBack float64
+	// MinLevel is the lowest admitted level.
+	MinLevel call.Level
+	// RefusedShare is the share of requests of the same profile that are refused.
+	RefusedShare float64
 }
 
 // Admit decides whether a request may begin.
-func (s *Shedder) Admit(profile string, level call.Level, now time.Time) Admission {
+func (s *Shedder) Admit(profile string, level call.Level, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tick(now)
 	value := s.pressure(profile, now)
 	if value < negligiblePressure {
-		return Admission{Admitted: true}
+		return Decision{Admitted: true}
 	}
 	h := s.profiles[profile]
 	h.priority = level.Priority()
@@ -162,7 +162,7 @@
 	s.arrivals[placed] += work
 	s.total += work
 	threshold := s.threshold(value)
-	return Admission{Admitted: placed >= threshold, InForce: threshold, HeldBack: value}
+	return Decision{Admitted: placed >= threshold, MinLevel: threshold, RefusedShare: value}
 }
 
 // tick decays the counted arrivals.
--- a/admission/state.go
+++ b/admission/state.go
@@ -70,10 +70,10 @@
 	g.dispatch(now)
 }
 
-// Hint records the load that the upstream reports, where 1 means full. Reports
+// ReportLoad records the load that the upstream reports, where 1 means full. Reports
 // may be late or wrong, so a load above 1 lowers the limit for one second, by
 // half at most, and no report ever raises it.
-func (g *Gate) Hint(reportedLoad float64) {
+func (g *Gate) ReportLoad(reportedLoad float64) {
 	now := g.now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/admission/wait.go
+++ b/admission/wait.go
@@ -53,7 +53,7 @@
 	g.window.preferenceSum += r.Preference
 	g.window.preferenceCount++
 	switch {
-	case r.Hold && r.MaxWait > 0:
+	case r.IgnoreMaxQueueWait && r.MaxWait > 0:
 		maxWait = r.MaxWait
 	case r.MaxWait != 0:
 		maxWait = min(maxWait, max(r.MaxWait, 0))
--- a/node/answer.go
+++ b/node/answer.go
@@ -39,7 +39,7 @@
 	// then be trusted even if the outcome is unknown.
 	reported bool
 	// ended is the reason why no further attempt followed the last one.
-	ended retry.Why
+	ended retry.VerdictReason
 	// stale is the age in seconds of a stored answer.
 	stale string
 }
--- a/node/attempt.go
+++ b/node/attempt.go
@@ -200,11 +200,11 @@
 // routingFeedback returns the feedback that routing gets from an answer.
 func routingFeedback(a *answer, service string, latency time.Duration) routing.Feedback {
 	return routing.Feedback{
-		Outcome: a.report.Outcome,
-		Reason:  a.report.Reason,
-		Deeper:  a.report.Hop != "" && a.report.Hop != service,
-		Latency: latency,
-		Load:    a.report.Load,
-		Level:   a.report.Worst,
+		Outcome:    a.report.Outcome,
+		Reason:     a.report.Reason,
+		Downstream: a.report.Hop != "" && a.report.Hop != service,
+		Latency:    latency,
+		Load:       a.report.Load,
+		Level:      a.report.Worst,
 	}
 }
--- a/node/budget.go
+++ b/node/budget.go
@@ -24,7 +24,7 @@
 
 // serviceRetries has the accounts that retries of one service are paid from.
 type serviceRetries struct {
-	bound  retry.Bound
+	bound  retry.Limiter
 	ration *retry.Ration
 }
 
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -65,12 +65,12 @@
 func (d *dispatchState) attempt(ctx context.Context, attempt int) *answer {
 	n := d.node
 	begin := n.now()
-	picked, err := n.router.Place(routing.Call{
-		Service: d.req.service,
-		Exclude: d.tried,
-		Steady:  !d.req.idempotent,
-		Profile: routing.ProfileKey(d.req.call.Profile),
-		Left:    d.req.deadline.Sub(begin),
+	picked, err := n.router.PickFor(routing.Call{
+		Service:  d.req.service,
+		Exclude:  d.tried,
+		NoProbe:  !d.req.idempotent,
+		Profile:  routing.ProfileKey(d.req.call.Profile),
+		TimeLeft: d.req.deadline.Sub(begin),
 	}, n.random(), begin)
 	if err != nil {
 		n.log.Emit(observe.NoTarget, observe.Str("of", d.req.service), observe.Err(err))
@@ -140,27 +140,27 @@
 		Idempotent:   d.req.idempotent,
 		DeadlineLeft: d.req.deadline.Sub(now),
 		TargetsLeft:  n.router.Candidates(d.req.service, d.tried, now),
-		Refusing:     n.router.Refusing(d.req.service, now),
+		RefusedShare: n.router.RefusedShare(d.req.service, now),
 		Benefit:      retry.Benefit{Priority: d.req.call.Level.Priority(), Remaining: d.req.remaining},
 	}
 	if !d.req.body.rewind() || ctx.Err() != nil {
 		return false
 	}
 	decision.Held = d.ends >= quarantine.HoldFrom && !n.settings.Ablate.NoQuarantine
-	decision.Free = n.spoken()
-	decision.FreeMade = d.free
+	decision.FreeAllowed = n.spoken()
+	decision.FreeAttempts = d.free
 	retries := n.retriesOf(d.req.service)
-	account := retry.Account{Bound: retries.bound, Ration: retries.ration, Draw: rand.Float64()}
+	account := retry.Limits{Limiter: retries.bound, Ration: retries.ration, Draw: rand.Float64()}
 	verdict := retry.Claim(decision, d.credit, account, now)
 	profile := n.metrics.Profile(d.req.call.Profile)
-	profile.Retry(string(verdict.Why))
-	a.ended = verdict.Why
+	profile.Retry(string(verdict.Reason))
+	a.ended = verdict.Reason
 	switch {
 	case verdict.Free:
 		d.free++
 	case verdict.Retry:
 		profile.Spent.Inc(1)
-	case verdict.Why == retry.WhyBudget, verdict.Why == retry.WhyRationed:
+	case verdict.Reason == retry.WhyBudget, verdict.Reason == retry.WhyRationed:
 		n.log.Emit(observe.RetryBudgetSpent, observe.Str("of", d.req.service))
 	}
 	return verdict.Retry
--- a/node/downstream_pressure.go
+++ b/node/downstream_pressure.go
@@ -33,11 +33,11 @@
 	}
 	decision := n.shedder.Admit(req.call.Profile, req.call.Level, n.now())
 	if decision.Admitted {
-		req.call.HeldBack = int(decision.HeldBack * pressureUnit)
+		req.call.HeldBack = int(decision.RefusedShare * pressureUnit)
 		return nil
 	}
 	a := n.refuse(call.NotRun, call.ReasonLevelBelow, 0)
-	a.report.Worst = decision.InForce
+	a.report.Worst = decision.MinLevel
 	return a
 }
 
@@ -48,12 +48,12 @@
 	}
 	reported := float64(a.report.Pressure) / pressureUnit
 	if req.call.Depth > 0 {
-		n.below.Heard(req.call.Profile, reported, n.now())
+		n.below.ObservePressure(req.call.Profile, reported, n.now())
 		return
 	}
-	n.shedder.Heard(req.call.Profile, reported, n.now())
+	n.shedder.ObservePressure(req.call.Profile, reported, n.now())
 	if a.report.Outcome == call.Complete && a.status < http.StatusInternalServerError {
-		n.shedder.HeardWork(req.call.Profile, a.report.Work)
+		n.shedder.ObserveWork(req.call.Profile, a.report.Work)
 	}
 }
 
@@ -84,7 +84,7 @@
 func (n *Node) pressureOf(profile string) int {
 	highest := n.gate.Pressure()
 	now := n.now()
-	for _, called := range n.graph.Linked(profile) {
+	for _, called := range n.graph.CallKinds(profile) {
 		highest = max(highest, int(n.below.Pressure(called, now)*pressureUnit))
 	}
 	return highest
--- a/node/downstream_pressure_test.go
+++ b/node/downstream_pressure_test.go
@@ -25,7 +25,7 @@
 			v := &visit{call: call.Context{Profile: "read"}, started: n.now(), credit: retry.NewCredit(0)}
 			for i := range each {
 				f.c.Assert(v.begin(n.now()), qt.IsTrue)
-				n.graph.CalledBy("read", "lookup", n.now())
+				n.graph.RecordCall("read", "lookup", n.now())
 				pressure := 0
 				if i == each/2 {
 					pressure = hot
--- a/node/handover.go
+++ b/node/handover.go
@@ -82,7 +82,7 @@
 
 // otherMember returns another member of this service that is not draining.
 func (n *Node) otherMember() (routing.Target, bool) {
-	picked, err := n.router.Place(routing.Call{Service: n.settings.Service, Exclude: []string{n.id}, Steady: true}, n.random(), n.now())
+	picked, err := n.router.PickFor(routing.Call{Service: n.settings.Service, Exclude: []string{n.id}, NoProbe: true}, n.random(), n.now())
 	if err != nil {
 		return routing.Target{}, false
 	}
--- a/node/lag.go
+++ b/node/lag.go
@@ -44,4 +44,4 @@
 
 // busy reports whether the node's own scheduling delay is too high to begin more
 // work.
-func (n *Node) busy(work admission.Work) bool { return admission.TooLate(n.lag.lag(), work) }
+func (n *Node) busy(work admission.WorkKind) bool { return admission.ShouldRefuse(n.lag.lag(), work) }
--- a/node/local.go
+++ b/node/local.go
@@ -54,7 +54,7 @@
 	v.ctx = visitCtx
 	if n.spoken() {
 		n.visits.addAs(v, req.call.RequestID)
-		n.graph.Begin(req.call.Profile, v.started)
+		n.graph.RecordVisit(req.call.Profile, v.started)
 		return v, cancel
 	}
 	n.visits.add(v)
--- a/node/local_admission.go
+++ b/node/local_admission.go
@@ -12,19 +12,19 @@
 // admissionRequest returns the properties of the call that the gate decides on.
 func (n *Node) admissionRequest(req *request) admission.Request {
 	r := admission.Request{
-		Level:     req.call.Level,
-		Profile:   req.call.Profile,
-		Inherited: req.call.Depth > 0,
-		HeldBack:  float64(req.call.HeldBack) / pressureUnit,
-		Progress:  req.call.Progress,
-		MaxWait:   time.Duration(req.profile.MaxWait),
-		Deadline:  req.deadline,
+		Level:         req.call.Level,
+		Profile:       req.call.Profile,
+		Inherited:     req.call.Depth > 0,
+		RefusedAtRoot: float64(req.call.HeldBack) / pressureUnit,
+		Progress:      req.call.Progress,
+		MaxWait:       time.Duration(req.profile.MaxWait),
+		Deadline:      req.deadline,
 		// An unrepeatable call may wait for all of its profile's MaxWait, whatever
 		// the gate's own limit. Otherwise a payment for which earlier hops have
 		// already done work would be refused here after a short wait, although the
 		// queue places it before all reads. Its fate would then be unknown, and
 		// nobody could retry it.
-		Hold: req.profile.Unrepeatable,
+		IgnoreMaxQueueWait: req.profile.Unrepeatable,
 		// Profiles count in the opposite direction: there 1 means recovery.
 		Preference: 1 - float64(req.profile.Prefer),
 	}
--- a/node/local_dialect.go
+++ b/node/local_dialect.go
@@ -34,7 +34,7 @@
 // upstream. The latter may be retried at other upstreams, however many of them reject
 // the request.
 func (l *localCall) refusedReason(reported call.Reason) call.Reason {
-	if reported == call.ReasonUpstreamShed && l.node.gate.HasRoom() {
+	if reported == call.ReasonUpstreamShed && l.node.gate.HasFreeSlots() {
 		return call.ReasonUpstreamRefused
 	}
 	return reported
--- a/node/local_finish.go
+++ b/node/local_finish.go
@@ -25,7 +25,7 @@
 		l.node.abandonRun(l.request, !l.unsent)
 	}
 	if outcome == call.Complete && status < http.StatusBadRequest {
-		l.node.graph.Completed(l.request.call.Profile, l.visit.completedCalls(), l.node.now())
+		l.node.graph.RecordSuccess(l.request.call.Profile, l.visit.completedCalls(), l.node.now())
 	}
 	l.cancel()
 	waited := l.visit.ticket.Waited()
--- a/node/members.go
+++ b/node/members.go
@@ -156,7 +156,7 @@
 // tellWorkTimes announces to the members how fast the local upstream is, if that has
 // changed.
 func (n *Node) tellWorkTimes() {
-	times, news := n.work.News(n.now())
+	times, news := n.work.Announcement(n.now())
 	if !news {
 		return
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -65,7 +65,7 @@
 	budgets sync.Map
 	// adjusted holds the settings that can change while the node runs.
 	adjusted atomic.Pointer[Adjustment]
-	repeats  *retry.Repeats
+	repeats  *retry.RepeatDetector
 	// quarantine tracks the requests under which upstreams crash.
 	quarantine *quarantineState
 	// quotas enforces the rate limits of customers.
@@ -201,7 +201,7 @@
 		return err
 	}
 	n.followRatio()
-	n.repeats = retry.NewRepeats(retry.RepeatsConfig{Seed: n.random(), Start: n.started})
+	n.repeats = retry.NewRepeatDetector(retry.RepeatDetectorConfig{Seed: n.random(), Start: n.started})
 	n.quarantine = newQuarantineState()
 	n.quotas = newQuotaState(s.Quota)
 	n.router = routing.NewRouter(routing.Config{
@@ -212,7 +212,7 @@
 		SlowStart: n.slowStart(),
 		// With a dialect, a draining gate itself refuses what it no longer accepts, so
 		// a draining member may be picked if no other is left.
-		LastResort: n.spoken(),
+		PickDraining: n.spoken(),
 	})
 	return nil
 }
--- a/node/operations_test.go
+++ b/node/operations_test.go
@@ -84,7 +84,7 @@
 		f.settle()
 
 		for range 200 {
-			front.shedder.Heard("read", 0.97, front.now())
+			front.shedder.ObservePressure("read", 0.97, front.now())
 		}
 		for range 40 {
 			f.askRouted(front, "/browse/x", "crowd")
@@ -92,7 +92,7 @@
 		// The refused level is recomputed four times a second. A level computed from the
 		// first few of the crowd alone may be one below which hardly any request falls.
 		time.Sleep(300 * time.Millisecond)
-		front.shedder.Heard("read", 0.97, front.now())
+		front.shedder.ObservePressure("read", 0.97, front.now())
 		refused := ""
 		for i := 0; refused == "" && i < 50; i++ { // levels are random, and some requests pass
 			id := "id-" + strconv.Itoa(i)
--- a/node/quarantine.go
+++ b/node/quarantine.go
@@ -66,7 +66,7 @@
 	start := n.now()
 	a := n.attempt(ctx, target, &attempt, 0)
 	a.target = target.ID
-	a.ended = retry.WhyHeld
+	a.ended = retry.WhyQuarantined
 	n.recordAttempt(&attempt, a, 1, 0, start, n.now().Sub(start))
 	return a
 }
--- a/node/record_test.go
+++ b/node/record_test.go
@@ -59,8 +59,8 @@
 // screen.
 func TestEveryEndingHasADescription(t *testing.T) {
 	c := qt.New(t)
-	for _, why := range []retry.Why{
-		retry.WhyMayHaveRun, retry.WhyHopeless, retry.WhyOverload, retry.WhyDeadline,
+	for _, why := range []retry.VerdictReason{
+		retry.WhyMayHaveRun, retry.WhyRefusedByAll, retry.WhyOverload, retry.WhyDeadline,
 		retry.WhyNoTarget, retry.WhyNoCredit, retry.WhyRationed, retry.WhyBudget,
 	} {
 		c.Check(observe.Ending(string(why)), qt.Not(qt.Equals), "", qt.Commentf("%s", why))
--- a/node/refusal.go
+++ b/node/refusal.go
@@ -144,7 +144,7 @@
 	}
 	r := randPool.Get().(*rand.Rand)
 	defer randPool.Put(r)
-	h.Set("Retry-After", strconv.Itoa(retry.WholeSeconds(after, r)))
+	h.Set("Retry-After", strconv.Itoa(retry.RetryAfterSeconds(after, r)))
 	h.Set(call.HeaderRetryAfterMs, strconv.FormatInt(after.Milliseconds(), 10))
 }
 
--- a/node/routed.go
+++ b/node/routed.go
@@ -64,14 +64,14 @@
 	if !ok || !parent.begin(n.now()) {
 		return nil
 	}
-	n.graph.CalledBy(parent.call.Profile, req.call.Profile, n.now())
+	n.graph.RecordCall(parent.call.Profile, req.call.Profile, n.now())
 	req.parent = parent
 	req.call.Depth = min(parent.call.Depth+1, call.MaxDepth)
 	req.call.Progress = max(parent.progress(), 1)
 	req.call.Level = parent.call.Level
 	req.call.HeldBack = parent.call.HeldBack
 	req.call.Repeat = parent.call.Repeat
-	req.remaining = n.graph.Needs(parent.call.Profile, req.call.Profile) - parent.completedOf(req.call.Profile)
+	req.remaining = n.graph.CallsNeeded(parent.call.Profile, req.call.Profile) - parent.completedOf(req.call.Profile)
 	if parent.deadline.Before(req.deadline) {
 		req.deadline = parent.deadline
 	}
--- a/node/routed_test.go
+++ b/node/routed_test.go
@@ -252,13 +252,13 @@
 		profile := &config.Profile{Name: "search", Internal: true, Priority: 15}
 		request := &request{profile: profile, call: call.Context{RequestID: "r", Profile: "search"}}
 		for range 100 {
-			front.shedder.Heard("search", 0.97, front.now())
+			front.shedder.ObservePressure("search", 0.97, front.now())
 			front.shedder.Admit("search", call.MakeLevel(15, 200), front.now())
 		}
 		f.c.Check(front.parentOf(request), qt.IsNil)
 		f.c.Check(request.call.Depth, qt.Equals, 0)
 		f.c.Check(front.refusePressed(request), qt.IsNotNil)
-		f.c.Check(front.graph.Linked("search"), qt.HasLen, 0)
+		f.c.Check(front.graph.CallKinds("search"), qt.HasLen, 0)
 	})
 }
 
--- a/node/upstream.go
+++ b/node/upstream.go
@@ -154,7 +154,7 @@
 		n.upstreamReplaced(old)
 	}
 	n.gate.SetSlots(a.Slots)
-	n.gate.Hint(a.Load)
+	n.gate.ReportLoad(a.Load)
 	if old != nil && !old.sameIncarnation(a) {
 		n.work.Reset()
 	}
--- a/retry/after.go
+++ b/retry/after.go
@@ -27,7 +27,7 @@
 
 // AfterInput holds the inputs of After.
 type AfterInput struct {
-	// Level is the admission level of the refused request. InForce is the
+	// Level is the admission level of the refused request. MinLevel is the
 	// admission level that refused it, or 0 when the refusal did not depend on
 	// the level.
 	Level   call.Level
@@ -98,11 +98,11 @@
 	return 1 + (maxLevelFactor-1)*gap
 }
 
-// WholeSeconds converts a hint to the value of the Retry-After header, which is
+// RetryAfterSeconds converts a hint to the value of the Retry-After header, which is
 // at least 1. It rounds up with a probability equal to the fraction of a
 // second, and down otherwise. This preserves the mean and does not concentrate
 // many callers in one second.
-func WholeSeconds(d time.Duration, r *rand.Rand) int {
+func RetryAfterSeconds(d time.Duration, r *rand.Rand) int {
 	seconds := int(d / time.Second)
 	fraction := float64(d%time.Second) / float64(time.Second)
 	if r.Float64() < fraction {
--- a/retry/bucket_test.go
+++ b/retry/bucket_test.go
@@ -79,10 +79,10 @@
 	})
 }
 
-// boundMutant is a Bound with one safeguard left out.
+// boundMutant is a Limiter with one safeguard left out.
 type boundMutant struct {
 	name string
-	make func() Bound
+	make func() Limiter
 }
 
 // neverExpiring never expires what it earned; neverDeducting doesn't deduct the
@@ -114,12 +114,12 @@
 	c := qt.New(t)
 	const ratio = 0.5
 	config := BucketConfig{Ratio: ratio, Start: start}
-	correct := func() Bound { return NewBucket(config) }
+	correct := func() Limiter { return NewBucket(config) }
 	c.Check(firstOverspentSequence(correct), qt.Equals, "")
 	for _, mutant := range []boundMutant{
-		{"nothing expires", func() Bound { return &neverExpiring{Bucket: Bucket{config: config}} }},
-		{"allowed retries are not deducted", func() Bound { return neverDeducting{NewBucket(config)} }},
-		{"a new bucket starts with unearned retries", func() Bound {
+		{"nothing expires", func() Limiter { return &neverExpiring{Bucket: Bucket{config: config}} }},
+		{"allowed retries are not deducted", func() Limiter { return neverDeducting{NewBucket(config)} }},
+		{"a new bucket starts with unearned retries", func() Limiter {
 			b := NewBucket(config)
 			b.tokens = 3
 			b.recentFirsts[0] = sliceCount{epoch: 0, count: 6}
@@ -132,7 +132,7 @@
 
 // firstOverspentSequence plays all sequences and describes the first span that
 // breaks the bound.
-func firstOverspentSequence(newBound func() Bound) string {
+func firstOverspentSequence(newBound func() Limiter) string {
 	const (
 		steps = 7
 		kinds = 6
@@ -149,9 +149,9 @@
 	return ""
 }
 
-func playSequence(sequence, steps, kinds int, newBound func() Bound) string {
+func playSequence(sequence, steps, kinds int, newBound func() Limiter) string {
 	const calls = 4
-	nodes := [2]Bound{newBound(), newBound()}
+	nodes := [2]Limiter{newBound(), newBound()}
 	incarnations := len(nodes)
 	now := start
 	var events []event
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -6,43 +6,43 @@
 	"pollengauge.dev/call"
 )
 
-// Why is the reason for a Verdict, as one word. It is a metric label and is
+// VerdictReason is the reason for a Verdict, as one word. It is a metric label and is
 // shown by the explain command.
-type Why string
+type VerdictReason string
 
-// Values of Why.
+// Values of VerdictReason.
 const (
 	// WhyRetry: the attempt may be made again, on another target.
-	WhyRetry Why = "retry"
+	WhyRetry VerdictReason = "retry"
 	// WhyComplete: the call has a complete answer, so there is nothing to
 	// retry. An error response of the upstream itself is retried if the call is
 	// idempotent.
-	WhyComplete Why = "complete"
+	WhyComplete VerdictReason = "complete"
 	// WhyMayHaveRun: the call may have run and isn't idempotent.
-	WhyMayHaveRun Why = "may-have-run"
+	WhyMayHaveRun VerdictReason = "may-have-run"
 	// WhyDownstream: the failure happened further downstream, and the hop next
 	// to it could retry already.
-	WhyDownstream Why = "deeper"
-	// WhyHeld: the request is held in quarantine. Upstreams crashed while
+	WhyDownstream VerdictReason = "deeper"
+	// WhyQuarantined: the request is held in quarantine. Upstreams crashed while
 	// running it, and no other upstream may be exposed to it.
-	WhyHeld Why = "held"
-	// WhyHopeless: every other target would refuse the call for the same
+	WhyQuarantined VerdictReason = "held"
+	// WhyRefusedByAll: every other target would refuse the call for the same
 	// reason.
-	WhyHopeless Why = "hopeless"
+	WhyRefusedByAll VerdictReason = "hopeless"
 	// WhyOverload: the service as a whole refuses calls, not just one target.
-	WhyOverload Why = "overload"
+	WhyOverload VerdictReason = "overload"
 	// WhyDeadline: too little time is left for another attempt.
-	WhyDeadline Why = "deadline"
+	WhyDeadline VerdictReason = "deadline"
 	// WhyNoTarget: every target was tried already.
-	WhyNoTarget Why = "no-target"
+	WhyNoTarget VerdictReason = "no-target"
 	// WhyNoCredit: the visit has no credit left; the request has used up its
 	// extra attempts, or lent them to downstream calls.
-	WhyNoCredit Why = "no-credit"
+	WhyNoCredit VerdictReason = "no-credit"
 	// WhyRationed: more retries are requested than the budget earns, and they
 	// go to requests that need fewer further calls.
-	WhyRationed Why = "rationed"
+	WhyRationed VerdictReason = "rationed"
 	// WhyBudget: this node's retry budget is used up.
-	WhyBudget Why = "budget"
+	WhyBudget VerdictReason = "budget"
 )
 
 // OverloadThousandths is the refused share of a service, in thousandths, from
@@ -71,11 +71,11 @@
 	// Held is true when the request is in quarantine: so many upstreams have
 	// crashed while running it that no other upstream may receive it.
 	Held bool
-	// Free allows a retry without credit or budget if the attempt ended before
+	// FreeAllowed allows a retry without credit or budget if the attempt ended before
 	// an upstream received it, because no upstream has had any work from it.
-	// FreeMade is the number of such free attempts already made for the call.
-	Free     bool
-	FreeMade int
+	// FreeAttempts is the number of such free attempts already made for the call.
+	FreeAllowed  bool
+	FreeAttempts int
 	// Credit is the visit's remaining credit. Budget is true when the node's
 	// retry budget allows a retry. Claim sets both.
 	Credit int
@@ -88,18 +88,18 @@
 	AttemptTime  time.Duration
 	// TargetsLeft is the number of targets not tried yet.
 	TargetsLeft int
-	// Refusing is the share of recent attempts on the service that its targets
+	// RefusedShare is the share of recent attempts on the service that its targets
 	// refused for overload, in thousandths.
-	Refusing int
+	RefusedShare int
 }
 
 // Verdict is the result of Decide.
 type Verdict struct {
 	Retry bool
-	// Free is true when the retry is charged neither to the credit nor to the
+	// FreeAllowed is true when the retry is charged neither to the credit nor to the
 	// budget.
-	Free bool
-	Why  Why
+	Free   bool
+	Reason VerdictReason
 }
 
 // Decide reports whether an attempt may be made again, and why. It is a pure
@@ -109,37 +109,37 @@
 func Decide(in Decision) Verdict {
 	switch {
 	case in.Outcome == call.Complete && (in.Reason != call.ReasonUpstreamFailed || !in.Idempotent):
-		return Verdict{Why: WhyComplete}
+		return Verdict{Reason: WhyComplete}
 	case in.Outcome != call.NotRun && !in.Idempotent:
-		return Verdict{Why: WhyMayHaveRun}
+		return Verdict{Reason: WhyMayHaveRun}
 	case in.Hop != "" && in.Hop != in.Service:
 		// Without this check each hop on the way up to the root would retry the
 		// same failure, and the attempts would multiply.
-		return Verdict{Why: WhyDownstream}
+		return Verdict{Reason: WhyDownstream}
 	case in.Held:
-		return Verdict{Why: WhyHeld}
+		return Verdict{Reason: WhyQuarantined}
 	case refusedByAllTargets(in.Reason):
-		return Verdict{Why: WhyHopeless}
-	case isOverloadRefusal(in.Reason) && in.Refusing >= OverloadThousandths:
-		return Verdict{Why: WhyOverload}
+		return Verdict{Reason: WhyRefusedByAll}
+	case isOverloadRefusal(in.Reason) && in.RefusedShare >= OverloadThousandths:
+		return Verdict{Reason: WhyOverload}
 	case in.DeadlineLeft <= in.AttemptTime || in.DeadlineLeft <= 0:
-		return Verdict{Why: WhyDeadline}
+		return Verdict{Reason: WhyDeadline}
 	case in.TargetsLeft <= 0:
-		return Verdict{Why: WhyNoTarget}
+		return Verdict{Reason: WhyNoTarget}
 	case in.isFree():
-		return Verdict{Retry: true, Why: WhyRetry, Free: true}
+		return Verdict{Retry: true, Reason: WhyRetry, Free: true}
 	case in.Credit <= 0:
-		return Verdict{Why: WhyNoCredit}
+		return Verdict{Reason: WhyNoCredit}
 	case !in.Budget:
-		return Verdict{Why: WhyBudget}
-	case isOverloadRefusal(in.Reason) && in.Free && in.FreeMade >= MaxFreeAttempts:
-		return Verdict{Why: WhyOverload}
+		return Verdict{Reason: WhyBudget}
+	case isOverloadRefusal(in.Reason) && in.FreeAllowed && in.FreeAttempts >= MaxFreeAttempts:
+		return Verdict{Reason: WhyOverload}
 	}
-	return Verdict{Retry: true, Why: WhyRetry}
+	return Verdict{Retry: true, Reason: WhyRetry}
 }
 
-// Bound limits the retries of a node; Budget and Bucket implement it.
-type Bound interface {
+// Limiter limits the retries of a node; Budget and Bucket implement it.
+type Limiter interface {
 	// OnFirst counts a first attempt, which earns a fraction of a retry.
 	OnFirst(now time.Time)
 	// Allow reports whether a retry may be made now, and if so deducts it.
@@ -148,19 +148,19 @@
 	Left(now time.Time) int
 }
 
-// Account holds the limits that a retry is charged to: Bound limits the number
+// Limits holds the limits that a retry is charged to: Limiter limits the number
 // of retries, and Ration, which may be nil, chooses among the requests for
 // them. Draw is a random number in [0, 1) for the Ration.
-type Account struct {
-	Bound  Bound
-	Ration *Ration
-	Draw   float64
+type Limits struct {
+	Limiter Limiter
+	Ration  *Ration
+	Draw    float64
 }
 
 // Claim calls Decide and, when the verdict is a retry that is not free, takes
 // one from the credit and one from the budget: both or neither. It sets
 // in.Credit and in.Budget.
-func Claim(in Decision, credit *Credit, account Account, now time.Time) Verdict {
+func Claim(in Decision, credit *Credit, account Limits, now time.Time) Verdict {
 	in.Credit = credit.Available()
 	in.Budget = true
 	verdict := Decide(in)
@@ -168,14 +168,14 @@
 		return verdict
 	}
 	if account.Ration != nil && !account.Ration.Admit(in.Benefit, account.Draw, now) {
-		return Verdict{Why: WhyRationed}
+		return Verdict{Reason: WhyRationed}
 	}
 	if credit.Take(1) == 0 {
-		return Verdict{Why: WhyNoCredit}
+		return Verdict{Reason: WhyNoCredit}
 	}
-	if !account.Bound.Allow(now) {
+	if !account.Limiter.Allow(now) {
 		credit.putBack(1)
-		return Verdict{Why: WhyBudget}
+		return Verdict{Reason: WhyBudget}
 	}
 	return verdict
 }
@@ -187,7 +187,7 @@
 const MaxFreeAttempts = 2
 
 func (in Decision) isFree() bool {
-	return in.Free && in.Outcome == call.NotRun && in.FreeMade < MaxFreeAttempts && BeforeUpstream(in.Reason)
+	return in.FreeAllowed && in.Outcome == call.NotRun && in.FreeAttempts < MaxFreeAttempts && BeforeUpstream(in.Reason)
 }
 
 // BeforeUpstream reports whether an attempt that ended as not-run for this
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -12,7 +12,7 @@
 //     attempts that were proved not to have run or are idempotent.
 //   - Ration gives the retries of a budget, when more are requested than it
 //     covers, to the requests that need the fewest further calls.
-//   - Repeats recognises the callers' own retries, so that they don't start
+//   - RepeatDetector recognises the callers' own retries, so that they don't start
 //     with new credit.
 //
 // A node uses them in this order:
@@ -28,6 +28,6 @@
 // The package does no I/O and starts no goroutine. Times and random numbers are
 // passed in as values; only the choice of a counter shard, which affects no
 // result, draws a random number itself. All methods of Credit, Budget, Bucket,
-// Ration and Repeats may be called concurrently; the *rand.Rand passed to After
+// Ration and RepeatDetector may be called concurrently; the *rand.Rand passed to After
 // must not be used concurrently.
 package retry
--- a/retry/example_test.go
+++ b/retry/example_test.go
@@ -25,7 +25,7 @@
 		Service:      "filing",
 		DeadlineLeft: time.Second,
 		TargetsLeft:  2,
-	}, credit, retry.Account{Bound: budget}, now)
+	}, credit, retry.Limits{Limiter: budget}, now)
 	fmt.Println("retry:", verdict.Retry)
 	fmt.Println("left:", credit.Left())
 	// Output:
--- a/retry/ration.go
+++ b/retry/ration.go
@@ -56,10 +56,10 @@
 // request; a retry of the first of four calls completes one request in four at
 // best. So the retries go to the runs with the fewest calls left.
 //
-// A Ration only chooses among requests; its Bound limits the number of retries.
+// A Ration only chooses among requests; its Limiter limits the number of retries.
 // All methods may be called concurrently.
 type Ration struct {
-	bound Bound
+	bound Limiter
 
 	mu      sync.Mutex
 	tickEnd time.Time
@@ -76,7 +76,7 @@
 }
 
 // NewRation returns a Ration that hands out the retries that bound allows.
-func NewRation(bound Bound) *Ration {
+func NewRation(bound Limiter) *Ration {
 	r := &Ration{bound: bound}
 	for i := range r.demand {
 		r.demand[i].grantedShare = 1
--- a/retry/repeats.go
+++ b/retry/repeats.go
@@ -8,7 +8,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Defaults for RepeatsConfig.
+// Defaults for RepeatDetectorConfig.
 const (
 	DefaultRepeatsWindow  = time.Minute
 	DefaultRepeatsEntries = 1 << 16
@@ -21,8 +21,8 @@
 	maxRepeatsEntries = 1 << 24
 )
 
-// RepeatsConfig configures Repeats.
-type RepeatsConfig struct {
+// RepeatDetectorConfig configures RepeatDetector.
+type RepeatDetectorConfig struct {
 	// Window is how long a request is remembered after it was last seen. It
 	// should be longer than the callers' own delays between retries. Default
 	// one minute.
@@ -39,7 +39,7 @@
 	Start time.Time
 }
 
-// Repeats recognises requests that callers send again, by idempotency key or
+// RepeatDetector recognises requests that callers send again, by idempotency key or
 // request id. Without it each retry by a client would start with a new credit,
 // and a burst of client retries would multiply downstream.
 //
@@ -47,7 +47,7 @@
 // the id's 64-bit hash, the time when it was last seen and a count. If two ids
 // have the same hash, the second one only loses its credit; among 65536 entries
 // this happens in about one of 10^10 tables.
-type Repeats struct {
+type RepeatDetector struct {
 	window time.Duration
 	start  time.Time
 	seed   uint64
@@ -70,9 +70,9 @@
 	count uint32
 }
 
-// NewRepeats returns an empty table. Settings that are zero or out of range
+// NewRepeatDetector returns an empty table. Settings that are zero or out of range
 // get their default.
-func NewRepeats(config RepeatsConfig) *Repeats {
+func NewRepeatDetector(config RepeatDetectorConfig) *RepeatDetector {
 	if config.Window <= 0 {
 		config.Window = DefaultRepeatsWindow
 	}
@@ -84,7 +84,7 @@
 	}
 	entries := min(config.Entries, maxRepeatsEntries)
 	sets := max(entries/repeatsWays/repeatsShards, 1)
-	r := &Repeats{window: config.Window, start: config.Start, seed: config.Seed}
+	r := &RepeatDetector{window: config.Window, start: config.Start, seed: config.Seed}
 	for i := range r.shards {
 		r.shards[i].sets = make([]repeatsSet, sets)
 	}
@@ -93,7 +93,7 @@
 
 // Seen records the id and returns how often it was seen before in the window: 0
 // for the first time.
-func (r *Repeats) Seen(id string, now time.Time) int {
+func (r *RepeatDetector) Seen(id string, now time.Time) int {
 	hash := xxh3.HashStringSeed(id, r.seed)
 	shard := &r.shards[hash%repeatsShards]
 	at := r.stamp(now)
@@ -115,13 +115,13 @@
 // stamp converts a time to milliseconds that wrap around after 49 days, so an
 // entry of that age would look new again. The value 0 is reserved for empty
 // entries.
-func (r *Repeats) stamp(now time.Time) uint32 {
+func (r *RepeatDetector) stamp(now time.Time) uint32 {
 	return max(uint32(now.Sub(r.start).Milliseconds()), 1)
 }
 
 // expired reports whether the entry is older than the window. It compares by
 // difference, which stays correct when the milliseconds wrap around.
-func (r *Repeats) expired(entry *repeatsEntry, at uint32) bool {
+func (r *RepeatDetector) expired(entry *repeatsEntry, at uint32) bool {
 	age := int32(at - entry.seen)
 	return int64(age) > r.window.Milliseconds()
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -42,29 +42,29 @@
 		Outcome: call.NotRun, Reason: call.ReasonConnect, Service: "filing",
 		Credit: 1, Budget: true, DeadlineLeft: time.Second, TargetsLeft: 1,
 	}
-	for want, change := range map[Why]func(*Decision){
-		WhyRetry:      func(in *Decision) { in.Reason, in.Hop = call.ReasonQueueFull, "filing" },
-		WhyComplete:   func(in *Decision) { in.Outcome = call.Complete },
-		WhyMayHaveRun: func(in *Decision) { in.Outcome, in.Reason = call.Unknown, call.ReasonLost },
-		WhyDownstream: func(in *Decision) { in.Hop = "billing" },
-		WhyHopeless:   func(in *Decision) { in.Reason = call.ReasonLevelBelow },
-		WhyOverload:   func(in *Decision) { in.Reason, in.Refusing = call.ReasonLevel, OverloadThousandths },
-		WhyDeadline:   func(in *Decision) { in.AttemptTime = time.Second },
-		WhyNoTarget:   func(in *Decision) { in.TargetsLeft = 0 },
-		WhyNoCredit:   func(in *Decision) { in.Credit = 0 },
-		WhyBudget:     func(in *Decision) { in.Budget = false },
+	for want, change := range map[VerdictReason]func(*Decision){
+		WhyRetry:        func(in *Decision) { in.Reason, in.Hop = call.ReasonQueueFull, "filing" },
+		WhyComplete:     func(in *Decision) { in.Outcome = call.Complete },
+		WhyMayHaveRun:   func(in *Decision) { in.Outcome, in.Reason = call.Unknown, call.ReasonLost },
+		WhyDownstream:   func(in *Decision) { in.Hop = "billing" },
+		WhyRefusedByAll: func(in *Decision) { in.Reason = call.ReasonLevelBelow },
+		WhyOverload:     func(in *Decision) { in.Reason, in.RefusedShare = call.ReasonLevel, OverloadThousandths },
+		WhyDeadline:     func(in *Decision) { in.AttemptTime = time.Second },
+		WhyNoTarget:     func(in *Decision) { in.TargetsLeft = 0 },
+		WhyNoCredit:     func(in *Decision) { in.Credit = 0 },
+		WhyBudget:       func(in *Decision) { in.Budget = false },
 	} {
 		in := base
 		change(&in)
-		c.Assert(Decide(in), qt.Equals, Verdict{Retry: want == WhyRetry, Why: want})
+		c.Assert(Decide(in), qt.Equals, Verdict{Retry: want == WhyRetry, Reason: want})
 	}
 	failed := base
 	failed.Outcome, failed.Reason, failed.Hop = call.Complete, call.ReasonUpstreamFailed, "filing"
-	c.Check(Decide(failed), qt.Equals, Verdict{Why: WhyComplete})
+	c.Check(Decide(failed), qt.Equals, Verdict{Reason: WhyComplete})
 	failed.Idempotent = true
-	c.Check(Decide(failed), qt.Equals, Verdict{Retry: true, Why: WhyRetry})
+	c.Check(Decide(failed), qt.Equals, Verdict{Retry: true, Reason: WhyRetry})
 	failed.Reason = call.ReasonFailedBelow
-	c.Check(Decide(failed), qt.Equals, Verdict{Why: WhyComplete})
+	c.Check(Decide(failed), qt.Equals, Verdict{Reason: WhyComplete})
 
 	lost := base
 	lost.Outcome, lost.Reason, lost.Idempotent = call.Unknown, call.ReasonLost, true
@@ -72,8 +72,8 @@
 
 	credit := NewCredit(2)
 	budget := NewBudget(BudgetConfig{Burst: 1, Start: start})
-	c.Assert(Claim(base, credit, Account{Bound: budget}, start), qt.Equals, Verdict{Retry: true, Why: WhyRetry})
-	c.Assert(Claim(base, credit, Account{Bound: budget}, start), qt.Equals, Verdict{Why: WhyBudget})
+	c.Assert(Claim(base, credit, Limits{Limiter: budget}, start), qt.Equals, Verdict{Retry: true, Reason: WhyRetry})
+	c.Assert(Claim(base, credit, Limits{Limiter: budget}, start), qt.Equals, Verdict{Reason: WhyBudget})
 	c.Assert(credit.Left(), qt.Equals, 1)
 }
 
@@ -136,7 +136,7 @@
 // never be mistaken for a repeat, or it would lose its credit.
 func TestRepeatsAgreeWithAnExactTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		repeats := NewRepeats(RepeatsConfig{Window: time.Second, Entries: 4096, Start: start})
+		repeats := NewRepeatDetector(RepeatDetectorConfig{Window: time.Second, Entries: 4096, Start: start})
 		exact, last := make(map[string]int), make(map[string]time.Time)
 		now := start
 		t.Repeat(map[string]func(*rapid.T){
@@ -174,7 +174,7 @@
 			arrived := time.Duration(r.Int64N(int64(time.Second)))
 			hint := After(in, r)
 			c.Assert(hint >= DefaultAfterBase && hint <= DefaultAfterMax, qt.IsTrue)
-			back := arrived + time.Duration(WholeSeconds(hint, r))*time.Second
+			back := arrived + time.Duration(RetryAfterSeconds(hint, r))*time.Second
 			wave[int(back/time.Second)]++
 		}
 		most := 0
@@ -191,7 +191,7 @@
 func Benchmark(b *testing.B) {
 	var credit Credit
 	budget := NewBudget(BudgetConfig{Start: start})
-	repeats := NewRepeats(RepeatsConfig{Start: start})
+	repeats := NewRepeatDetector(RepeatDetectorConfig{Start: start})
 	ids := make([]string, 4096)
 	for i := range ids {
 		ids[i] = fmt.Sprint("request-", i)
@@ -245,27 +245,27 @@
 	c := qt.New(t)
 	base := Decision{
 		Outcome: call.NotRun, Reason: call.ReasonQueueWait, Hop: "filing", Service: "filing",
-		Free: true, DeadlineLeft: time.Second, TargetsLeft: 1,
+		FreeAllowed: true, DeadlineLeft: time.Second, TargetsLeft: 1,
 	}
-	c.Check(Decide(base), qt.Equals, Verdict{Retry: true, Free: true, Why: WhyRetry})
-	for want, change := range map[Why]func(*Decision){
-		WhyNoCredit:   func(in *Decision) { in.FreeMade = MaxFreeAttempts },
+	c.Check(Decide(base), qt.Equals, Verdict{Retry: true, Free: true, Reason: WhyRetry})
+	for want, change := range map[VerdictReason]func(*Decision){
+		WhyNoCredit:   func(in *Decision) { in.FreeAttempts = MaxFreeAttempts },
 		WhyMayHaveRun: func(in *Decision) { in.Outcome = call.Unknown },
-		WhyOverload:   func(in *Decision) { in.Refusing = OverloadThousandths },
+		WhyOverload:   func(in *Decision) { in.RefusedShare = OverloadThousandths },
 		WhyNoTarget:   func(in *Decision) { in.TargetsLeft = 0 },
 	} {
 		in := base
 		change(&in)
-		c.Check(Decide(in), qt.Equals, Verdict{Why: want})
+		c.Check(Decide(in), qt.Equals, Verdict{Reason: want})
 	}
 	shed := base
 	shed.Reason = call.ReasonUpstreamShed
-	c.Check(Decide(shed), qt.Equals, Verdict{Why: WhyNoCredit})
+	c.Check(Decide(shed), qt.Equals, Verdict{Reason: WhyNoCredit})
 	thrice := base
-	thrice.FreeMade, thrice.Credit, thrice.Budget = MaxFreeAttempts, 1, true
-	c.Check(Decide(thrice), qt.Equals, Verdict{Why: WhyOverload})
+	thrice.FreeAttempts, thrice.Credit, thrice.Budget = MaxFreeAttempts, 1, true
+	c.Check(Decide(thrice), qt.Equals, Verdict{Reason: WhyOverload})
 	thrice.Reason = call.ReasonConnect
-	c.Check(Decide(thrice), qt.Equals, Verdict{Retry: true, Why: WhyRetry})
+	c.Check(Decide(thrice), qt.Equals, Verdict{Retry: true, Reason: WhyRetry})
 }
 
 // Most targets of a service refuse. A refusal by a target with free slots
@@ -276,9 +276,9 @@
 	c := qt.New(t)
 	in := Decision{
 		Outcome: call.NotRun, Reason: call.ReasonUpstreamRefused, Hop: "index", Service: "index",
-		Credit: 1, Budget: true, DeadlineLeft: time.Second, TargetsLeft: 1, Refusing: 900,
+		Credit: 1, Budget: true, DeadlineLeft: time.Second, TargetsLeft: 1, RefusedShare: 900,
 	}
-	c.Check(Decide(in), qt.Equals, Verdict{Retry: true, Why: WhyRetry})
+	c.Check(Decide(in), qt.Equals, Verdict{Retry: true, Reason: WhyRetry})
 	in.Reason = call.ReasonUpstreamShed
-	c.Check(Decide(in), qt.Equals, Verdict{Why: WhyOverload})
+	c.Check(Decide(in), qt.Equals, Verdict{Reason: WhyOverload})
 }
--- a/routing/config.go
+++ b/routing/config.go
@@ -62,11 +62,11 @@
 	// should be longer than the time in which a membership update reaches all
 	// nodes. Default 10 s.
 	DrainMemory time.Duration
-	// LastResort allows Pick to return a draining member when no other target
+	// PickDraining allows Pick to return a draining member when no other target
 	// is left. It is for members that themselves refuse, as not-run, the calls
 	// that they no longer accept: during a rolling restart a draining member
 	// still serves calls for a while.
-	LastResort bool
+	PickDraining bool
 	// Start is the time at which the node started. Times are measured from it,
 	// by the monotonic clock where the values have one. Zero means the Unix
 	// epoch.
--- a/routing/drain_test.go
+++ b/routing/drain_test.go
@@ -49,13 +49,13 @@
 }
 
 // During a rolling restart, all remaining members of a service drain for a
-// moment. With LastResort a call goes to one of them, which itself refuses the
+// moment. With PickDraining a call goes to one of them, which itself refuses the
 // calls that it no longer accepts. A member that refused because it drains must
 // not be picked again.
 func TestDrainingMembersAreTheLastResort(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	r := NewRouter(Config{Node: "me", Zone: "a", Region: "r", LastResort: true})
+	r := NewRouter(Config{Node: "me", Zone: "a", Region: "r", PickDraining: true})
 	r.SetTargets([]Target{
 		{ID: "one", Service: "s", Zone: "a", Region: "r", Draining: true},
 		{ID: "two", Service: "s", Zone: "b", Region: "r"},
--- a/routing/errors.go
+++ b/routing/errors.go
@@ -25,7 +25,7 @@
 	NoTargetExcluded NoTargetReason = "all-excluded"
 )
 
-// NoTargetError is returned by Pick and Place when no target can be chosen.
+// NoTargetError is returned by Pick and PickFor when no target can be chosen.
 // Nothing was sent, so the outcome of the call is not-run.
 type NoTargetError struct {
 	Service string
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -19,13 +19,13 @@
 	Service string
 	// Exclude holds the IDs of the targets already tried for this call.
 	Exclude []string
-	// Steady is true for a call that must not probe an ejected target, such as
+	// NoProbe is true for a call that must not probe an ejected target, such as
 	// a filing that can't be repeated.
-	Steady bool
-	// Profile is the ProfileKey of the call's profile, and Left the time until
+	NoProbe bool
+	// Profile is the ProfileKey of the call's profile, and TimeLeft the time until
 	// its deadline. Without them work times are ignored.
-	Profile uint32
-	Left    time.Duration
+	Profile  uint32
+	TimeLeft time.Duration
 }
 
 // Pick chooses a target. exclude holds the IDs already tried for this call; rnd
@@ -33,11 +33,11 @@
 //
 // Done must be called exactly once for each Picked.
 func (r *Router) Pick(service string, exclude []string, rnd uint64, now time.Time) (Picked, error) {
-	return r.Place(Call{Service: service, Exclude: exclude}, rnd, now)
+	return r.PickFor(Call{Service: service, Exclude: exclude}, rnd, now)
 }
 
-// Place is like Pick, with all properties of the call given.
-func (r *Router) Place(call Call, rnd uint64, now time.Time) (Picked, error) {
+// PickFor is like Pick, with all properties of the call given.
+func (r *Router) PickFor(call Call, rnd uint64, now time.Time) (Picked, error) {
 	s := (*r.services.Load())[call.Service]
 	if s == nil {
 		return Picked{}, &NoTargetError{Service: call.Service, Reason: NoTargetNone}
@@ -50,9 +50,9 @@
 		typical:    s.typical.Load(),
 		rnd:        rnd,
 		at:         at,
-		probe:      !call.Steady,
+		probe:      !call.NoProbe,
 		profile:    call.Profile,
-		leftMicros: call.Left.Microseconds(),
+		leftMicros: call.TimeLeft.Microseconds(),
 	}
 	candidate, probed := c.pickTarget()
 	if candidate == nil {
--- a/routing/quicker_test.go
+++ b/routing/quicker_test.go
@@ -48,7 +48,7 @@
 	tooLate := 0
 	for range calls {
 		now = now.Add(20 * time.Millisecond)
-		picked, err := r.Place(Call{Service: "filing", Steady: true, Profile: ProfileKey(profile), Left: left}, rnd.Uint64(), now)
+		picked, err := r.PickFor(Call{Service: "filing", NoProbe: true, Profile: ProfileKey(profile), TimeLeft: left}, rnd.Uint64(), now)
 		c.Assert(err, qt.IsNil)
 		took := drawWorkTime(picked.Target, rnd)
 		if took > left {
@@ -98,11 +98,11 @@
 	r.SetTargets(targets)
 	now := start.Add(time.Minute)
 	rnd := rand.New(rand.NewPCG(1, 2))
-	call := Call{Service: "filing", Profile: ProfileKey(bookingProfile), Left: 800 * time.Millisecond}
+	call := Call{Service: "filing", Profile: ProfileKey(bookingProfile), TimeLeft: 800 * time.Millisecond}
 	placed := map[string]int{}
 	for i := range 3000 {
 		now = now.Add(time.Millisecond)
-		picked, err := r.Place(call, rnd.Uint64(), now)
+		picked, err := r.PickFor(call, rnd.Uint64(), now)
 		c.Assert(err, qt.IsNil)
 		answer := good(100 * time.Millisecond)
 		if picked.Target.ID != "slow" {
@@ -133,7 +133,7 @@
 		for range 40 {
 			w.Add("busy", time.Duration(slow*100*math.Exp(0.8*rnd.NormFloat64()-0.32))*time.Millisecond)
 		}
-		times, announce := w.News(now)
+		times, announce := w.Announcement(now)
 		if announce {
 			announcements++
 		}
@@ -161,7 +161,7 @@
 	c.Check(len(w.profiles) <= maxMeasuredProfiles, qt.IsTrue)
 	for range 200 {
 		now = now.Add(time.Second)
-		w.News(now)
+		w.Announcement(now)
 	}
 	c.Check(w.profiles, qt.HasLen, 0)
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -157,7 +157,7 @@
 		Level:    call.Level(m.level.Load()),
 		Share:    int(m.slowStartShare(at, &r.config)),
 		Ejected:  time.Duration(m.ejectedFor(at, &r.config)) * time.Millisecond,
-		Leaving:  candidate.target.Draining || m.drained(at, &r.config),
+		Drained:  candidate.target.Draining || m.drained(at, &r.config),
 	}
 }
 
@@ -181,10 +181,10 @@
 	return s.view.Load().usable(exclude, r.millis(now), &r.config)
 }
 
-// Refusing returns the share of recent attempts that the targets of a service
+// RefusedShare returns the share of recent attempts that the targets of a service
 // in this region refused for overload, in thousandths. It distinguishes one
 // overloaded target from a service that is full.
-func (r *Router) Refusing(service string, now time.Time) int {
+func (r *Router) RefusedShare(service string, now time.Time) int {
 	s := (*r.services.Load())[service]
 	if s == nil {
 		return 0
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -20,7 +20,7 @@
 	for _, candidate := range members {
 		switch {
 		case candidate.target.Draining:
-			if config.LastResort && len(v.draining) < MaxSubset {
+			if config.PickDraining && len(v.draining) < MaxSubset {
 				v.draining = append(v.draining, candidate)
 			}
 		case candidate.target.Region != config.Region:
--- a/routing/target.go
+++ b/routing/target.go
@@ -36,9 +36,9 @@
 type Feedback struct {
 	Outcome call.Outcome
 	Reason  call.Reason
-	// Deeper is true when the reason came from a hop downstream of the target.
+	// Downstream is true when the reason came from a hop downstream of the target.
 	// The target itself answered, so the result doesn't count against it.
-	Deeper bool
+	Downstream bool
 	// Latency is the time from sending the call to the end of its answer.
 	Latency time.Duration
 	// Load is the load reported by the target, in thousandths of its limit. 0
@@ -68,17 +68,17 @@
 	case call.ReasonConnect, call.ReasonLost, call.ReasonUpstreamEnded, call.ReasonTimeout,
 		call.ReasonTruncated, call.ReasonNotBelieved, call.ReasonNoUpstream, call.ReasonOtherInstance,
 		call.ReasonUpstreamFailed:
-		if f.Deeper {
+		if f.Downstream {
 			return verdictNeutral
 		}
 		return verdictFailed
 	case call.ReasonLevel, call.ReasonQueueFull, call.ReasonQueueWait, call.ReasonUpstreamShed, call.ReasonUpstreamRefused, call.ReasonBusy, call.ReasonPeerFull:
-		if f.Deeper {
+		if f.Downstream {
 			return verdictNeutral
 		}
 		return verdictRefused
 	case call.ReasonDraining:
-		if f.Deeper {
+		if f.Downstream {
 			return verdictNeutral
 		}
 		return verdictDraining
@@ -111,7 +111,7 @@
 	// Ejected is the remaining time of the target's ejection, 0 when it is not
 	// ejected.
 	Ejected time.Duration
-	// Leaving is true for a target that drains, according to the member list or
+	// Drained is true for a target that drains, according to the member list or
 	// to its own refusal.
-	Leaving bool
+	Drained bool
 }
--- a/routing/view.go
+++ b/routing/view.go
@@ -19,7 +19,7 @@
 	otherRegions []*member
 	// sameRegion is ownZone and otherZones together; subset is all three.
 	sameRegion []*member
-	// draining holds the draining members if Config.LastResort is set, at most
+	// draining holds the draining members if Config.PickDraining is set, at most
 	// MaxSubset.
 	draining []*member
 	subset   []*member
--- a/routing/worktime.go
+++ b/routing/worktime.go
@@ -91,7 +91,7 @@
 type workMean struct {
 	micros  float64
 	samples int
-	// recent counts the calls since the last call of News. rate is the decayed
+	// recent counts the calls since the last call of Announcement. rate is the decayed
 	// count of the calls before.
 	recent int
 	rate   float64
@@ -125,9 +125,9 @@
 	clear(w.profiles)
 }
 
-// News returns the work times of the busiest profiles, and whether they must be
+// Announcement returns the work times of the busiest profiles, and whether they must be
 // announced to the other members. It should be called about once a second.
-func (w *WorkMeter) News(now time.Time) (WorkTimes, bool) {
+func (w *WorkMeter) Announcement(now time.Time) (WorkTimes, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.decayRates()
