--- a/atmostonce/claimlookup.go
+++ b/atmostonce/claimlookup.go
@@ -35,9 +35,9 @@
 	clock, owned := v.owned[found.Home]
 	switch {
 	case !owned:
-		return decision{verdict: Verdict{Kind: Forward, Home: v.forwardTarget(found.Home)}}, false
+		return decision{verdict: Verdict{Kind: Forward, Owner: v.forwardTarget(found.Home)}}, false
 	case v.phase.mayBeTransferred():
-		return decision{verdict: Verdict{Kind: Forward, Home: v.successor}}, false
+		return decision{verdict: Verdict{Kind: Forward, Owner: v.successor}}, false
 	case !t.clock.now().Add(clock.clockOffset).Before(time.Unix(found.ExpiresUnix, 0)):
 		return refuse(p.Key, call.Unknown, call.ReasonKeyExpired), false
 	}
@@ -76,10 +76,10 @@
 	return refuse(p.Key, call.NotRun, reason)
 }
 
-// Recall reads the fate of a key from the store after its owner has crashed or
+// ReadStoredFate reads the fate of a key from the store after its owner has crashed or
 // left. It returns Replay with the answer, or a *RefusedError with outcome
 // unknown. It never runs the key.
-func (t *Table) Recall(ctx context.Context, key string) (Verdict, error) {
+func (t *Table) ReadStoredFate(ctx context.Context, key string) (Verdict, error) {
 	gone := &RefusedError{Key: key, Outcome: call.Unknown, Reason: call.ReasonKeyHomeGone}
 	if t.cfg.Store == nil {
 		return Verdict{}, gone
--- a/atmostonce/doc.go
+++ b/atmostonce/doc.go
@@ -26,7 +26,7 @@
 //	switch {
 //	case err != nil: // *RefusedError: respond with its Outcome and Reason
 //	case verdict.Kind == atmostonce.Replay: // respond with verdict.Answer
-//	case verdict.Kind == atmostonce.Forward: // send to verdict.Home
+//	case verdict.Kind == atmostonce.Forward: // send to verdict.Owner
 //	case verdict.Kind == atmostonce.RunNow:
 //		defer verdict.Run.Close()
 //		// admission; if it rejects the call: verdict.Run.NotRun()
--- a/atmostonce/handover.go
+++ b/atmostonce/handover.go
@@ -21,7 +21,7 @@
 
 // Thaw makes the table active again after a cancelled drain. It fails with
 // *HandOverError if the successor owns the keys or may own them; see Cancel and
-// Renew.
+// RenewIncarnation.
 func (t *Table) Thaw() error {
 	t.draining.Lock()
 	defer t.draining.Unlock()
@@ -41,7 +41,7 @@
 // call WaitIdle between Freeze and HandOver.
 //
 // After a *HandOverError with Ambiguous set, only three calls can follow:
-// HandOver to the same node, Cancel, or Renew. With another successor one key
+// HandOver to the same node, Cancel, or RenewIncarnation. With another successor one key
 // could have two owners.
 func (t *Table) HandOver(ctx context.Context, to Incarnation, s Successor) error {
 	t.draining.Lock()
@@ -114,11 +114,11 @@
 	return &HandOverError{Step: "cancel", To: t.handOver.to, Ambiguous: true, Err: err}
 }
 
-// Renew lets a node continue that can't get its keys back. The node runs under
+// RenewIncarnation lets a node continue that can't get its keys back. The node runs under
 // the new incarnation inc and forwards old keys to the successor. It still
-// replays or reports the fates that it has. Renew fails with *HandOverError
+// replays or reports the fates that it has. RenewIncarnation fails with *HandOverError
 // unless a commit was sent.
-func (t *Table) Renew(inc Incarnation) error {
+func (t *Table) RenewIncarnation(inc Incarnation) error {
 	t.draining.Lock()
 	defer t.draining.Unlock()
 	if !inc.Valid() {
--- a/atmostonce/handover_test.go
+++ b/atmostonce/handover_test.go
@@ -53,7 +53,7 @@
 	c.Assert(a.HandOver(ctx, b.Incarnation(), &link{to: b}), qt.IsNil, qt.Commentf("repeated"))
 	checkRefused(c, waiting.Dispatched(), queued, call.Unknown, call.ReasonDraining)
 	mustForward(c, a, queued, b.Incarnation())
-	c.Assert(a.Homes(), qt.HasLen, 0)
+	c.Assert(a.OwnedIncarnations(), qt.HasLen, 0)
 	mustReplay(c, b, done, "filed")
 	mustRefuse(c, b, atUpstream, call.Unknown, call.ReasonDraining)
 	mustRun(c, b, queued).Close()
@@ -62,7 +62,7 @@
 	mustReplay(c, a, atUpstream, "late")
 
 	c.Assert(b.HandOver(ctx, third.Incarnation(), &link{to: third}), qt.IsNil)
-	c.Assert(third.Homes(), qt.HasLen, 3)
+	c.Assert(third.OwnedIncarnations(), qt.HasLen, 3)
 	mustReplay(c, third, done, "filed")
 	mustReplay(c, third, fresh, "fresh")
 	mustReplay(c, b, done, "filed")
@@ -119,7 +119,7 @@
 	checkHandOver(c, a.Cancel(ctx, l), "cancel", false)
 	mustReplay(c, b, key, "filed")
 	old := a.Mint().String()
-	c.Assert(a.Renew(NewIncarnation(testRandom(7))), qt.IsNil)
+	c.Assert(a.RenewIncarnation(NewIncarnation(testRandom(7))), qt.IsNil)
 	mustForward(c, a, old, b.Incarnation())
 	mustReplay(c, a, key, "filed")
 	finish(c, mustRun(c, a, a.Mint().String()), "new")
@@ -137,7 +137,7 @@
 	l.to, _ = testNode(4, nil)
 	checkHandOver(c, a.HandOver(ctx, b.Incarnation(), l), "stage", true)
 	checkHandOver(c, a.Cancel(ctx, l), "cancel", true)
-	c.Assert(a.Renew(NewIncarnation(testRandom(7))), qt.IsNil)
+	c.Assert(a.RenewIncarnation(NewIncarnation(testRandom(7))), qt.IsNil)
 	mustForward(c, a, key, b.Incarnation())
 	k, _, err := ParseKey(key)
 	c.Assert(err, qt.IsNil)
@@ -185,7 +185,7 @@
 	finish(c, mustRun(c, b, young), "young")
 	successorClock.advance(DefaultWindow + DefaultMaxSkew + time.Second)
 	b.Sweep()
-	c.Assert(b.Homes(), qt.HasLen, 1, qt.Commentf("an inherited incarnation is dropped when its keys have expired"))
+	c.Assert(b.OwnedIncarnations(), qt.HasLen, 1, qt.Commentf("an inherited incarnation is dropped when its keys have expired"))
 	mustForward(c, b, young, a.Incarnation())
 }
 
@@ -196,7 +196,7 @@
 	c, ctx, a, b := twoNodes(t, withStore(newFakeStore()))
 	c.Assert(mustRun(c, a, suppliedKey).NotRun(), qt.IsNil)
 	c.Assert(a.HandOver(ctx, b.Incarnation(), &link{to: b}), qt.IsNil)
-	c.Assert(a.Renew(NewIncarnation(testRandom(7))), qt.IsNil)
+	c.Assert(a.RenewIncarnation(NewIncarnation(testRandom(7))), qt.IsNil)
 	finish(c, mustRun(c, b, suppliedKey), "filed")
 	mustForward(c, a, suppliedKey, b.Incarnation())
 	mustReplay(c, b, suppliedKey, "filed")
@@ -265,7 +265,7 @@
 		case err != nil || v.Kind == Replay:
 			return false
 		case v.Kind == Forward:
-			at = nodes[v.Home]
+			at = nodes[v.Owner]
 			continue
 		}
 		defer v.Run.Close()
--- a/atmostonce/inherit.go
+++ b/atmostonce/inherit.go
@@ -64,7 +64,7 @@
 	}
 	in := t.incomingFrom(chunk.From)
 	if in == nil {
-		return InheritNoRoom
+		return InheritNoCapacity
 	}
 	if in.attempt != chunk.Attempt {
 		t.dropStaged(in)
@@ -76,7 +76,7 @@
 	}
 	delta := int64(len(chunk.Entries) - len(in.staged[chunk.Seq].Entries))
 	if !t.reserve(delta) {
-		return InheritNoRoom
+		return InheritNoCapacity
 	}
 	if in.staged == nil {
 		in.staged = make(map[int]Chunk)
@@ -208,7 +208,7 @@
 	}
 	in := t.incomingFrom(request.From)
 	if in == nil {
-		return InheritNoRoom
+		return InheritNoCapacity
 	}
 	in.aborted = max(in.aborted, request.Attempt)
 	if in.attempt <= in.aborted {
--- a/atmostonce/list.go
+++ b/atmostonce/list.go
@@ -20,10 +20,10 @@
 	Limit int
 }
 
-// Attention returns the filters for the fates that an operator should check:
+// AttentionFilters returns the filters for the fates that an operator should check:
 // unknown fates, and keys that have been in an unfinished state for longer than
 // the given time.
-func Attention(after time.Duration) []Filter {
+func AttentionFilters(after time.Duration) []Filter {
 	return []Filter{
 		{States: []State{StateUnknown}},
 		{States: []State{StateClaimed, StateDispatched, StateClaiming, StateReleasing}, OlderThan: after},
--- a/atmostonce/message.go
+++ b/atmostonce/message.go
@@ -107,8 +107,8 @@
 	InheritWrongNode InheritCode = "wrong-node"
 	// InheritNotActive: the successor is draining itself.
 	InheritNotActive InheritCode = "not-active"
-	// InheritNoRoom: the table has no capacity for the entries.
-	InheritNoRoom InheritCode = "no-room"
+	// InheritNoCapacity: the table has no capacity for the entries.
+	InheritNoCapacity InheritCode = "no-room"
 	// InheritAborted: the attempt was aborted and can no longer be committed.
 	InheritAborted InheritCode = "aborted"
 	// InheritCommitted: the attempt was committed and can no longer be aborted.
--- a/atmostonce/model_test.go
+++ b/atmostonce/model_test.go
@@ -143,7 +143,7 @@
 			}
 			return
 		}
-		if at = w.ownerOf(rt, v.Home); at == nil {
+		if at = w.ownerOf(rt, v.Owner); at == nil {
 			return
 		}
 	}
@@ -154,7 +154,7 @@
 		return w.node(rt)
 	}
 	for _, n := range w.nodes {
-		if slices.Contains(n.table.Homes(), home) {
+		if slices.Contains(n.table.OwnedIncarnations(), home) {
 			return n
 		}
 	}
@@ -295,7 +295,7 @@
 func (w *cluster) renew(rt *rapid.T) {
 	n := w.node(rt)
 	w.seed++
-	if n.table.Renew(NewIncarnation(testRandom(w.seed))) == nil {
+	if n.table.RenewIncarnation(NewIncarnation(testRandom(w.seed))) == nil {
 		n.to = nil
 	}
 }
--- a/atmostonce/noted.go
+++ b/atmostonce/notetracker.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Noted is the owner's record of its open notes and of the members that may
+// NoteTracker is the owner's record of its open notes and of the members that may
 // have received them.
-type Noted struct {
+type NoteTracker struct {
 	mu         sync.Mutex
 	limit      int
 	lastNumber uint64
@@ -31,15 +31,15 @@
 	recipients []string
 }
 
-// NewNoted creates a record with at most limit open notes.
-func NewNoted(limit int) *Noted {
-	return &Noted{limit: limit, open: make(map[uint64]*openNote), stale: make(map[string]uint64)}
+// NewNoteTracker creates a record with at most limit open notes.
+func NewNoteTracker(limit int) *NoteTracker {
+	return &NoteTracker{limit: limit, open: make(map[uint64]*openNote), stale: make(map[string]uint64)}
 }
 
 // Add assigns a number to a note that is about to be sent to a member. to is
 // empty if there is no such member. Add reports false if too many notes are
 // open.
-func (n *Noted) Add(note Note, to string) (Note, bool) {
+func (n *NoteTracker) Add(note Note, to string) (Note, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.open) >= n.limit {
@@ -55,8 +55,8 @@
 	return note, true
 }
 
-// Sent records whether a member has confirmed the notes that were sent to it.
-func (n *Noted) Sent(notes []Note, to string, confirmed bool) {
+// RecordSent records whether a member has confirmed the notes that were sent to it.
+func (n *NoteTracker) RecordSent(notes []Note, to string, confirmed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, note := range notes {
@@ -73,7 +73,7 @@
 
 // Settle removes an open note: the call's fate is known, or the call was not
 // run.
-func (n *Noted) Settle(number uint64) {
+func (n *NoteTracker) Settle(number uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c := n.open[number]; c != nil {
@@ -83,7 +83,7 @@
 
 // remove removes a note and marks its recipients as stale. The caller holds the
 // lock.
-func (n *Noted) remove(c *openNote) {
+func (n *NoteTracker) remove(c *openNote) {
 	delete(n.open, c.Number)
 	n.seq++
 	for _, member := range c.recipients {
@@ -91,9 +91,9 @@
 	}
 }
 
-// Missing returns at most limit open notes that no live member has confirmed,
+// Unconfirmed returns at most limit open notes that no live member has confirmed,
 // the oldest first. It drops notes that have expired.
-func (n *Noted) Missing(now time.Time, isAlive func(member string) bool, limit int) []Note {
+func (n *NoteTracker) Unconfirmed(now time.Time, isAlive func(member string) bool, limit int) []Note {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var notes []Note
@@ -110,10 +110,10 @@
 	return notes[:min(len(notes), limit)]
 }
 
-// Offer records that notes returned by Missing are about to be sent to a
+// AddRecipient records that notes returned by Unconfirmed are about to be sent to a
 // member, and returns the snapshot to send with them. Without the snapshot the
 // member could treat these notes as settled.
-func (n *Noted) Offer(notes []Note, to string) OpenNotes {
+func (n *NoteTracker) AddRecipient(notes []Note, to string) OpenNotes {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, note := range notes {
@@ -125,21 +125,21 @@
 }
 
 // Stale returns the members that need a new snapshot.
-func (n *Noted) Stale() []string {
+func (n *NoteTracker) Stale() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Sorted(maps.Keys(n.stale))
 }
 
-// Word returns a snapshot of the open notes that a member may have received.
-func (n *Noted) Word(to string) OpenNotes {
+// OpenNotesFor returns a snapshot of the open notes that a member may have received.
+func (n *NoteTracker) OpenNotesFor(to string) OpenNotes {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.snapshot(to)
 }
 
-// snapshot returns the result of Word. The caller holds the lock.
-func (n *Noted) snapshot(to string) OpenNotes {
+// snapshot returns the result of OpenNotesFor. The caller holds the lock.
+func (n *NoteTracker) snapshot(to string) OpenNotes {
 	n.seq++
 	w := OpenNotes{Seq: n.seq, Through: n.lastNumber}
 	for number, c := range n.open {
@@ -151,9 +151,9 @@
 	return w
 }
 
-// Heard records that a member has accepted the snapshot with sequence number
+// Confirm records that a member has accepted the snapshot with sequence number
 // seq.
-func (n *Noted) Heard(member string, seq uint64) {
+func (n *NoteTracker) Confirm(member string, seq uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.stale[member] <= seq {
@@ -162,7 +162,7 @@
 }
 
 // Forget drops a member that has left or is no longer known.
-func (n *Noted) Forget(member string) {
+func (n *NoteTracker) Forget(member string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.stale, member)
--- a/atmostonce/present.go
+++ b/atmostonce/present.go
@@ -32,7 +32,7 @@
 	RunNow VerdictKind = iota + 1
 	// Replay: the key ran before; Verdict.Answer is the complete response.
 	Replay
-	// Forward: Verdict.Home is the only node that may run the key.
+	// Forward: Verdict.Owner is the only node that may run the key.
 	Forward
 )
 
@@ -41,7 +41,7 @@
 	Kind   VerdictKind
 	Run    *Run
 	Answer Answer
-	Home   Incarnation
+	Owner  Incarnation
 }
 
 // checkAgainNow is a closed channel. A decision has it as wait if the table has
@@ -132,7 +132,7 @@
 func (t *Table) presentReleased(s *shard, e *entry, p Presentation, now time.Time) decision {
 	switch {
 	case s.view.phase.mayBeTransferred():
-		return decision{verdict: Verdict{Kind: Forward, Home: s.view.successor}}
+		return decision{verdict: Verdict{Kind: Forward, Owner: s.view.successor}}
 	case now.After(e.expires):
 		return refuse(p.Key, call.Unknown, call.ReasonKeyExpired)
 	case s.view.phase != phaseActive:
@@ -149,13 +149,13 @@
 func (t *Table) presentMinted(s *shard, p Presentation, key Key, now time.Time) decision {
 	clock, owned := s.view.owned[key.Home]
 	if !owned {
-		return decision{verdict: Verdict{Kind: Forward, Home: s.view.forwardTarget(key.Home)}}
+		return decision{verdict: Verdict{Kind: Forward, Owner: s.view.forwardTarget(key.Home)}}
 	}
 	minted := time.Unix(key.Minted, 0).Add(-clock.clockOffset)
 	expires := minted.Add(t.cfg.Window)
 	switch {
 	case s.view.phase.mayBeTransferred():
-		return decision{verdict: Verdict{Kind: Forward, Home: s.view.successor}}
+		return decision{verdict: Verdict{Kind: Forward, Owner: s.view.successor}}
 	case now.After(expires):
 		// The entry of an expired key may have been dropped, so the key may
 		// have run.
--- a/atmostonce/run.go
+++ b/atmostonce/run.go
@@ -66,10 +66,10 @@
 // Unknown if the response arrives late.
 func (r *Run) Done(answer Answer) error { return r.done(&answer) }
 
-// DoneUnheld records that the call completed with a response that can't be
+// DoneWithoutAnswer records that the call completed with a response that can't be
 // stored, for example because it is too large to be buffered. Never pass a
 // partial response to Done: it would be replayed as the complete one.
-func (r *Run) DoneUnheld() error { return r.done(nil) }
+func (r *Run) DoneWithoutAnswer() error { return r.done(nil) }
 
 func (r *Run) done(answer *Answer) error {
 	now := r.table.clock.now()
--- a/atmostonce/table_test.go
+++ b/atmostonce/table_test.go
@@ -49,7 +49,7 @@
 	c.Helper()
 	v, err := present(t, key)
 	c.Assert(err, qt.IsNil)
-	c.Assert(v, qt.DeepEquals, Verdict{Kind: Forward, Home: home})
+	c.Assert(v, qt.DeepEquals, Verdict{Kind: Forward, Owner: home})
 }
 
 func mustReplay(c *qt.C, t *Table, key, body string) {
@@ -132,7 +132,7 @@
 	c.Assert(table.Sweep(), qt.Equals, 1, qt.Commentf("the call in flight stays"))
 	mustRun(c, table, table.Mint().String())
 	c.Assert(run.Unknown(call.ReasonTimeout), qt.IsNil)
-	c.Assert(table.List(Attention(time.Hour)[0]), qt.HasLen, 1)
+	c.Assert(table.List(AttentionFilters(time.Hour)[0]), qt.HasLen, 1)
 }
 
 // A key expires and its fate is dropped. Then the wall clock steps back by two
@@ -190,10 +190,10 @@
 
 	restarted, _ := testNode(2, withStore(store))
 	mustForward(c, restarted, key, home.Incarnation())
-	v, err = restarted.Recall(context.Background(), key)
+	v, err = restarted.ReadStoredFate(context.Background(), key)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(v.Answer.Body), qt.Equals, "filed")
 	lost := home.Mint().String()
-	_, err = restarted.Recall(context.Background(), lost)
+	_, err = restarted.ReadStoredFate(context.Background(), lost)
 	checkRefused(c, err, lost, call.Unknown, call.ReasonKeyHomeGone)
 }
--- a/atmostonce/view.go
+++ b/atmostonce/view.go
@@ -83,9 +83,9 @@
 	return owner
 }
 
-// Homes returns the incarnations whose keys this node owns: its own and those
+// OwnedIncarnations returns the incarnations whose keys this node owns: its own and those
 // it inherited. After a hand-over there are none.
-func (t *Table) Homes() []Incarnation {
+func (t *Table) OwnedIncarnations() []Incarnation {
 	v := t.current.Load()
 	if v.phase == phaseHandedOver {
 		return nil
--- a/atmostonce/witness.go
+++ b/atmostonce/witness.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Witnessed is the witness's record of the open notes of other owners.
-type Witnessed struct {
+// WitnessStore is the witness's record of the open notes of other owners.
+type WitnessStore struct {
 	mu     sync.Mutex
 	limit  int
 	count  int
@@ -22,18 +22,18 @@
 	notes    map[uint64]Note
 }
 
-// HeldNote is a note with the incarnation of its owner.
-type HeldNote struct {
+// WitnessedNote is a note with the incarnation of its owner.
+type WitnessedNote struct {
 	Note
 	Home Incarnation
 }
 
-// NewWitnessed creates a record that stores at most limit notes.
-func NewWitnessed(limit int) *Witnessed {
-	return &Witnessed{limit: limit, owners: make(map[Incarnation]*witnessedOwner)}
+// NewWitnessStore creates a record that stores at most limit notes.
+func NewWitnessStore(limit int) *WitnessStore {
+	return &WitnessStore{limit: limit, owners: make(map[Incarnation]*witnessedOwner)}
 }
 
-func (w *Witnessed) owner(id Incarnation) *witnessedOwner {
+func (w *WitnessStore) owner(id Incarnation) *witnessedOwner {
 	h := w.owners[id]
 	if h == nil {
 		h = &witnessedOwner{notes: make(map[uint64]Note)}
@@ -42,9 +42,9 @@
 	return h
 }
 
-// Take stores notes of an owner. It returns the number of notes rejected
+// StoreNotes stores notes of an owner. It returns the number of notes rejected
 // because the record is full: an open note is never dropped to store another.
-func (w *Witnessed) Take(owner Incarnation, notes []Note, now time.Time) (rejected int) {
+func (w *WitnessStore) StoreNotes(owner Incarnation, notes []Note, now time.Time) (rejected int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	h := w.owner(owner)
@@ -62,9 +62,9 @@
 	return rejected
 }
 
-// Hear applies an owner's snapshot of its open notes. The numbers must be in
+// Update applies an owner's snapshot of its open notes. The numbers must be in
 // ascending order.
-func (w *Witnessed) Hear(owner Incarnation, snapshot OpenNotes) {
+func (w *WitnessStore) Update(owner Incarnation, snapshot OpenNotes) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	h := w.owner(owner)
@@ -77,32 +77,32 @@
 
 // hasCapacity reports whether one more note can be stored, after expired notes
 // have been dropped if necessary.
-func (w *Witnessed) hasCapacity(now time.Time) bool {
+func (w *WitnessStore) hasCapacity(now time.Time) bool {
 	if w.count >= w.limit {
 		w.expire(now)
 	}
 	return w.count < w.limit
 }
 
-func (w *Witnessed) expire(now time.Time) {
+func (w *WitnessStore) expire(now time.Time) {
 	for _, h := range w.owners {
 		w.dropMatching(h, func(note Note) bool { return !now.Before(note.Expires) })
 	}
 }
 
-func (w *Witnessed) dropMatching(h *witnessedOwner, matches func(Note) bool) {
+func (w *WitnessStore) dropMatching(h *witnessedOwner, matches func(Note) bool) {
 	before := len(h.notes)
 	maps.DeleteFunc(h.notes, func(_ uint64, note Note) bool { return matches(note) })
 	w.count -= before - len(h.notes)
 }
 
-// Lost returns the notes of owners that are not alive, the oldest first. It
+// OrphanedNotes returns the notes of owners that are not alive, the oldest first. It
 // drops expired notes, and owners that are not alive and have no notes.
-func (w *Witnessed) Lost(now time.Time, isAlive func(owner Incarnation) bool) []HeldNote {
+func (w *WitnessStore) OrphanedNotes(now time.Time, isAlive func(owner Incarnation) bool) []WitnessedNote {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expire(now)
-	var lost []HeldNote
+	var lost []WitnessedNote
 	for id, h := range w.owners {
 		if isAlive(id) {
 			continue
@@ -111,17 +111,17 @@
 			delete(w.owners, id)
 		}
 		for _, note := range h.notes {
-			lost = append(lost, HeldNote{Note: note, Home: id})
+			lost = append(lost, WitnessedNote{Note: note, Home: id})
 		}
 	}
-	slices.SortFunc(lost, func(a, b HeldNote) int {
+	slices.SortFunc(lost, func(a, b WitnessedNote) int {
 		return cmp.Or(olderNote(a.Note, b.Note), cmp.Compare(a.Home, b.Home))
 	})
 	return lost
 }
 
 // Len returns the number of stored notes.
-func (w *Witnessed) Len() int {
+func (w *WitnessStore) Len() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.count
--- a/atmostonce/witness_test.go
+++ b/atmostonce/witness_test.go
@@ -20,8 +20,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const owner = Incarnation("home")
 		now := time.Unix(1000, 0)
-		noted := NewNoted(20)
-		members := map[string]*Witnessed{"b": NewWitnessed(30), "c": NewWitnessed(30)}
+		tracker := NewNoteTracker(20)
+		members := map[string]*WitnessStore{"b": NewWitnessStore(30), "c": NewWitnessStore(30)}
 		names := []string{"b", "c"}
 		var late []func()
 		open := map[uint64]bool{}
@@ -39,39 +39,39 @@
 		}
 		send := func(name string, notes []Note, word OpenNotes) bool {
 			return deliver(func() {
-				members[name].Hear(owner, word)
-				members[name].Take(owner, notes, now)
+				members[name].Update(owner, word)
+				members[name].StoreNotes(owner, notes, now)
 			})
 		}
 		isAlive := func(string) bool { return rapid.Bool().Draw(t, "lives") }
 		t.Repeat(map[string]func(*rapid.T){
 			"file": func(t *rapid.T) {
 				name := rapid.SampledFrom(names).Draw(t, "to")
-				note, ok := noted.Add(Note{Since: now, Expires: now.Add(time.Hour)}, name)
+				note, ok := tracker.Add(Note{Since: now, Expires: now.Add(time.Hour)}, name)
 				if !ok {
 					return
 				}
 				open[note.Number] = true
-				confirmed := deliver(func() { members[name].Take(owner, []Note{note}, now) })
-				noted.Sent([]Note{note}, name, confirmed)
+				confirmed := deliver(func() { members[name].StoreNotes(owner, []Note{note}, now) })
+				tracker.RecordSent([]Note{note}, name, confirmed)
 			},
 			"settle": func(t *rapid.T) {
 				if len(open) > 0 {
 					number := rapid.SampledFrom(slices.Sorted(maps.Keys(open))).Draw(t, "settled")
-					noted.Settle(number)
+					tracker.Settle(number)
 					delete(open, number)
 				}
 			},
 			"retell": func(t *rapid.T) {
 				name := rapid.SampledFrom(names).Draw(t, "to")
-				notes := noted.Missing(now, isAlive, 5)
-				noted.Sent(notes, name, send(name, notes, noted.Offer(notes, name)))
+				notes := tracker.Unconfirmed(now, isAlive, 5)
+				tracker.RecordSent(notes, name, send(name, notes, tracker.AddRecipient(notes, name)))
 			},
 			"update": func(t *rapid.T) {
-				for _, name := range noted.Stale() {
-					snapshot := noted.Word(name)
+				for _, name := range tracker.Stale() {
+					snapshot := tracker.OpenNotesFor(name)
 					if send(name, nil, snapshot) {
-						late = append(late, func() { noted.Heard(name, snapshot.Seq) })
+						late = append(late, func() { tracker.Confirm(name, snapshot.Seq) })
 					}
 				}
 			},
@@ -86,20 +86,20 @@
 		for _, act := range late {
 			act()
 		}
-		for _, name := range noted.Stale() {
-			word := noted.Word(name)
-			members[name].Hear(owner, word)
-			noted.Heard(name, word.Seq)
+		for _, name := range tracker.Stale() {
+			word := tracker.OpenNotesFor(name)
+			members[name].Update(owner, word)
+			tracker.Confirm(name, word.Seq)
 		}
-		notes := noted.Missing(now, func(string) bool { return true }, 100)
-		members["b"].Hear(owner, noted.Offer(notes, "b"))
-		members["b"].Take(owner, notes, now)
+		notes := tracker.Unconfirmed(now, func(string) bool { return true }, 100)
+		members["b"].Update(owner, tracker.AddRecipient(notes, "b"))
+		members["b"].StoreNotes(owner, notes, now)
 		for _, act := range late {
 			act()
 		}
 		stored := map[uint64]bool{}
 		for _, name := range names {
-			for _, note := range members[name].Lost(now, func(Incarnation) bool { return false }) {
+			for _, note := range members[name].OrphanedNotes(now, func(Incarnation) bool { return false }) {
 				stored[note.Number] = true
 			}
 		}
@@ -115,37 +115,37 @@
 func TestFullWitnessKeepsOpenNotes(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	w := NewWitnessed(2)
+	w := NewWitnessStore(2)
 	until := func(number uint64, d time.Duration) []Note {
 		return []Note{{Number: number, Since: now, Expires: now.Add(d)}}
 	}
-	c.Check(w.Take("a", until(1, time.Hour), now), qt.Equals, 0)
-	c.Check(w.Take("a", until(1, time.Hour), now), qt.Equals, 0)
-	c.Check(w.Take("b", until(1, time.Minute), now), qt.Equals, 0)
-	c.Check(w.Take("b", until(2, time.Hour), now), qt.Equals, 1)
-	c.Check(w.Take("b", until(2, time.Hour), now.Add(2*time.Minute)), qt.Equals, 0)
-	w.Hear("a", OpenNotes{Seq: 1, Through: 1})
+	c.Check(w.StoreNotes("a", until(1, time.Hour), now), qt.Equals, 0)
+	c.Check(w.StoreNotes("a", until(1, time.Hour), now), qt.Equals, 0)
+	c.Check(w.StoreNotes("b", until(1, time.Minute), now), qt.Equals, 0)
+	c.Check(w.StoreNotes("b", until(2, time.Hour), now), qt.Equals, 1)
+	c.Check(w.StoreNotes("b", until(2, time.Hour), now.Add(2*time.Minute)), qt.Equals, 0)
+	w.Update("a", OpenNotes{Seq: 1, Through: 1})
 	c.Check(w.Len(), qt.Equals, 1)
-	n := NewNoted(1)
+	n := NewNoteTracker(1)
 	_, ok := n.Add(Note{Expires: now.Add(time.Hour)}, "b")
 	c.Check(ok, qt.IsTrue)
 	_, ok = n.Add(Note{}, "b")
 	c.Check(ok, qt.IsFalse)
-	n.Sent([]Note{{Number: 1}}, "b", false)
-	c.Check(n.Missing(now.Add(time.Hour), nil, 9), qt.HasLen, 0)
+	n.RecordSent([]Note{{Number: 1}}, "b", false)
+	c.Check(n.Unconfirmed(now.Add(time.Hour), nil, 9), qt.HasLen, 0)
 	_, ok = n.Add(Note{}, "b")
 	c.Check(ok, qt.IsTrue)
 }
 
 // BenchmarkWitnessedNote measures the memory that a witness uses per note.
 func BenchmarkWitnessedNote(b *testing.B) {
-	w := NewWitnessed(b.N)
+	w := NewWitnessStore(b.N)
 	now := time.Now()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range b.N {
-		w.Take("home", []Note{{
+		w.StoreNotes("home", []Note{{
 			Number:  uint64(i),
 			Key:     string([]byte("pg1.*86#37b8df0d")),
 			Request: string([]byte("5c3276704f11.r7")),
--- a/node/fates.go
+++ b/node/fates.go
@@ -96,6 +96,6 @@
 	case query.Get("all") != "":
 		return FatesRequest{Filters: []atmostonce.Filter{{Limit: maxHops}}}, nil
 	default:
-		return FatesRequest{Filters: atmostonce.Attention(longRunning)}, nil
+		return FatesRequest{Filters: atmostonce.AttentionFilters(longRunning)}, nil
 	}
 }
--- a/node/handoverserver.go
+++ b/node/handoverserver.go
@@ -136,7 +136,7 @@
 // inherited.
 func (n *Node) announceInherited() {
 	var inherits []string
-	for _, home := range n.keys.Homes() {
+	for _, home := range n.keys.OwnedIncarnations() {
 		if string(home) != n.id {
 			inherits = append(inherits, string(home))
 		}
--- a/node/keyed.go
+++ b/node/keyed.go
@@ -57,7 +57,7 @@
 		if n.settings.Ablate.NoKeyHome {
 			return n.admitAndDispatch(ctx, req)
 		}
-		return n.forwardToOwner(ctx, req, string(verdict.Home))
+		return n.forwardToOwner(ctx, req, string(verdict.Owner))
 	default:
 		return n.runAsOwner(ctx, req, verdict.Run)
 	}
@@ -211,7 +211,7 @@
 	if !held.whole() {
 		// The answer is too large to store. The table records only that the call has
 		// completed; a later presentation is told that the answer is not held.
-		n.logKeyError(run.DoneUnheld())
+		n.logKeyError(run.DoneWithoutAnswer())
 		body, _ := held.open()
 		a.body = &joinedBody{Reader: body, source: a.body}
 		return a
--- a/node/keyhome.go
+++ b/node/keyhome.go
@@ -40,7 +40,7 @@
 		until = req.deadline
 	}
 	for {
-		if slices.Contains(n.keys.Homes(), atmostonce.Incarnation(owner)) {
+		if slices.Contains(n.keys.OwnedIncarnations(), atmostonce.Incarnation(owner)) {
 			// This node has taken over the keys since the key table was asked.
 			return n.runKeyed(ctx, req)
 		}
@@ -123,7 +123,7 @@
 // recallFate answers for a key whose owner is gone, from the claim that the platform
 // stores.
 func (n *Node) recallFate(ctx context.Context, req *request, owner string) *answer {
-	verdict, err := n.keys.Recall(ctx, req.key)
+	verdict, err := n.keys.ReadStoredFate(ctx, req.key)
 	if err == nil {
 		return n.replay(verdict.Answer)
 	}
--- a/node/witness.go
+++ b/node/witness.go
@@ -52,16 +52,16 @@
 // heldNotes are those that the node stores as a witness for other members. avoided
 // holds the members that are not chosen as a witness for now.
 type witnesses struct {
-	ownNotes  *atmostonce.Noted
-	heldNotes *atmostonce.Witnessed
+	ownNotes  *atmostonce.NoteTracker
+	heldNotes *atmostonce.WitnessStore
 	avoided   *avoidList
 	transport *http.Transport
 }
 
 func newWitnesses(network Network) *witnesses {
 	return &witnesses{
-		ownNotes:  atmostonce.NewNoted(maxOwnNotes),
-		heldNotes: atmostonce.NewWitnessed(maxHeldNotes),
+		ownNotes:  atmostonce.NewNoteTracker(maxOwnNotes),
+		heldNotes: atmostonce.NewWitnessStore(maxHeldNotes),
 		avoided:   newAvoidList(),
 		transport: newTransport(network, witnessConns),
 	}
@@ -141,7 +141,7 @@
 // sendNotes sends notes and records whether the member confirmed them.
 func (n *Node) sendNotes(ctx context.Context, to membership.Member, m witnessMessage) error {
 	err := n.sendWitness(ctx, to, m)
-	n.witnesses.ownNotes.Sent(m.Notes, to.ID, err == nil)
+	n.witnesses.ownNotes.RecordSent(m.Notes, to.ID, err == nil)
 	if err != nil {
 		n.reportUnwitnessed(noteFailed, err)
 		return err
@@ -232,7 +232,7 @@
 		n.updateWitness(ctx, id)
 	}
 	for range maxOwnNotes / maxNotesSent {
-		notes := n.witnesses.ownNotes.Missing(n.now(), n.isPresent, maxNotesSent)
+		notes := n.witnesses.ownNotes.Unconfirmed(n.now(), n.isPresent, maxNotesSent)
 		if len(notes) == 0 || !n.sendMissing(ctx, notes) {
 			return
 		}
@@ -248,7 +248,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
 	defer cancel()
-	open := n.witnesses.ownNotes.Offer(notes, member.ID)
+	open := n.witnesses.ownNotes.AddRecipient(notes, member.ID)
 	return n.sendNotes(ctx, member, witnessMessage{Open: &open, Notes: notes}) == nil
 }
 
@@ -266,9 +266,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, witnessTimeout)
 	defer cancel()
-	open := n.witnesses.ownNotes.Word(id)
+	open := n.witnesses.ownNotes.OpenNotesFor(id)
 	if err := n.sendWitness(ctx, member, witnessMessage{Open: &open}); err == nil {
-		n.witnesses.ownNotes.Heard(id, open.Seq)
+		n.witnesses.ownNotes.Confirm(id, open.Seq)
 	}
 }
 
--- a/node/witness_test.go
+++ b/node/witness_test.go
@@ -35,7 +35,7 @@
 func (f *fleet) listed(nodes ...*Node) map[string]FateView {
 	fates := make(map[string]FateView)
 	for _, n := range nodes {
-		response, err := n.fatesEndpoint()(f.t.Context(), FatesRequest{Filters: atmostonce.Attention(longRunning)})
+		response, err := n.fatesEndpoint()(f.t.Context(), FatesRequest{Filters: atmostonce.AttentionFilters(longRunning)})
 		f.c.Assert(err, qt.IsNil)
 		for _, fate := range response.(FatesResponse).Fates {
 			fates[fate.Key] = fate
@@ -250,7 +250,7 @@
 			b.serveWitness(w, httptest.NewRequest(http.MethodPost, witnessPath, strings.NewReader(strings.Replace(body, `"H"`, `"`+a.id+`"`, 1))))
 			f.c.Check(w.Code == http.StatusNoContent || w.Code >= http.StatusBadRequest, qt.IsTrue, qt.Commentf("%d", w.Code))
 			f.c.Check(b.witnesses.heldNotes.Len() <= maxNotesSent, qt.IsTrue)
-			for _, note := range b.witnesses.heldNotes.Lost(b.now(), func(atmostonce.Incarnation) bool { return false }) {
+			for _, note := range b.witnesses.heldNotes.OrphanedNotes(b.now(), func(atmostonce.Incarnation) bool { return false }) {
 				f.c.Check(len(note.Key) <= maxNoteText && note.Expires.Sub(b.now()) <= b.settings.KeyWindow, qt.IsTrue)
 			}
 		})
--- a/node/witnessserver.go
+++ b/node/witnessserver.go
@@ -79,7 +79,7 @@
 	}
 	owner := atmostonce.Incarnation(m.Home)
 	if m.Open != nil {
-		n.witnesses.heldNotes.Hear(owner, *m.Open)
+		n.witnesses.heldNotes.Update(owner, *m.Open)
 	}
 	now := n.now()
 	latest := now.Add(n.settings.KeyWindow)
@@ -88,7 +88,7 @@
 			m.Notes[i].Expires = latest
 		}
 	}
-	if n.witnesses.heldNotes.Take(owner, m.Notes, now) > 0 {
+	if n.witnesses.heldNotes.StoreNotes(owner, m.Notes, now) > 0 {
 		return http.StatusInsufficientStorage
 	}
 	return http.StatusNoContent
@@ -97,7 +97,7 @@
 // lostFates returns the calls of lost owners that this node witnessed.
 func (n *Node) lostFates() []FateView {
 	var fates []FateView
-	for _, note := range n.witnesses.heldNotes.Lost(n.now(), n.hasOwner) {
+	for _, note := range n.witnesses.heldNotes.OrphanedNotes(n.now(), n.hasOwner) {
 		fates = append(fates, FateView{
 			Key:     note.Key,
 			State:   atmostonce.StateUnknown.String(),
@@ -115,7 +115,7 @@
 // hasOwner reports whether a member, this node included, owns the keys of the
 // incarnation home.
 func (n *Node) hasOwner(home atmostonce.Incarnation) bool {
-	return n.homeLives(string(home)) || slices.Contains(n.keys.Homes(), home)
+	return n.homeLives(string(home)) || slices.Contains(n.keys.OwnedIncarnations(), home)
 }
 
 // avoidList is the set of members that are not chosen as a witness until a given time.
