--- a/cmd/pollengauge/internal/cli/apply.go
+++ b/cmd/pollengauge/internal/cli/apply.go
@@ -56,7 +56,7 @@
 	if options.Comment == "" && (set.Version == 0 || set.Comment != stored.Set.Comment) {
 		options.Comment = set.Comment
 	}
-	if c.flags.changeID == "" && c.isUnchanged(stored.Set, set, options.Above) {
+	if c.flags.changeID == "" && c.isUnchanged(stored.Set, set, options.HighestActiveVersion) {
 		return changeResult{ChangeID: stored.Set.ChangeID, Version: stored.Set.Version, NewestVersion: stored.Set.Version, Unchanged: true}, nil
 	}
 	c.repeat = "pollengauge apply -f " + file
--- a/cmd/pollengauge/internal/cli/change.go
+++ b/cmd/pollengauge/internal/cli/change.go
@@ -106,12 +106,12 @@
 		author = defaultAuthor()
 	}
 	return config.ApplyOptions{
-		ExpectVersion: c.expected,
-		Above:         c.above(),
-		ChangeID:      f.changeID,
-		Author:        author,
-		Comment:       f.comment,
-		Now:           time.Now(),
+		ExpectVersion:        c.expected,
+		HighestActiveVersion: c.above(),
+		ChangeID:             f.changeID,
+		Author:               author,
+		Comment:              f.comment,
+		Now:                  time.Now(),
 	}
 }
 
@@ -155,7 +155,7 @@
 	return changeResult{
 		ChangeID:      result.ChangeID,
 		Version:       result.Version,
-		Settled:       result.Settled,
+		Settled:       result.FoundInHistory,
 		NewestVersion: result.Current.Version,
 		Changes:       differencesOf(config.Diff(before, after)),
 	}
--- a/cmd/pollengauge/internal/cli/config.go
+++ b/cmd/pollengauge/internal/cli/config.go
@@ -41,7 +41,7 @@
 			}
 			set := document.Set
 			if cmd.Flags().Changed("version") {
-				if set, err = document.At(version); err != nil {
+				if set, err = document.Lookup(version); err != nil {
 					return err
 				}
 			}
--- a/cmd/pollengauge/internal/cli/history.go
+++ b/cmd/pollengauge/internal/cli/history.go
@@ -48,7 +48,7 @@
 func historyOf(document config.Document) []historyEntry {
 	entries := make([]historyEntry, 0, len(document.Changes))
 	for _, change := range slices.Backward(document.Changes) {
-		_, err := document.At(change.Version)
+		_, err := document.Lookup(change.Version)
 		entries = append(entries, historyEntry{Change: change, Kept: err == nil})
 	}
 	return entries
--- a/cmd/pollengauge/internal/cli/race.go
+++ b/cmd/pollengauge/internal/cli/race.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return config.Set{}, false
 	}
-	set, err := document.At(version)
+	set, err := document.Lookup(version)
 	return set, err == nil
 }
 
--- a/config/apply.go
+++ b/config/apply.go
@@ -27,11 +27,10 @@
 	// ExpectVersion is the stored version that the change is based on, 0 if none is
 	// stored. If the stored version differs, Apply returns a *RaceError.
 	ExpectVersion uint64
-	// Above is the highest version that is known to be active on nodes; the new
-	// version is higher. It is needed only after the platform lost its data:
-	// otherwise nodes would ignore new Sets until the stored version exceeds
-	// theirs.
-	Above uint64
+	// HighestActiveVersion is the highest version that is known to be active on nodes;
+	// the new version is higher. It is needed only after the platform lost its data:
+	// otherwise nodes would ignore new Sets until the stored version exceeds theirs.
+	HighestActiveVersion uint64
 	// ChangeID makes a repeated Apply of the same change idempotent. If empty, a
 	// random id is generated and returned in Result or ApplyError.
 	ChangeID string
@@ -55,9 +54,9 @@
 	// Current is the stored Set at the time the change was confirmed. If its
 	// version is higher than Version, another change has followed.
 	Current Set
-	// Settled is true if the change was found in the stored Document, because the
+	// FoundInHistory is true if the change was found in the stored Document, because the
 	// response to the write was lost or the same change had been applied before.
-	Settled bool
+	FoundInHistory bool
 }
 
 // Apply validates draft and stores it as the next version. It replaces the version,
@@ -93,7 +92,7 @@
 	if err != nil {
 		return Result{}, &ApplyError{ChangeID: opts.ChangeID, Fate: FateNotApplied, Cause: err}
 	}
-	set, err := document.At(toVersion)
+	set, err := document.Lookup(toVersion)
 	if err != nil {
 		// A repeated Rollback must find its own change even if later changes have
 		// pushed toVersion out of the history.
@@ -127,7 +126,7 @@
 		opts.Attempts = DefaultAttempts
 	}
 	set := draft.clone()
-	set.Version = max(opts.ExpectVersion, opts.Above) + 1
+	set.Version = max(opts.ExpectVersion, opts.HighestActiveVersion) + 1
 	set.ChangeID = opts.ChangeID
 	set.Author = opts.Author
 	set.Comment = opts.Comment
@@ -145,10 +144,10 @@
 
 func (p *pendingChange) raceError(stored Document) error {
 	return &RaceError{
-		Expected:  p.opts.ExpectVersion,
-		Mine:      p.set,
-		Theirs:    stored.Set,
-		Forgotten: !stored.recordsAllAfter(p.opts.ExpectVersion),
+		Expected:           p.opts.ExpectVersion,
+		Mine:               p.set,
+		Theirs:             stored.Set,
+		RecordMayBeDropped: !stored.recordsAllAfter(p.opts.ExpectVersion),
 	}
 }
 
@@ -167,7 +166,7 @@
 }
 
 func recordedResult(change Change, document Document) Result {
-	return Result{ChangeID: change.ChangeID, Version: change.Version, Current: document.Set, Settled: true}
+	return Result{ChangeID: change.ChangeID, Version: change.Version, Current: document.Set, FoundInHistory: true}
 }
 
 // writeWithRetries repeats one conditional write until it is known whether it took
--- a/config/apply_errors.go
+++ b/config/apply_errors.go
@@ -39,10 +39,10 @@
 	Expected uint64
 	Mine     Set
 	Theirs   Set
-	// Forgotten is true if so many changes followed Expected that the record of an
+	// RecordMayBeDropped is true if so many changes followed Expected that the record of an
 	// earlier Apply with the same change id may have been dropped. This Apply
 	// changed nothing in either case.
-	Forgotten bool
+	RecordMayBeDropped bool
 }
 
 // Error implements error.
@@ -68,14 +68,14 @@
 // NoVersionError means that the requested version is not in the history.
 type NoVersionError struct {
 	Version uint64
-	// Kept lists the stored versions, to which Rollback can return.
-	Kept []uint64
+	// Stored lists the stored versions, to which Rollback can return.
+	Stored []uint64
 }
 
 // Error implements error.
 func (e *NoVersionError) Error() string {
 	text := "version " + strconv.FormatUint(e.Version, 10) + " is not kept; kept are"
-	for _, version := range e.Kept {
+	for _, version := range e.Stored {
 		text += " " + strconv.FormatUint(version, 10)
 	}
 	return text
--- a/config/apply_test.go
+++ b/config/apply_test.go
@@ -131,7 +131,7 @@
 		}
 		result, err := config.Apply(ctx, s, draft(1), applyOptions(0, "a"))
 		c.Assert(err, qt.IsNil)
-		c.Check(result.Settled, qt.IsTrue)
+		c.Check(result.FoundInHistory, qt.IsTrue)
 		c.Check(result.Version, qt.Equals, uint64(1))
 		c.Check(result.Current.ChangeID, qt.Equals, "b")
 		c.Check(s.appliedCount("a"), qt.Equals, 1)
@@ -152,7 +152,7 @@
 		c.Assert(err, qt.ErrorAs, &race)
 		c.Check(config.FormatDiff(config.Diff(race.Theirs, race.Mine)), qt.Equals, "~ profiles[default].deadline: 3s -> 2s\n")
 		c.Check(race.Theirs.ChangeID, qt.Equals, "fast")
-		c.Check(race.Forgotten, qt.IsFalse)
+		c.Check(race.RecordMayBeDropped, qt.IsFalse)
 		c.Check(s.appliedCount("slow"), qt.Equals, 0)
 	})
 }
@@ -210,7 +210,7 @@
 		_, err = config.Apply(ctx, s, draft(0), applyOptions(0, "old"))
 		var race *config.RaceError
 		c.Assert(err, qt.ErrorAs, &race)
-		c.Check(race.Forgotten, qt.IsTrue)
+		c.Check(race.RecordMayBeDropped, qt.IsTrue)
 		document, err := config.Read(ctx, s)
 		c.Assert(err, qt.IsNil)
 		c.Check(document.Changes, qt.HasLen, config.MaxChanges)
@@ -247,7 +247,7 @@
 		rollBack()
 
 		opts := applyOptions(0, "anew")
-		opts.Above = 4
+		opts.HighestActiveVersion = 4
 		result, err := config.Apply(ctx, newFaultyPlatform(), draft(5), opts)
 		c.Assert(err, qt.IsNil)
 		c.Check(result.Version, qt.Equals, uint64(5))
--- a/config/customers.go
+++ b/config/customers.go
@@ -14,14 +14,14 @@
 // Customers returns the directory that looks up customers of the Set by key.
 func (c *Compiled) Customers() *customer.Directory { return c.customers }
 
-// KeysUnknown reports whether some customers could not be read, so that a key which
-// matches no customer may still be valid.
-func (c *Compiled) KeysUnknown() bool { return c.set.CustomersMissing }
+// HasUnreadableCustomers reports whether some customers could not be read, so that a key
+// which matches no customer may still be valid.
+func (c *Compiled) HasUnreadableCustomers() bool { return c.set.CustomersUnreadable }
 
 // KeyRequired reports whether callers that use profile p must send the key of a
 // customer.
 func (c *Compiled) KeyRequired(p *Profile) bool {
-	return !p.Public && (!c.customers.Empty() || c.set.CustomersMissing)
+	return !p.Public && (!c.customers.Empty() || c.set.CustomersUnreadable)
 }
 
 // PriorityFor returns the priority of a request from the given customer with
--- a/config/document.go
+++ b/config/document.go
@@ -133,9 +133,9 @@
 	return decoder.Decode(new(Set))
 }
 
-// At returns the Set of the given version, or a *NoVersionError if it is not
+// Lookup returns the Set of the given version, or a *NoVersionError if it is not
 // stored.
-func (d Document) At(version uint64) (Set, error) {
+func (d Document) Lookup(version uint64) (Set, error) {
 	if version == d.Set.Version {
 		return d.Set, nil
 	}
@@ -146,7 +146,7 @@
 		}
 		stored = append(stored, earlier.Version)
 	}
-	return Set{}, &NoVersionError{Version: version, Kept: append(stored, d.Set.Version)}
+	return Set{}, &NoVersionError{Version: version, Stored: append(stored, d.Set.Version)}
 }
 
 // findChange returns the recorded change with the given id.
--- a/config/document_test.go
+++ b/config/document_test.go
@@ -48,7 +48,7 @@
 		_, err = json.Marshal(d)
 		c.Assert(err, qt.IsNil)
 		for _, e := range d.Earlier {
-			got, err := d.At(e.Version)
+			got, err := d.Lookup(e.Version)
 			if err != nil {
 				checkTyped(c, err)
 				continue
--- a/config/encode.go
+++ b/config/encode.go
@@ -14,10 +14,10 @@
 	// in bytes. A Set is stored in one object of the platform together with its
 	// history.
 	MaxEncoded = 512 << 10
-	// MaxHeld is the maximum size of an encoded Set that a node accepts and
+	// MaxNodeEncoded is the maximum size of an encoded Set that a node accepts and
 	// forwards, in bytes. It protects the memory of a node from a peer that sends
 	// without end, and is many times the size of an object on the platform.
-	MaxHeld = 16 << 20
+	MaxNodeEncoded = 16 << 20
 )
 
 // Encode checks that a node can use s and returns its canonical encoding: equal
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	data, err := marshal(s)
-	if err == nil && len(data) > MaxHeld {
+	if err == nil && len(data) > MaxNodeEncoded {
 		return nil, &EncodingError{Want: wantMaxSize}
 	}
 	return data, err
@@ -50,7 +50,7 @@
 // different Sets and behave differently under one version. Decode therefore
 // requires that the decoded Set encodes to exactly the same bytes.
 func Decode(data []byte) (Set, error) {
-	if len(data) > MaxHeld {
+	if len(data) > MaxNodeEncoded {
 		return Set{}, &EncodingError{Want: wantMaxSize}
 	}
 	var s Set
--- a/config/errors.go
+++ b/config/errors.go
@@ -72,8 +72,8 @@
 // The Store keeps its active Set.
 type ForkError struct {
 	Version       uint64
-	KeptHash      string
-	KeptChange    string
+	ActiveHash    string
+	ActiveChange  string
 	OfferedHash   string
 	OfferedChange string
 	Source        Source
@@ -82,7 +82,7 @@
 // Error implements error.
 func (e *ForkError) Error() string {
 	return "configuration version " + strconv.FormatUint(e.Version, 10) +
-		" exists twice: kept " + e.KeptHash + " of change " + e.KeptChange +
+		" exists twice: kept " + e.ActiveHash + " of change " + e.ActiveChange +
 		", refused " + e.OfferedHash + " of change " + e.OfferedChange + " from " + string(e.Source)
 }
 
--- a/config/follow.go
+++ b/config/follow.go
@@ -72,14 +72,14 @@
 // BootstrapResult describes the responses that a newly started node received.
 type BootstrapResult struct {
 	Status Status
-	// Asked is the number of queried sources: the peers and the platform. Answered
+	// Queried is the number of queried sources: the peers and the platform. Responded
 	// is the number of those that responded with a usable Set, or, for the
 	// platform, that no Set is stored.
-	Asked    int
-	Answered int
-	// Stored is true if the platform responded, even if it responded that no Set is
-	// stored.
-	Stored bool
+	Queried   int
+	Responded int
+	// PlatformResponded is true if the platform responded, even if it responded that no
+	// Set is stored.
+	PlatformResponded bool
 	// Failures are the errors of the sources that gave no usable response.
 	Failures []error
 }
@@ -89,7 +89,7 @@
 // ctx needs a deadline; a response that arrives after Bootstrap has returned is
 // still offered to s.
 //
-// If no Set is received (Status.Heard is false), the embedded default is active:
+// If no Set is received (Status.HasStoredSet is false), the embedded default is active:
 // the node serves requests and treats every call that may change something as
 // unrepeatable. The caller must report that state and retry with Follow or
 // Bootstrap. If the platform responded that nothing is stored, the default is what
@@ -103,8 +103,8 @@
 	for _, peer := range peers {
 		go func() { responses <- queryPeer(ctx, s, peer) }()
 	}
-	result := BootstrapResult{Asked: len(peers) + 1}
-	for range result.Asked {
+	result := BootstrapResult{Queried: len(peers) + 1}
+	for range result.Queried {
 		select {
 		case a := <-responses:
 			result.add(a)
@@ -127,8 +127,8 @@
 		r.Failures = append(r.Failures, a.err)
 		return
 	}
-	r.Answered++
-	r.Stored = r.Stored || a.platform
+	r.Responded++
+	r.PlatformResponded = r.PlatformResponded || a.platform
 }
 
 func queryPlatform(ctx context.Context, s *Store, store objects.Store) sourceResponse {
--- a/config/heard.go
+++ b/config/heard.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// HeardFor is how long a version counts as known to exist after the last notice of
-// it. A node that sees the version on the platform keeps announcing it for as long
-// as it is stored there.
+// KnownVersionLifetime is how long a version counts as known to exist after the last
+// notice of it. A node that sees the version on the platform keeps announcing it for as
+// long as it is stored there.
 //
 // Without this limit, a version number that was never stored, sent by a faulty
 // peer, would circulate among the nodes for ever, and each of them would consider
 // itself behind.
-const HeardFor = time.Minute
+const KnownVersionLifetime = time.Minute
 
 // knownVersion is the highest version known to exist. It is immutable once stored.
 type knownVersion struct {
@@ -19,12 +19,13 @@
 }
 
 func (h *knownVersion) isFresh(now time.Time) bool {
-	return h != nil && now.Sub(h.lastKnown) < HeardFor
+	return h != nil && now.Sub(h.lastKnown) < KnownVersionLifetime
 }
 
-// Hear records that a version was known to exist at the given time, whether or not
-// this node can activate it. It ignores notices that are HeardFor old or older.
-func (s *Store) Hear(version uint64, at, now time.Time) {
+// RecordVersionNotice records that a version was known to exist at the given time,
+// whether or not this node can activate it. It ignores notices that are
+// KnownVersionLifetime old or older.
+func (s *Store) RecordVersionNotice(version uint64, at, now time.Time) {
 	next := &knownVersion{version: version, lastKnown: at}
 	for next.isFresh(now) {
 		known := s.newestKnown.Load()
@@ -48,8 +49,8 @@
 	return activeVersion, now
 }
 
-// Behind reports whether a version higher than the active one is known to exist.
-func (s *Store) Behind(now time.Time) bool {
+// IsBehind reports whether a version higher than the active one is known to exist.
+func (s *Store) IsBehind(now time.Time) bool {
 	newest, _ := s.Newest(now)
 	return newest > s.Current().Version()
 }
--- a/config/offers_fuzz_test.go
+++ b/config/offers_fuzz_test.go
@@ -13,13 +13,13 @@
 
 // versionTracker is the part of Store that records the highest version known to exist.
 type versionTracker interface {
-	Hear(version uint64, at, now time.Time)
+	RecordVersionNotice(version uint64, at, now time.Time)
 	Newest(now time.Time) (version uint64, at time.Time)
-	Behind(now time.Time) bool
+	IsBehind(now time.Time) bool
 }
 
 // noticeLifetime is how long a Store treats a version as existing after the last notice
-// of it, the value of config.HeardFor.
+// of it, the value of config.KnownVersionLifetime.
 const noticeLifetime = time.Minute
 
 // notice reports that a version was known to exist at a certain time.
@@ -162,7 +162,7 @@
 func reportVersion(c *qt.C, tracker versionTracker, want *referenceStore, reported notice) {
 	c.Helper()
 	before, _ := tracker.Newest(want.now)
-	tracker.Hear(reported.version, reported.at, want.now)
+	tracker.RecordVersionNotice(reported.version, reported.at, want.now)
 	want.notices = append(want.notices, reported)
 	after, _ := tracker.Newest(want.now)
 	c.Assert(after >= max(before, reported.version), qt.IsTrue, qt.Commentf("%d before, notice of %d, %d after", before, reported.version, after))
@@ -194,7 +194,7 @@
 	status := store.Status()
 	c.Assert(status.Version, qt.Equals, want.version)
 	c.Assert(status.Source, qt.Equals, want.source)
-	c.Assert(status.Heard, qt.Equals, want.source != config.SourceDefault)
+	c.Assert(status.HasStoredSet, qt.Equals, want.source != config.SourceDefault)
 	c.Assert(store.Current().Version(), qt.Equals, want.version)
 	version, data := store.Encoded()
 	c.Assert(version, qt.Equals, want.version)
@@ -207,7 +207,7 @@
 		return
 	}
 	newest, _ := tracker.Newest(want.now)
-	c.Assert(tracker.Behind(want.now), qt.Equals, newest > want.version)
+	c.Assert(tracker.IsBehind(want.now), qt.Equals, newest > want.version)
 	known := newest == want.version || slices.ContainsFunc(want.notices, func(n notice) bool {
 		return n.version == newest && want.now.Sub(n.at) < noticeLifetime
 	})
--- a/config/route.go
+++ b/config/route.go
@@ -141,9 +141,9 @@
 	return nil
 }
 
-// Unserved returns the number of routes whose weights are all 0, and the name of
+// UnservedRoutes returns the number of routes whose weights are all 0, and the name of
 // the first one.
-func (c *Compiled) Unserved() (count int, first string) {
+func (c *Compiled) UnservedRoutes() (count int, first string) {
 	for i := range c.set.Routes {
 		r := &c.set.Routes[i]
 		if slices.ContainsFunc(r.Shares, func(s Share) bool { return s.Weight > 0 }) {
@@ -157,9 +157,9 @@
 	return count, first
 }
 
-// Routed reports whether the Set has routes, so that callers address hosts and
+// HasRoutes reports whether the Set has routes, so that callers address hosts and
 // paths.
-func (c *Compiled) Routed() bool { return len(c.set.Routes) > 0 }
+func (c *Compiled) HasRoutes() bool { return len(c.set.Routes) > 0 }
 
 // clone returns a deep copy of r.
 func (r Route) clone() Route {
--- a/config/route_test.go
+++ b/config/route_test.go
@@ -111,7 +111,7 @@
 	}
 	compiled, err := config.Compile(routedSet(route("a", singleShare("s")...), route("b"), route("c", config.Share{Service: "s"})))
 	c.Assert(err, qt.IsNil)
-	count, first := compiled.Unserved()
+	count, first := compiled.UnservedRoutes()
 	c.Check(count, qt.Equals, 2)
 	c.Check(first, qt.Equals, "b")
 }
--- a/config/set.go
+++ b/config/set.go
@@ -167,9 +167,9 @@
 	// Limits apply to all profiles together.
 	Limits Limits `json:"limits" yaml:"limits"`
 
-	// CustomersMissing is true if some customers could not be read, so that an
+	// CustomersUnreadable is true if some customers could not be read, so that an
 	// unknown key may belong to one of them. A configuration file can't set it.
-	CustomersMissing bool `json:"customersMissing,omitempty" yaml:"-"`
+	CustomersUnreadable bool `json:"customersMissing,omitempty" yaml:"-"`
 
 	// AnyOrder disables the rule that unrepeatable profiles rank above repeatable
 	// ones. A configuration file can't set it: it is for Sets translated from
--- a/config/store.go
+++ b/config/store.go
@@ -23,9 +23,9 @@
 	ChangeID string
 	Hash     string
 	Source   Source
-	// Heard reports whether a stored Set was received. While it is false, the
+	// HasStoredSet reports whether a stored Set was received. While it is false, the
 	// embedded default is active.
-	Heard bool
+	HasStoredSet bool
 }
 
 // Store holds the active Set of one node. The version of the active Set never
@@ -79,11 +79,11 @@
 func (s *Store) Status() Status {
 	active := s.current.Load()
 	return Status{
-		Version:  active.compiled.Version(),
-		ChangeID: active.compiled.set.ChangeID,
-		Hash:     active.compiled.hash,
-		Source:   active.source,
-		Heard:    active.source != SourceDefault,
+		Version:      active.compiled.Version(),
+		ChangeID:     active.compiled.set.ChangeID,
+		Hash:         active.compiled.hash,
+		Source:       active.source,
+		HasStoredSet: active.source != SourceDefault,
 	}
 }
 
@@ -151,8 +151,8 @@
 	}
 	return &ForkError{
 		Version:       active.compiled.Version(),
-		KeptHash:      active.compiled.hash,
-		KeptChange:    active.compiled.set.ChangeID,
+		ActiveHash:    active.compiled.hash,
+		ActiveChange:  active.compiled.set.ChangeID,
 		OfferedHash:   next.compiled.hash,
 		OfferedChange: next.compiled.set.ChangeID,
 		Source:        next.source,
--- a/config/store_test.go
+++ b/config/store_test.go
@@ -98,9 +98,9 @@
 		defer cancel()
 		result := config.Bootstrap(ctx, config.NewStore(), memory, peers)
 		c.Check(result.Status.Version, qt.Equals, uint64(7))
-		c.Check(result.Status.Heard, qt.IsTrue)
-		c.Check(result.Answered, qt.Equals, 3)
-		c.Check(result.Stored, qt.IsFalse)
+		c.Check(result.Status.HasStoredSet, qt.IsTrue)
+		c.Check(result.Responded, qt.Equals, 3)
+		c.Check(result.PlatformResponded, qt.IsFalse)
 	})
 }
 
@@ -117,7 +117,7 @@
 
 		store := config.NewStore()
 		result := config.Bootstrap(ctx, store, memory, nil)
-		c.Check(result.Status.Heard, qt.IsFalse)
+		c.Check(result.Status.HasStoredSet, qt.IsFalse)
 		c.Check(result.Failures, qt.HasLen, 1)
 		c.Check(store.Current().Match("filing", "POST", "/filings").Unrepeatable, qt.IsTrue)
 
--- a/config/submission_limits_test.go
+++ b/config/submission_limits_test.go
@@ -44,6 +44,6 @@
 // A peer that sends an oversized Set must not fill the memory of a node.
 func TestOversizedSetsAreRejected(t *testing.T) {
 	c := qt.New(t)
-	_, err := config.NewStore().Offer(make([]byte, config.MaxHeld+1), config.SourcePeer)
+	_, err := config.NewStore().Offer(make([]byte, config.MaxNodeEncoded+1), config.SourcePeer)
 	c.Check(err, qt.ErrorAs, new(*config.EncodingError))
 }
--- a/config/validate.go
+++ b/config/validate.go
@@ -28,8 +28,8 @@
 	// MinDeadline and MaxDeadline limit Profile.Deadline.
 	MinDeadline = Duration(10 * time.Millisecond)
 	MaxDeadline = Duration(call.MaxTimeout)
-	// MaxStale limits Brownout.MaxAge.
-	MaxStale = Duration(24 * time.Hour)
+	// MaxBrownoutAge limits Brownout.MaxAge.
+	MaxBrownoutAge = Duration(24 * time.Hour)
 	// MaxRetryRatio limits Limits.RetryRatio.
 	MaxRetryRatio = 0.5
 	// MinHeaderBytes and MaxHeaderBytes limit Limits.HeaderBytes: usual request
@@ -156,7 +156,7 @@
 
 func (v *validator) brownout(p Profile, fieldPath string) {
 	b := p.Brownout
-	v.check(b.MaxAge >= 0 && b.MaxAge <= MaxStale, fieldPath+".maxAge", b.MaxAge.String(), "0s to 24h")
+	v.check(b.MaxAge >= 0 && b.MaxAge <= MaxBrownoutAge, fieldPath+".maxAge", b.MaxAge.String(), "0s to 24h")
 	// A stored response to an earlier filing would tell the caller that the current
 	// filing was sent.
 	v.check(b.MaxAge == 0 || !p.Unrepeatable, fieldPath+".maxAge", b.MaxAge.String(), "0s, because the profile is unrepeatable")
--- a/membership/config.go
+++ b/membership/config.go
@@ -23,14 +23,14 @@
 	// is in force here, and the time since its existence was last confirmed. It is called
 	// for each message.
 	NewestVersion() (version uint64, age time.Duration)
-	// Hear reports a version that some member knew to exist at the given age.
-	Hear(version uint64, age time.Duration)
+	// ObserveVersion reports a version that some member knew to exist at the given age.
+	ObserveVersion(version uint64, age time.Duration)
 	// Places returns the number of fleet places that this process has seen itself, where
 	// a place is a gossip address at which a member runs or ran; 0 leaves the count out
 	// of messages. It is called for each message.
 	Places() int
-	// HearPlaces reports the number of places that another member has seen.
-	HearPlaces(count int)
+	// ObservePlaces reports the number of places that another member has seen.
+	ObservePlaces(count int)
 }
 
 // Config configures a Gossip. Zero fields take the defaults.
@@ -76,11 +76,11 @@
 	// time until a network partition merges, and the traffic sent to VMs that are gone
 	// for good. Default 10 s.
 	HealInterval time.Duration
-	// TryLeft includes members that left in the attempts to reach dead members. It is
+	// ProbeLeft includes members that left in the attempts to reach dead members. It is
 	// meant for a VM that restarts at its old address while its seeds can't be read, so
-	// that only other members can find it. Without TryLeft, a member that left is
+	// that only other members can find it. Without ProbeLeft, a member that left is
 	// considered gone for good.
-	TryLeft bool
+	ProbeLeft bool
 	// DeadRetention is the time for which dead members are remembered and probed; a
 	// partition that lasts longer merges through the seeds. Default 30 min.
 	DeadRetention time.Duration
@@ -259,6 +259,6 @@
 func (noDelegate) Payload() (uint64, []byte)              { return 0, nil }
 func (noDelegate) Offer(string, uint64, []byte)           {}
 func (noDelegate) NewestVersion() (uint64, time.Duration) { return 0, 0 }
-func (noDelegate) Hear(uint64, time.Duration)             {}
+func (noDelegate) ObserveVersion(uint64, time.Duration)   {}
 func (noDelegate) Places() int                            { return 0 }
-func (noDelegate) HearPlaces(int)                         {}
+func (noDelegate) ObservePlaces(int)                      {}
--- a/membership/errors.go
+++ b/membership/errors.go
@@ -87,10 +87,10 @@
 // Error implements error.
 func (e *ClosedError) Error() string { return "membership is closed or was already started" }
 
-// UnheardError is returned by Leave when no peer confirmed the departure.
-type UnheardError struct{ Asked int }
+// LeaveUnconfirmedError is returned by Leave when no peer confirmed the departure.
+type LeaveUnconfirmedError struct{ Peers int }
 
 // Error implements error.
-func (e *UnheardError) Error() string {
-	return "none of " + strconv.Itoa(e.Asked) + " peers confirmed the departure"
+func (e *LeaveUnconfirmedError) Error() string {
+	return "none of " + strconv.Itoa(e.Peers) + " peers confirmed the departure"
 }
--- a/membership/exchange.go
+++ b/membership/exchange.go
@@ -123,13 +123,13 @@
 func (g *Gossip) afterMessage(from memberID, m *Message) {
 	if m.Newest > m.Version {
 		age := time.Duration(min(m.NewestAge, maxNewestAge)) * time.Millisecond
-		g.cfg.Delegate.Hear(m.Newest, age+versionAgePerHop)
+		g.cfg.Delegate.ObserveVersion(m.Newest, age+versionAgePerHop)
 	}
 	if m.Places > 0 {
-		g.cfg.Delegate.HearPlaces(int(min(m.Places, maxPlaces)))
+		g.cfg.Delegate.ObservePlaces(int(min(m.Places, maxPlaces)))
 	}
 	if m.Version > g.cfg.Delegate.LocalVersion() {
-		g.cfg.Delegate.Hear(m.Version, 0)
+		g.cfg.Delegate.ObserveVersion(m.Version, 0)
 		g.fetch(from, m.Version)
 	}
 	g.mu.Lock()
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -37,14 +37,14 @@
 		resume := paused.pause()
 		w.within(10*time.Second, func(n *testNode) bool { return n.state(paused.id()) == Dead })
 		time.Sleep(time.Minute)
-		raised := w.sum(func(s Stats) uint64 { return s.Raised })
+		raised := w.sum(func(s Stats) uint64 { return s.SuspicionsRaised })
 		paused.setDown(false)
 		resume()
 		took := w.within(4*time.Second, func(n *testNode) bool { return n.state(paused.id()) == Alive && n.countState(Alive) == 40 })
 		w.c.Logf("alive everywhere %v after it resumed", took)
 		w.c.Assert(paused.Self().Seq > seq, qt.IsTrue)
 		time.Sleep(20 * time.Second)
-		w.c.Assert(w.sum(func(s Stats) uint64 { return s.Raised })-raised, qt.Equals, uint64(0))
+		w.c.Assert(w.sum(func(s Stats) uint64 { return s.SuspicionsRaised })-raised, qt.Equals, uint64(0))
 		w.c.Assert(paused.Stats().Pauses, qt.Equals, uint64(1))
 	})
 }
@@ -190,15 +190,15 @@
 }
 
 // A VM restarts in an orderly way: its process leaves and starts again at the same
-// address, while the store that contains the seeds is unavailable. Without TryLeft no
+// address, while the store that contains the seeds is unavailable. Without ProbeLeft no
 // other member probes a member that left, so the new process would stay alone, without
-// configuration, until the store is back. With TryLeft the others find it within a few
+// configuration, until the store is back. With ProbeLeft the others find it within a few
 // seconds.
 func TestMemberThatLeftIsFoundAtItsAddress(t *testing.T) {
 	cluster(t, 12, func(w *network) {
 		for _, n := range w.nodes {
 			n.Gossip.mu.Lock()
-			n.cfg.TryLeft = true
+			n.cfg.ProbeLeft = true
 			n.cfg.HealInterval = time.Second
 			n.due.heal = time.Now()
 			n.Gossip.mu.Unlock()
@@ -208,7 +208,7 @@
 		left.crash()
 		w.within(5*time.Second, func(n *testNode) bool { return n.state(left.id()) == Left })
 		fresh := w.start(5, func(c *Config) {
-			c.Seeds = func(context.Context) ([]string, error) { return nil, &UnheardError{} }
+			c.Seeds = func(context.Context) ([]string, error) { return nil, &LeaveUnconfirmedError{} }
 		})
 		took := w.within(4*time.Second, func(n *testNode) bool {
 			return n.state(fresh.id()) == Alive && n.countState(Alive) == 12
@@ -224,7 +224,7 @@
 func TestFirstKnownMemberIsSyncedAtOnce(t *testing.T) {
 	cluster(t, 12, func(w *network) {
 		fresh := w.add(12, func(c *Config) {
-			c.Seeds = func(context.Context) ([]string, error) { return nil, &UnheardError{} }
+			c.Seeds = func(context.Context) ([]string, error) { return nil, &LeaveUnconfirmedError{} }
 		})
 		w.c.Assert(fresh.Start(w.ctx), qt.IsNil)
 		time.Sleep(10 * time.Millisecond)
--- a/membership/gossip.go
+++ b/membership/gossip.go
@@ -129,8 +129,9 @@
 	return g.table.self.m.clone()
 }
 
-// Version returns a counter that rises whenever the results of Members or Lookup change.
-func (g *Gossip) Version() uint64 { return g.version.Load() }
+// ViewVersion returns a counter that rises whenever the results of Members or Lookup
+// change.
+func (g *Gossip) ViewVersion() uint64 { return g.version.Load() }
 
 // Subscribe registers fn to be called after each change, without locks held. fn must not
 // block, and may be called concurrently.
@@ -172,7 +173,7 @@
 }
 
 // Leave announces to peers that this process leaves, and waits for the peers' replies. It
-// returns an *UnheardError if none of them confirmed. Call Close afterwards.
+// returns a *LeaveUnconfirmedError if none of them confirmed. Call Close afterwards.
 func (g *Gossip) Leave(ctx context.Context) error {
 	g.mu.Lock()
 	g.table.leave(g.cfg.Clock())
@@ -195,7 +196,7 @@
 		confirmed = <-confirmations || confirmed
 	}
 	if !confirmed {
-		return &UnheardError{Asked: len(targets)}
+		return &LeaveUnconfirmedError{Peers: len(targets)}
 	}
 	return nil
 }
--- a/membership/hostile_test.go
+++ b/membership/hostile_test.go
@@ -57,7 +57,7 @@
 	c.Assert(claim(func(e *Entry) { *e = Entry{ID: e.ID, State: Dead, Seq: 5} }), qt.DeepEquals, before)
 	c.Assert(g.doubts, qt.HasLen, 1)
 	c.Assert(g.Stats().Conflicts, qt.Equals, uint64(1))
-	c.Assert(g.Stats().FarAhead, qt.Equals, uint64(1))
+	c.Assert(g.Stats().SeqOutOfRange, qt.Equals, uint64(1))
 
 	own := g.Self()
 	claim(func(e *Entry) { e.ID = string(ownID[:]) })
--- a/membership/measure_test.go
+++ b/membership/measure_test.go
@@ -29,9 +29,9 @@
 		cluster(t, size, func(w *network) {
 			steady, dials := w.traffic(size)
 			w.lose(0.05)
-			raised := w.sum(func(s Stats) uint64 { return s.Raised })
+			raised := w.sum(func(s Stats) uint64 { return s.SuspicionsRaised })
 			lossy, _ := w.traffic(size)
-			raised = w.sum(func(s Stats) uint64 { return s.Raised }) - raised
+			raised = w.sum(func(s Stats) uint64 { return s.SuspicionsRaised }) - raised
 			w.c.Assert(w.sum(deathsOf), qt.Equals, uint64(0))
 			w.lose(0)
 			time.Sleep(10 * time.Second)
--- a/membership/network_test.go
+++ b/membership/network_test.go
@@ -68,7 +68,7 @@
 
 func (*testConfig) Places() int { return 0 }
 
-func (*testConfig) HearPlaces(int) {}
+func (*testConfig) ObservePlaces(int) {}
 
 func (d *testConfig) NewestVersion() (uint64, time.Duration) {
 	d.mu.Lock()
@@ -76,7 +76,7 @@
 	return max(d.version, d.newest), 0
 }
 
-func (d *testConfig) Hear(version uint64, _ time.Duration) {
+func (d *testConfig) ObserveVersion(version uint64, _ time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.newest = max(d.newest, version)
--- a/membership/seeds_test.go
+++ b/membership/seeds_test.go
@@ -78,7 +78,7 @@
 func TestSeedRequestsAreBounded(t *testing.T) {
 	for _, size := range measuredSizes() {
 		cluster(t, size, func(w *network) {
-			asks := func() uint64 { return w.sum(func(s Stats) uint64 { return s.SeedAsks }) }
+			asks := func() uint64 { return w.sum(func(s Stats) uint64 { return s.SeedCalls }) }
 			time.Sleep(10 * time.Minute)
 			before := asks()
 			time.Sleep(10 * time.Minute)
@@ -87,9 +87,9 @@
 			w.c.Assert(rate < 1.25*float64(size)/300, qt.IsTrue)
 			w.block(func(from, to *testNode) bool { return from == w.nodes[5] || to == w.nodes[5] })
 			w.within(20*time.Minute, func(n *testNode) bool { return n != w.nodes[5] || n.countState(Alive) == 1 })
-			before = w.nodes[5].Stats().SeedAsks
+			before = w.nodes[5].Stats().SeedCalls
 			time.Sleep(15 * time.Second)
-			w.c.Assert(w.nodes[5].Stats().SeedAsks > before, qt.IsTrue)
+			w.c.Assert(w.nodes[5].Stats().SeedCalls > before, qt.IsTrue)
 		})
 	}
 }
--- a/membership/stats.go
+++ b/membership/stats.go
@@ -18,28 +18,28 @@
 	// Sent and Received count requests; Failed counts those sent without a usable reply;
 	// Skipped counts exchanges not started because too many were in flight.
 	Sent, Received, Failed, Skipped uint64
-	// Late counts the requests whose reply did not arrive in time. It may have arrived
-	// later.
-	Late uint64
+	// LateReplies counts the requests whose reply did not arrive in time. It may have
+	// arrived later.
+	LateReplies uint64
 	// Refused counts malformed messages and rejected claims.
 	Refused uint64
 	// Probes and ProbesFailed count direct probes.
 	Probes, ProbesFailed uint64
-	// Raised counts the suspicions that this process raised itself.
-	Raised uint64
+	// SuspicionsRaised counts the suspicions that this process raised itself.
+	SuspicionsRaised uint64
 	// Suspicions, Deaths and Refutations count state changes in this process's table.
 	Suspicions, Deaths, Refutations uint64
-	// Conflicts counts claims that contradict an incarnation's identity, and FarAhead
+	// Conflicts counts claims that contradict an incarnation's identity, and SeqOutOfRange
 	// those with a Seq too far above the known one. Either means a faulty peer.
-	Conflicts, FarAhead uint64
+	Conflicts, SeqOutOfRange uint64
 	// TableFull counts members that were not added because the table was full.
 	TableFull uint64
 	// Pulls counts transfers of the configuration payload to this process.
 	Pulls uint64
 	// Pauses counts the times that this process detected that it had been stopped.
 	Pauses uint64
-	// SeedAsks and SeedErrors count calls of Config.Seeds and those that failed.
-	SeedAsks, SeedErrors uint64
+	// SeedCalls and SeedErrors count calls of Config.Seeds and those that failed.
+	SeedCalls, SeedErrors uint64
 	// InboundRefused counts connections rejected because of MaxInbound.
 	InboundRefused uint64
 	// Alive, Suspect, Dead and Left count members, including this process.
@@ -56,12 +56,12 @@
 	return Stats{
 		BytesIn: s.bytesIn.Load(), BytesOut: s.bytesOut.Load(), Dials: s.dials.Load(),
 		Sent: s.sent.Load(), Received: s.received.Load(), Failed: s.failed.Load(), Skipped: s.skipped.Load(),
-		Late:    s.late.Load(),
-		Refused: s.refused.Load(), Probes: s.probes.Load(), ProbesFailed: s.probesFailed.Load(),
-		Raised: s.raised.Load(), Suspicions: c.suspicions, Deaths: c.deaths, Refutations: c.refutations,
-		Conflicts: c.conflicts, FarAhead: c.farAhead, TableFull: c.tableFull,
+		LateReplies: s.late.Load(),
+		Refused:     s.refused.Load(), Probes: s.probes.Load(), ProbesFailed: s.probesFailed.Load(),
+		SuspicionsRaised: s.raised.Load(), Suspicions: c.suspicions, Deaths: c.deaths, Refutations: c.refutations,
+		Conflicts: c.conflicts, SeqOutOfRange: c.farAhead, TableFull: c.tableFull,
 		Pulls: s.pulls.Load(), Pauses: s.pauses.Load(),
-		SeedAsks: s.seedAsks.Load(), SeedErrors: s.seedErrors.Load(), InboundRefused: s.inboundRefused.Load(),
+		SeedCalls: s.seedAsks.Load(), SeedErrors: s.seedErrors.Load(), InboundRefused: s.inboundRefused.Load(),
 		Alive: v.states[Alive], Suspect: v.states[Suspect], Dead: v.states[Dead], Left: v.states[Left],
 	}
 }
--- a/membership/sync.go
+++ b/membership/sync.go
@@ -44,7 +44,7 @@
 	var dead []memberID
 	for _, row := range g.table.order {
 		_, replaced := g.table.holderByAddr[row.m.GossipAddr]
-		eligible := row.m.State == Dead || row.m.State == Left && g.cfg.TryLeft
+		eligible := row.m.State == Dead || row.m.State == Left && g.cfg.ProbeLeft
 		if eligible && !replaced {
 			dead = append(dead, row.id)
 		}
--- a/node/admin.go
+++ b/node/admin.go
@@ -149,7 +149,7 @@
 			ChangeID: status.ChangeID,
 			Hash:     status.Hash,
 			Source:   string(status.Source),
-			Heard:    status.Heard,
+			Heard:    status.HasStoredSet,
 			Set:      n.config.Current().Set(),
 		}, nil
 	}
--- a/node/configbehind.go
+++ b/node/configbehind.go
@@ -17,7 +17,7 @@
 func (n *Node) tellStored() {
 	if version := n.storedVersion.Load(); version > n.ConfigVersion() {
 		now := n.now()
-		n.config.Hear(version, now, now)
+		n.config.RecordVersionNotice(version, now, now)
 	}
 }
 
--- a/node/configsync.go
+++ b/node/configsync.go
@@ -40,17 +40,17 @@
 	return version, now.Sub(at)
 }
 
-// Hear implements membership.Delegate.
-func (d *gossipDelegate) Hear(version uint64, age time.Duration) {
+// ObserveVersion implements membership.Delegate.
+func (d *gossipDelegate) ObserveVersion(version uint64, age time.Duration) {
 	now := d.node.now()
-	d.node.config.Hear(version, now.Add(-age), now)
+	d.node.config.RecordVersionNotice(version, now.Add(-age), now)
 }
 
 // Places implements membership.Delegate.
 func (d *gossipDelegate) Places() int { return d.node.quotas.places() }
 
-// HearPlaces implements membership.Delegate.
-func (d *gossipDelegate) HearPlaces(count int) {
+// ObservePlaces implements membership.Delegate.
+func (d *gossipDelegate) ObservePlaces(count int) {
 	q := d.node.quotas
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -89,7 +89,7 @@
 		n.configSince.Store(n.now().UnixNano())
 		status := n.config.Status()
 		n.log.Emit(observe.ConfigAccepted, observe.Int64("version", int64(status.Version)), observe.Str("source", string(status.Source)))
-		if count, first := n.config.Current().Unserved(); count > 0 {
+		if count, first := n.config.Current().UnservedRoutes(); count > 0 {
 			n.log.Emit(observe.ConfigUnserved, observe.Int("routes", count), observe.Str("first", first))
 		}
 		n.gossip.Broadcast()
--- a/node/customers.go
+++ b/node/customers.go
@@ -34,7 +34,7 @@
 	if found.customer != nil || !current.KeyRequired(profile) {
 		return found, call.ReasonNone
 	}
-	if current.KeysUnknown() || n.laterThan(current.Version()) {
+	if current.HasUnreadableCustomers() || n.laterThan(current.Version()) {
 		return found, call.ReasonConfigBehind
 	}
 	return found, call.ReasonUnauthorized
@@ -79,7 +79,7 @@
 // removes it from the headers that are forwarded. If no customers are configured, the
 // header belongs to the upstream and stays.
 func takeKey(h http.Header, current *config.Compiled) customer.Key {
-	if current.Customers().Empty() && !current.KeysUnknown() {
+	if current.Customers().Empty() && !current.HasUnreadableCustomers() {
 		return customer.Key{}
 	}
 	key := customer.ReadKey(h, call.HeaderAPIKey)
--- a/node/customers_test.go
+++ b/node/customers_test.go
@@ -80,10 +80,10 @@
 		f.c.Assert(front.OfferConfig(withCustomers(f.c, routedSet, 2)), qt.IsNil)
 		ask := func() int { return f.askRouted(front, "/browse/x", "id", "X-Key", "key-new").status }
 		f.c.Check(ask(), qt.Equals, http.StatusUnauthorized)
-		front.config.Hear(9, front.now(), front.now())
+		front.config.RecordVersionNotice(9, front.now(), front.now())
 		f.c.Check(ask(), qt.Equals, http.StatusServiceUnavailable)
 		set := withCustomers(f.c, routedSet, 9)
-		set.CustomersMissing = true
+		set.CustomersUnreadable = true
 		f.c.Assert(front.OfferConfig(set), qt.IsNil)
 		f.c.Check(ask(), qt.Equals, http.StatusServiceUnavailable, qt.Commentf("the configuration says that a customer is missing"))
 		f.c.Check(f.askRouted(front, "/browse/x", "id", "X-Key", "key-one").status, qt.Equals, http.StatusOK)
--- a/node/ending.go
+++ b/node/ending.go
@@ -30,7 +30,7 @@
 
 // Ready reports whether callers may use this node: it has received a configuration and
 // is not shutting down.
-func (n *Node) Ready() bool { return n.config.Status().Heard && !n.ending.Load() }
+func (n *Node) Ready() bool { return n.config.Status().HasStoredSet && !n.ending.Load() }
 
 // shutdownWithDialect shuts down a node that uses a dialect, while the upstream keeps
 // running beside it. The node still accepts calls of other nodes for shutdownDrainDelay,
--- a/node/members.go
+++ b/node/members.go
@@ -32,10 +32,10 @@
 		Delegate: &gossipDelegate{node: n},
 		// Other nodes must be able to fetch any configuration that one node has in
 		// force.
-		MaxPayloadBytes: config.MaxHeld,
+		MaxPayloadBytes: config.MaxNodeEncoded,
 	}
 	if n.spoken() {
-		cfg.TryLeft = true
+		cfg.ProbeLeft = true
 		cfg.HealInterval = dialectHealInterval
 	}
 	gossip, err := membership.New(cfg)
@@ -136,7 +136,7 @@
 	for until := n.now().Add(joinTime); n.now().Before(until); {
 		before := known
 		known = len(n.gossip.Members())
-		if n.spoken() && n.config.Status().Heard && known > 1 && known == before {
+		if n.spoken() && n.config.Status().HasStoredSet && known > 1 && known == before {
 			return true
 		}
 		if !objects.Pause(ctx, joinPollInterval) {
--- a/node/routed.go
+++ b/node/routed.go
@@ -97,7 +97,7 @@
 	if n.closed.Load() {
 		return nil, n.refuse(call.NotRun, call.ReasonDraining, shutdownRetry)
 	}
-	if !n.config.Status().Heard {
+	if !n.config.Status().HasStoredSet {
 		// Without a configuration a node can't know whether a route exists.
 		return nil, n.refuse(call.NotRun, call.ReasonNoConfig, noConfigRetry)
 	}
--- a/node/staleversion_test.go
+++ b/node/staleversion_test.go
@@ -58,7 +58,7 @@
 		odd := f.addRouted("odd", "desk", 10, echo, withoutPlatform)
 		other := f.addRouted("other", "desk", 10, echo, withoutPlatform)
 		f.settle()
-		odd.config.Hear(1<<52, odd.now(), odd.now())
+		odd.config.RecordVersionNotice(1<<52, odd.now(), odd.now())
 		f.settle()
 		odd.Close()
 		delete(f.nodes, "odd")
