--- a/cmd/pollengauge/soak/customer_test.go
+++ b/cmd/pollengauge/soak/customer_test.go
@@ -10,14 +10,16 @@
 	"time"
 )
 
-// Habits of customers.
+// Behaviour of the simulated customers.
 const (
 	customerDeadline = 2500 * time.Millisecond
-	// hasteShare leaves before its deadline.
+	// hasteShare is the share of requests that customers give up after haste
+	// instead of customerDeadline.
 	hasteShare = 0.03
 	haste      = 30 * time.Millisecond
 	probeEvery = 40 * time.Millisecond
-	// addedShare of the repeatable requests go to added routes, once there are.
+	// addedShare is the share of safe requests that go to added routes once the
+	// store has acknowledged some.
 	addedShare = 0.4
 )
 
@@ -30,7 +32,8 @@
 	}
 }
 
-// visit makes one request, and once more if the answer allows it.
+// visit sends one request, and a second one if the first failed and its response
+// allows a retry.
 func (f *fleet) visit(ctx context.Context, v *vm, client *http.Client) {
 	unsafe := rand.IntN(3) == 0
 	for range 2 {
@@ -58,12 +61,12 @@
 	return f.exchange(ctx, v, client, s, wait)
 }
 
-// exchange sends a request and records it and its answer.
+// exchange sends a request and records the request and its response.
 func (f *fleet) exchange(ctx context.Context, v *vm, client *http.Client, s sent, wait time.Duration) answered {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	// The reader has no type that the transport knows, so it never sends the
-	// body again by itself.
+	// net/http can replay a body only if it knows the reader's type. A
+	// MultiReader hides the type, so the transport never resends the body.
 	var body io.Reader
 	if s.body != "" {
 		body = io.MultiReader(strings.NewReader(s.body))
@@ -87,8 +90,9 @@
 	return a
 }
 
-// prober asks one request after another on the probe route. Those that were
-// under way while the process ended tell of neither life.
+// prober sends one request after another on the probe route. It drops responses
+// that span a restart of the node's process, because they can't be attributed to
+// either incarnation.
 func (f *fleet) prober(ctx context.Context, v *vm) {
 	client := directClient()
 	for ctx.Err() == nil {
@@ -105,7 +109,8 @@
 	}
 }
 
-// serviceOf tells which service gave a signature.
+// serviceOf returns the service whose run produced the signature, or "" if no
+// such run is recorded.
 func (f *fleet) serviceOf(id, signature string) string {
 	f.record.mu.Lock()
 	defer f.record.mu.Unlock()
@@ -124,7 +129,7 @@
 	}
 }
 
-// load starts the customers of all VMs.
+// load starts the customers of all VMs, and the memory watch of each VM.
 func (f *fleet) load(ctx context.Context, each int, think time.Duration) {
 	for _, v := range f.vms {
 		for range each {
--- a/cmd/pollengauge/soak/denied_test.go
+++ b/cmd/pollengauge/soak/denied_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// routesAreServed: a proper request on a route that the store acknowledged long
-// enough ago is not turned away as a bad one, unless the VM was down or could not
-// learn of the route.
+// routesAreServed checks that no valid request on a route gets a 3xx or 4xx status
+// once the learning time since the store's acknowledgement of the route has passed,
+// unless the VM was down or could not learn of the route.
 func (j *judgement) routesAreServed() {
 	denied := 0
 	var first string
@@ -32,14 +32,16 @@
 	}
 }
 
-// overLimit tells whether a request was refused as one beyond its tenant's limit.
+// overLimit reports whether a request was refused for exceeding its tenant's rate
+// limit.
 func overLimit(s sent, a answered) bool {
 	return a.status == http.StatusTooManyRequests && slices.ContainsFunc(tenants, func(t tenant) bool { return t.name == s.tenant && t.rate > 0 })
 }
 
 func denies(status int) bool { return status >= 300 && status < 500 }
 
-// ackedAt is when the store first acknowledged a version with the path's route.
+// ackedAt returns when the store first acknowledged a version that contains the
+// path's route, or the zero time if it never did.
 func (j *judgement) ackedAt(path string) time.Time {
 	route := -1 // in the configuration from the beginning
 	if prefixOf(path) == pathAdded {
@@ -54,8 +56,9 @@
 	return time.Time{}
 }
 
-// cutOff tells whether, somewhere in a span, a VM was down or had neither the
-// store nor other nodes to learn from.
+// cutOff reports whether, during a span, a VM was down or had faults on both its
+// link to the store and its links to other nodes, so that it had no source for new
+// configurations.
 func (j *judgement) cutOff(vm int, from, to time.Time) bool {
 	var store, peers bool
 	for _, d := range j.disturbed {
@@ -71,8 +74,9 @@
 	return store && peers
 }
 
-// addedRoutes asks every VM on the newest route until it serves there: however
-// busy the machine is, all VMs know the configuration in the end.
+// addedRoutes sends requests on the newest added route to every VM until the VM
+// serves it. All VMs must learn the configuration eventually, however busy the
+// machine is.
 func (f *fleet) addedRoutes(ctx context.Context) []violation {
 	added := int(f.operator.acknowledged.Load())
 	if added == 0 {
--- a/cmd/pollengauge/soak/fatal_test.go
+++ b/cmd/pollengauge/soak/fatal_test.go
@@ -7,22 +7,24 @@
 	"time"
 )
 
-// A request under which upstreams end.
+// Parameters of the fatal request, which crashes each upstream that runs it.
 const (
-	// fatalPart in a path makes the upstream that runs the request end.
+	// fatalPart in a path makes the upstream that runs the request crash.
 	fatalPart  = "fatal-"
 	fatalEvery = 300 * time.Millisecond
-	// fatalFor is how long it comes again, longer than a request is held at first.
+	// fatalFor is how long the request is repeated. It is longer than the first
+	// quarantine of a suspect request.
 	fatalFor = 13 * time.Second
-	// endedFor is how long an upstream that has ended under it is away.
+	// endedFor is how long a crashed upstream stays down.
 	endedFor = time.Second
-	// newsTime is how long after the third end the VMs may still learn of it.
+	// newsTime is how long the VMs may take to learn of the third crash.
 	newsTime = 3 * time.Second
-	// mostAfterThird is how often it may run after that.
+	// mostAfterThird is how many times the request may run after that.
 	mostAfterThird = 3
 )
 
-// sendFatal sends the same request again and again, at the VMs of one service in turn.
+// sendFatal sends the same fatal request repeatedly, to the VMs of one service in
+// turn.
 func (f *fleet) sendFatal(ctx context.Context, first *vm) {
 	client := directClient()
 	path := pathBrowse + fatalPart + newID()
@@ -39,19 +41,21 @@
 	}
 }
 
-// endUnder ends the upstream as a crash does, and starts it again later.
+// endUnder crashes the upstream and starts it again after endedFor.
 func (u *upstream) endUnder() {
 	u.crash()
 	time.AfterFunc(endedFor, func() {
-		// The fleet may be gone, and its address another's.
+		// The error is ignored: the fleet may be closed by now and the address in
+		// use by another one.
 		_ = u.start()
 	})
 }
 
 func isFatal(path string) bool { return strings.Contains(path, fatalPart) }
 
-// fatalRequestsAreHeld: a request under which three upstreams have ended comes to few
-// more, from VMs that had no fault lately.
+// fatalRequestsAreHeld checks that a request which has crashed three upstreams is
+// quarantined: at most mostAfterThird further runs are allowed, counting only runs
+// more than newsTime after the third crash and VMs without recent faults.
 func (j *judgement) fatalRequestsAreHeld() {
 	runs := make(map[string][]run)
 	for _, x := range j.runs {
@@ -71,7 +75,7 @@
 			}
 		}
 		if late > mostAfterThird {
-			j.add("held", "%s ran %d times more after it had ended three upstreams", path, late)
+			j.add("held", "%s ran %d more times after it had crashed three upstreams", path, late)
 		}
 	}
 }
--- a/cmd/pollengauge/soak/fleet_test.go
+++ b/cmd/pollengauge/soak/fleet_test.go
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// host is the one under which all routes stand.
+// host is the host of all routes.
 const host = "desk.example"
 
-// Routes of the fleet, by prefix, and the services that they may lead to.
+// Path prefixes of the fleet's routes.
 const (
 	pathBrowse = "/browse/"
 	pathFile   = "/file/"
 	pathLook   = "/look/"
 	pathProbe  = "/probe/"
-	// pathAdded begins the prefixes of all routes that growths add.
+	// pathAdded starts the prefix of every route that a configuration growth adds.
 	pathAdded = "/added/"
 )
 
@@ -46,7 +46,8 @@
 	stop   context.CancelFunc
 }
 
-// fail keeps the first failure of the soak itself.
+// fail stores the first failure of the test harness itself, as opposed to a
+// violation found in the programs.
 func (f *fleet) fail(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,8 +56,8 @@
 	}
 }
 
-// network is the second and third byte of the fleet's addresses, drawn anew for
-// each, so that two soaks on one machine don't meet.
+// network returns the first three bytes of the fleet's addresses. The second and
+// third are random, so that two soaks on one machine don't collide.
 func network() string { return fmt.Sprintf("127.%d.%d", 20+rand.IntN(200), rand.IntN(250)) }
 
 // newFleet starts the store and all VMs, and waits until each serves.
@@ -123,13 +124,13 @@
 	return true
 }
 
-// patience bounds each wait for something that comes by itself.
+// patience bounds each wait for an eventual condition.
 const patience = 60 * time.Second
 
-// timeoutError tells that something did not come in patience.
+// timeoutError reports that a condition was not met within patience.
 type timeoutError struct{}
 
-func (timeoutError) Error() string { return "not there within " + patience.String() }
+func (timeoutError) Error() string { return "condition not met within " + patience.String() }
 
 func await(ctx context.Context, there func() bool) error {
 	for until := time.Now().Add(patience); !there(); {
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// faults sets what the store does wrong, as JSON.
+// faults sets the faults that the store injects, given as JSON.
 func (f *fleet) faults(text string) error {
 	resp, err := f.client.Post("http://"+f.storeAddr+"/faults", "application/json", strings.NewReader(text))
 	if err != nil {
@@ -150,7 +151,7 @@
 	return resp.Body.Close()
 }
 
-// close ends all that the fleet started.
+// close stops everything that the fleet started.
 func (f *fleet) close() {
 	f.stop()
 	var ends sync.WaitGroup
@@ -166,7 +167,7 @@
 	}
 }
 
-// logs returns the findings that the processes' own output holds.
+// logs returns the data races, panics and fatal errors found in the processes' logs.
 func (f *fleet) logs() []violation {
 	var found []violation
 	for _, v := range f.vms {
@@ -183,7 +184,7 @@
 	return found
 }
 
-// Terms of the routes.
+// Settings of the routes.
 const (
 	routeTimeout  = 2 * time.Second
 	routeAttempts = 2
@@ -199,7 +200,7 @@
 	}
 }
 
-// prefixOf returns the route's prefix of a path.
+// prefixOf returns the route prefix of a path.
 func prefixOf(path string) string {
 	if i := strings.IndexByte(path[1:], '/'); i >= 0 {
 		return path[:i+2]
@@ -207,7 +208,8 @@
 	return path
 }
 
-// directClient has customers whose connections stay open between requests.
+// directClient returns a customer's client, which keeps its connection open
+// between requests.
 func directClient() *http.Client {
 	dialer := &net.Dialer{Timeout: time.Second}
 	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true, MaxIdleConnsPerHost: 1}}
--- a/cmd/pollengauge/soak/foreign_test.go
+++ b/cmd/pollengauge/soak/foreign_test.go
@@ -13,25 +13,26 @@
 	"pollengauge.dev/platform/store"
 )
 
-// entry is an object that another writer keeps in the store.
+// entry is an object that another program has written to the store.
 type entry struct {
 	kind, name string
-	// wrote and found are specifications, as JSON.
+	// wrote and found are the specification as written and as read at the end,
+	// as JSON.
 	wrote, found string
 }
 
-// Kinds that the nodes read too, and one that they don't. Names are the other
-// writer's own.
+// foreignKinds are kinds that the nodes read too, and "inventory", which they
+// don't. The object names are the other program's own.
 var foreignKinds = []string{configKind, "pollengauge-bootstrap", "pollengauge-claim", "inventory"}
 
-// foreignValues are what another writer may keep under any kind.
+// foreignValues are specifications that the other program may write under any kind.
 var foreignValues = []string{
 	`{}`, `[1,2]`, `7`, `"10.0.0.1"`, `{"address":7}`, `{"pollengauge_value":5}`, `{"pollengauge_value":"AA=="}`,
 	`{"version":"r999999","routes":[]}`, `{"routes":"none"}`,
 }
 
-// writeForeign stores an entry for each kind. One whose answer is lost is not
-// looked for later.
+// writeForeign creates an entry of each kind. An entry is not checked later if its
+// creation was not acknowledged.
 func (f *fleet) writeForeign(ctx context.Context) {
 	for _, kind := range foreignKinds {
 		e := entry{kind: kind, name: "other-" + newID(), wrote: foreignValues[rand.IntN(len(foreignValues))]}
@@ -41,12 +42,13 @@
 	}
 }
 
-// storeError is an answer of the store that is no success.
+// storeError is a response of the store with a failure status.
 type storeError struct{ status int }
 
-func (e storeError) Error() string { return fmt.Sprintf("the store answered %d", e.status) }
+func (e storeError) Error() string { return fmt.Sprintf("store responded with status %d", e.status) }
 
-// createEntry writes as another program does, not with the project's client.
+// createEntry writes over plain HTTP as another program does, not with the
+// project's client.
 func (f *fleet) createEntry(ctx context.Context, e entry) error {
 	object := store.Object{Specification: json.RawMessage(e.wrote)}
 	object.Metadata.Name = e.name
@@ -69,7 +71,7 @@
 	return nil
 }
 
-// readForeign looks at all entries of the other writer again.
+// readForeign reads all entries of the other program again.
 func (f *fleet) readForeign(ctx context.Context) {
 	f.record.mu.Lock()
 	entries := slices.Clone(f.record.entries)
@@ -82,7 +84,8 @@
 	f.record.mu.Unlock()
 }
 
-// readEntry leaves found empty where the entry is gone.
+// readEntry reads an entry's specification into found, and leaves found empty if
+// the entry no longer exists.
 func (f *fleet) readEntry(ctx context.Context, e *entry) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.storeAddr+store.ObjectsPath+e.kind+"/"+e.name, nil)
 	if err != nil {
@@ -105,7 +108,8 @@
 	return storeError{resp.StatusCode}
 }
 
-// foreignEntriesStay: what another writer keeps in the store is its own.
+// foreignEntriesStay checks that the nodes neither change nor delete another
+// program's entries in the store.
 func (j *judgement) foreignEntriesStay() {
 	for _, e := range j.entries {
 		if !sameJSON(e.wrote, e.found) {
--- a/cmd/pollengauge/soak/heartbeat_test.go
+++ b/cmd/pollengauge/soak/heartbeat_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// beat is what a heartbeat says.
+// beat is the content of a heartbeat.
 type beat struct {
 	instance string
 	life     int
@@ -39,7 +39,7 @@
 	sequence int
 }
 
-// report returns what the incarnation has to say. The caller holds the lock.
+// report returns the heartbeat of the current incarnation. The caller holds u.mu.
 func (u *upstream) report() beat {
 	return beat{instance: u.instance, life: u.starts, again: u.again, born: u.born, state: u.state, sequence: u.sequence}
 }
@@ -69,8 +69,9 @@
 	}
 }
 
-// restart ends the incarnation at once and starts it under its id. Then comes
-// what the one before had still to say, held up on its way.
+// restart crashes the incarnation and starts the next one under the same instance
+// id. Then it sends a delayed heartbeat of the previous incarnation, which announces
+// that the previous incarnation is draining.
 func (u *upstream) restart(ctx context.Context, away time.Duration) error {
 	u.mu.Lock()
 	late := u.report()
@@ -87,5 +88,6 @@
 	return nil
 }
 
-// lateSequence is how far the announcement that comes late was ahead.
+// lateSequence is added to the sequence number of the delayed heartbeat, so that it
+// is higher than the new incarnation's.
 const lateSequence = 1000
