--- a/cmd/pollengauge/soak/judge_test.go
+++ b/cmd/pollengauge/soak/judge_test.go
@@ -7,10 +7,11 @@
 	"time"
 )
 
-// terms are the bounds that the fleet's settings and routes give.
+// terms are the bounds set by the fleet's settings and routes.
 type terms struct {
-	// allowed has the services that some configuration lets each route prefix
-	// lead to, attempts the upstreams that one request may be sent to.
+	// allowed maps each route prefix to the services that any version of the
+	// configuration routes it to. attempts is how many upstreams one request may
+	// be sent to.
 	allowed  map[string][]string
 	attempts int
 	timeout  time.Duration
@@ -20,10 +21,10 @@
 	retrySlack   float64
 	retryWindow  time.Duration
 	maxLateShare float64
-	// learning is how long a version may be on its way to a VM.
+	// learning is how long a configuration version may take to reach a VM.
 	learning time.Duration
-	// timed adds the checks that go by the clock. They need a machine that is
-	// not busy with other work.
+	// timed enables the checks that depend on elapsed time. They need a machine
+	// that is not busy with other work.
 	timed bool
 }
 
@@ -32,7 +33,7 @@
 
 func (v violation) String() string { return v.rule + ": " + v.detail }
 
-// judge returns the promises that the record shows broken.
+// judge returns the violations that the record shows.
 func judge(r *record, t terms) []violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,14 +63,14 @@
 	return j.found
 }
 
-// judgement is a record with its indexes.
+// judgement is a record, its indexes and the violations found so far.
 type judgement struct {
 	*record
 	terms
 	asked  map[string]sent
 	runsOf map[string][]run
-	// sendings has when each request was sent, more than once where its customer
-	// tried again under the same id.
+	// sendings holds the times at which each request was sent: several if its
+	// customer retried it under the same id.
 	sendings map[string][]time.Time
 	found    []violation
 }
@@ -90,24 +91,25 @@
 	j.found = append(j.found, violation{rule: rule, detail: fmt.Sprintf(format, args...)})
 }
 
-// runsWereAsked: an upstream gets nothing that nobody sent, and nothing changed.
+// runsWereAsked checks that upstreams receive only requests that were sent, unchanged,
+// with the correct origin, and on a route that leads to their service.
 func (j *judgement) runsWereAsked() {
 	for _, x := range j.runs {
 		s, ok := j.asked[x.id]
 		switch {
 		case !ok:
-			j.add("asked", "%s ran %s, which nobody sent", x.instance, x.id)
+			j.add("asked", "%s received %s, which nobody sent", x.instance, x.id)
 		case s.method != x.method || s.path != x.path || s.body != x.body:
-			j.add("asked", "%s got %s %s with %d bytes for %s, sent %s %s with %d", x.instance, x.method, x.path, len(x.body), x.id, s.method, s.path, len(s.body))
+			j.add("asked", "%s received %s %s with %d bytes for %s, which was sent as %s %s with %d", x.instance, x.method, x.path, len(x.body), x.id, s.method, s.path, len(s.body))
 		case s.origin != x.origin:
-			j.add("asked", "%s was told that %s began at %q, it began at %q", x.instance, x.id, x.origin, s.origin)
+			j.add("asked", "%s received %s with origin %q, want %q", x.instance, x.id, x.origin, s.origin)
 		case x.executed && !slices.Contains(j.allowed[prefixOf(x.path)], x.service):
-			j.add("route", "%s of %s ran %s", x.instance, x.service, x.path)
+			j.add("route", "%s of service %s ran %s, which no route sends there", x.instance, x.service, x.path)
 		}
 	}
 }
 
-// unsafeRunsOnce: nothing unrepeatable runs twice.
+// unsafeRunsOnce checks that no unsafe request runs more than once.
 func (j *judgement) unsafeRunsOnce() {
 	for id, runs := range j.runsOf {
 		if j.asked[id].unsafe && executed(runs) > 1 {
@@ -116,17 +118,19 @@
 	}
 }
 
-// refusalsAreTrue: what is refused as not run has not run, and does not later.
+// refusalsAreTrue checks that an unsafe request whose response says that it was not
+// run had not run before, and does not run later unless the customer sends it again.
 func (j *judgement) refusalsAreTrue() {
 	for _, a := range j.answers {
 		if promisesNotRun(a.status) && j.asked[a.id].unsafe && j.ranBeforeNext(a) {
-			j.add("not-run", "%s was answered %d and has run", a.id, a.status)
+			j.add("not-run", "%s got status %d, which says that it was not run, but it has run", a.id, a.status)
 		}
 	}
 }
 
-// answersBelong: a success is whole and that of the upstream which ran this
-// request; a failure with an upstream's signature has its status.
+// answersBelong checks that a successful response is complete and comes from the
+// upstream that ran this request, and that a failure with an upstream's signature
+// has the status that the upstream sent.
 func (j *judgement) answersBelong() {
 	for _, a := range j.answers {
 		if !a.whole || a.signature == "" && !a.success() {
@@ -135,19 +139,19 @@
 		of := slices.IndexFunc(j.runsOf[a.id], func(x run) bool { return x.signature == a.signature })
 		switch {
 		case a.signature == "":
-			j.add("answer", "%s got a %d that no upstream signed", a.id, a.status)
+			j.add("answer", "%s got status %d without an upstream's signature", a.id, a.status)
 		case of < 0:
-			j.add("answer", "%s got an answer that belongs to another request", a.id)
+			j.add("answer", "%s got the response of another request", a.id)
 		case j.runsOf[a.id][of].status != a.status:
-			j.add("answer", "%s got %d, its upstream said %d", a.id, a.status, j.runsOf[a.id][of].status)
+			j.add("answer", "%s got status %d, its upstream sent %d", a.id, a.status, j.runsOf[a.id][of].status)
 		case a.success() && j.runsOf[a.id][of].answer != a.body:
-			j.add("answer", "%s got %d bytes as whole, its upstream sent %d", a.id, len(a.body), len(j.runsOf[a.id][of].answer))
+			j.add("answer", "%s got a body of %d bytes as complete, its upstream sent %d", a.id, len(a.body), len(j.runsOf[a.id][of].answer))
 		}
 	}
 }
 
-// mostOverAttempts is how many requests may run on more upstreams than their
-// route's attempts.
+// mostOverAttempts is how many requests may run more often than their route's
+// attempts allow.
 const mostOverAttempts = 3
 
 func (j *judgement) attemptsAreBounded() {
@@ -162,8 +166,9 @@
 	}
 }
 
-// versionsDoNotGoBack: within one life of a process, what its probes show is
-// explained by versions in their order, none of them before it was sent.
+// versionsDoNotGoBack checks that the probe responses of one incarnation of a process
+// match the configuration versions in the order in which they were sent, and no
+// version before it was sent.
 func (j *judgement) versionsDoNotGoBack() {
 	type life struct{ vm, incarnation int }
 	at := make(map[life]int)
@@ -183,15 +188,15 @@
 
 func (j *judgement) processesStay() {
 	for _, e := range j.ends {
-		j.add("process", "VM %d: process ended by itself: %s", e.vm, e.state)
+		j.add("process", "VM %d: process exited unexpectedly: %s", e.vm, e.state)
 	}
 }
 
-// reaction is what the scheduler of a shared machine may add to a bound.
+// reaction is the delay that the scheduler of a shared machine may add to a bound.
 const reaction = 500 * time.Millisecond
 
-// leavingGetsNothing: an upstream that leaves gets no request after the bound
-// that began with the acknowledgement.
+// leavingGetsNothing checks that a draining upstream runs no request once the drain
+// time has passed since its draining heartbeat was acknowledged.
 func (j *judgement) leavingGetsNothing() {
 	type incarnation struct {
 		instance string
@@ -206,22 +211,23 @@
 	for _, x := range j.runs {
 		l, ok := left[incarnation{x.instance, x.life}]
 		if ok && x.executed && x.at.After(l.at.Add(j.drain+reaction)) && j.calm(x.vm, l.at, x.at) {
-			j.add("drain", "%s got %s %s after its leaving was acknowledged", x.instance, x.id, x.at.Sub(l.at))
+			j.add("drain", "%s got %s %s after its draining was acknowledged", x.instance, x.id, x.at.Sub(l.at))
 		}
 	}
 }
 
-// calm tells whether a VM had no fault in a span.
+// calm reports whether a VM had no fault during a span.
 func (j *judgement) calm(vm int, from, to time.Time) bool {
 	return !slices.ContainsFunc(j.disturbed, func(d disturbed) bool {
 		return d.vm == vm && d.from.Before(to) && d.to.After(from)
 	})
 }
 
-// leastLate is how many late answers make a finding.
+// leastLate is the minimum number of late responses that counts as a violation.
 const leastLate = 8
 
-// answersComeInTime: the route's timeout is kept at VMs without a fault.
+// answersComeInTime checks that VMs without a fault respond within the route's
+// timeout, but for a share of late responses.
 func (j *judgement) answersComeInTime() {
 	all, late := 0, 0
 	for _, a := range j.answers {
@@ -234,7 +240,7 @@
 		}
 	}
 	if late >= leastLate && float64(late) > j.maxLateShare*float64(all) {
-		j.add("timeout", "%d of %d answers came later than the route's timeout", late, all)
+		j.add("timeout", "%d of %d responses came after the route's timeout", late, all)
 	}
 }
 
@@ -248,12 +254,12 @@
 	return n
 }
 
-// promisesNotRun tells the statuses that say "not run".
+// promisesNotRun reports whether a status says that the request was not run.
 func promisesNotRun(status int) bool {
 	return slices.Contains([]int{408, 421, 429, 503}, status)
 }
 
-// rules lists what was broken, once each.
+// rules returns the violated rules, sorted and without duplicates.
 func rules(found []violation) []string {
 	seen := make(map[string]bool)
 	for _, v := range found {
--- a/cmd/pollengauge/soak/mover_test.go
+++ b/cmd/pollengauge/soak/mover_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Habits of customers that change zones.
+// Behaviour of customers that move between availability zones.
 const (
 	stayFor      = time.Second
 	mostSendings = 3
 )
 
-// otherZone returns the VM of the same service in the next zone, nil if there is
-// none.
+// otherZone returns the first VM of the same service in another zone, or nil if
+// there is none.
 func (f *fleet) otherZone(v *vm) *vm {
 	for _, other := range f.vms {
 		if other.zone != v.zone && other.upstream.service == v.upstream.service {
@@ -26,8 +26,9 @@
 	return nil
 }
 
-// mover sends to a VM of one zone and then of the other, with a connection to
-// both. A refused request goes under its id to the other zone at once.
+// mover sends requests to VMs of two zones in turn, staying at least stayFor in each, with a
+// connection to both. A request that failed and may be retried goes to the other zone
+// at once, under the same id.
 func (f *fleet) mover(ctx context.Context, v *vm) {
 	other := f.otherZone(v)
 	if other == nil {
@@ -62,8 +63,8 @@
 	}
 }
 
-// sendingOf tells which sending of its request a run belongs to: the last one
-// before it.
+// sendingOf returns the 1-based number of the sending that a run belongs to: the last
+// one before the run, or 0 if there is none.
 func (j *judgement) sendingOf(x run) int {
 	n := 0
 	for _, at := range j.sendings[x.id] {
@@ -74,8 +75,8 @@
 	return n
 }
 
-// ranBeforeNext tells whether a request ran before the customer that was given
-// an answer sent it again.
+// ranBeforeNext reports whether a request ran at any time, except after its customer
+// sent it again following this response.
 func (j *judgement) ranBeforeNext(a answered) bool {
 	return slices.ContainsFunc(j.runsOf[a.id], func(x run) bool {
 		resent := slices.ContainsFunc(j.sendings[a.id], func(at time.Time) bool { return at.After(a.at) && !at.After(x.at) })
--- a/cmd/pollengauge/soak/operator_test.go
+++ b/cmd/pollengauge/soak/operator_test.go
@@ -16,11 +16,13 @@
 	"pollengauge.dev/platform/store"
 )
 
-// operator changes the configuration, which moves the probe route each time.
+// operator writes new versions of the configuration. Each version points the probe
+// route at another service than the one before.
 type operator struct {
 	fleet *fleet
 	store *objects.Client
-	// acknowledged is how many added routes the store has acknowledged.
+	// acknowledged is the number of added routes in the version that the store
+	// acknowledged last.
 	acknowledged atomic.Int64
 
 	mu      sync.Mutex
@@ -29,8 +31,8 @@
 	added   int
 }
 
-// Growths of the configuration. Three of them, as JSON, are near the largest
-// value that the store takes.
+// Size and number of the configuration's growths. Three growths, as JSON, come close
+// to the largest value that the store accepts.
 const (
 	growthRoutes = 1400
 	mostGrowths  = 3
@@ -49,7 +51,7 @@
 	return &operator{fleet: f, store: client}
 }
 
-// grow adds routes, up to the most, and writes the next version.
+// grow adds growthRoutes routes, up to mostGrowths times, and writes the next version.
 func (o *operator) grow(ctx context.Context) {
 	o.mu.Lock()
 	o.added = min(o.added+growthRoutes, mostGrowths*growthRoutes)
@@ -57,8 +59,8 @@
 	o.change(ctx)
 }
 
-// change writes the next version. One whose answer is lost may be in force, so
-// it counts as sent.
+// change writes the next version. A version whose acknowledgement is lost may still
+// be in force, so each version is recorded as sent.
 func (o *operator) change(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -92,7 +94,7 @@
 	}
 }
 
-// acknowledge records that the store has taken a version.
+// acknowledge records that the store acknowledged a version.
 func (o *operator) acknowledge(v version) {
 	r := o.fleet.record
 	r.mu.Lock()
@@ -101,7 +103,7 @@
 	o.acknowledged.Store(int64(v.added))
 }
 
-// addedPrefix is the path prefix of an added route.
+// addedPrefix returns the path prefix of the added route number i.
 func addedPrefix(i int) string { return pathAdded + strconv.Itoa(i) + "/" }
 
 func configuration(v version) map[string]any {
@@ -129,8 +131,8 @@
 	}
 }
 
-// A configuration that the store can't take would never come to the nodes, and
-// the soak would judge nothing.
+// If the grown configuration exceeded the store's size limit it would never reach
+// the nodes, and the soak would check nothing about it.
 func TestGrownConfigurationFitsTheStore(t *testing.T) {
 	c := qt.New(t)
 	value, err := json.Marshal(configuration(version{number: 1000, probe: services[0], added: mostGrowths * growthRoutes}))
--- a/cmd/pollengauge/soak/pipeline_test.go
+++ b/cmd/pollengauge/soak/pipeline_test.go
@@ -15,30 +15,30 @@
 	"time"
 )
 
-// batch is some requests that were sent behind one another on one connection
-// before the first was answered.
+// batch is a group of requests pipelined on one connection: all are sent before the
+// first response arrives.
 type batch struct {
 	ids []string
-	// answered counts the whole answers that came back. closes tells that the last
-	// of them announced the end of the connection.
+	// answered counts the complete responses. closes is true if the last of them
+	// announced that the connection closes.
 	answered int
 	closes   bool
-	// extra counts bytes that came behind the last answer.
+	// extra counts the bytes received after the last response.
 	extra int
 }
 
-// Habits of customers that send requests behind one another.
+// Behaviour of customers that pipeline requests.
 const (
 	mostBehind   = 6
 	batchWait    = 2 * customerDeadline
 	batchPause   = 150 * time.Millisecond
 	unsafeBehind = 0.2
-	// extraWait is how long the customer listens for bytes that it didn't ask for.
+	// extraWait is how long the customer waits for unsolicited bytes.
 	extraWait = 2 * lateExtra
 )
 
-// pipeliner sends batches to one VM until ctx ends, on one connection for as
-// long as that is open.
+// pipeliner sends batches to one VM until ctx ends. It reuses its connection as long
+// as the connection is usable.
 func (f *fleet) pipeliner(ctx context.Context, v *vm) {
 	var conn net.Conn
 	defer func() { closeConn(conn) }()
@@ -60,8 +60,8 @@
 	}
 }
 
-// sendBatch sends some requests at once, reads their answers in order, and
-// reports whether the connection can be used again.
+// sendBatch pipelines some requests, reads their responses in order, and reports
+// whether the connection can be reused.
 func (f *fleet) sendBatch(conn net.Conn, v *vm) bool {
 	var b batch
 	var text bytes.Buffer
@@ -87,14 +87,14 @@
 	return usable
 }
 
-// head is a request's head as text.
+// head returns the request line and headers of a request as text.
 func head(s sent, length int) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %s\r\n%s: %d\r\nContent-Length: %s\r\n\r\n",
 		s.method, s.path, host, headerID, s.id, headerKey, s.key, headerTimeout, customerDeadline.Milliseconds(), strconv.Itoa(length))
 }
 
-// readBatch reads the answers of a batch. Those that do not come are recorded
-// as broken off.
+// readBatch reads the responses of a batch and reports whether the connection can be
+// reused. Requests without a response are recorded as incomplete.
 func (f *fleet) readBatch(conn net.Conn, v *vm, b *batch, start time.Time) bool {
 	reader := bufio.NewReader(conn)
 	for i, id := range b.ids {
@@ -122,7 +122,7 @@
 	}
 }
 
-// readAnswer reads the next answer on a connection, for the request id.
+// readAnswer reads the next response on a connection, as that of the request id.
 func readAnswer(reader *bufio.Reader, id string, vm int, start time.Time) answered {
 	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -133,7 +133,7 @@
 	return newAnswered(id, vm, start, resp, body, err)
 }
 
-// unasked counts the bytes that come though nothing was asked for.
+// unasked returns the number of unsolicited bytes that arrive within extraWait.
 func unasked(conn net.Conn, reader *bufio.Reader) int {
 	_ = conn.SetReadDeadline(time.Now().Add(extraWait))
 	if _, err := reader.Peek(1); err != nil {
@@ -142,23 +142,24 @@
 	return reader.Buffered()
 }
 
-// answersComeInOrder: on a connection, each answer is that of the request in its
-// place, and nothing comes that nobody asked for.
+// answersComeInOrder checks that the responses on a connection come in the order of
+// its requests, and that no unsolicited bytes follow them.
 func (j *judgement) answersComeInOrder() {
 	for _, a := range j.answers {
 		if a.echo != "" && a.echo != a.id {
-			j.add("order", "%s got the answer of %s", a.id, a.echo)
+			j.add("order", "%s got the response of %s", a.id, a.echo)
 		}
 	}
 	for _, b := range j.batches {
 		if b.extra > 0 {
-			j.add("order", "%d bytes came behind the answers of %v", b.extra, b.ids)
+			j.add("order", "%d unsolicited bytes followed the responses of %v", b.extra, b.ids)
 		}
 	}
 }
 
-// closedIsNotRun: a customer may send again what stands behind an answer that
-// announced the end of the connection, so none of it has run.
+// closedIsNotRun checks that no unsafe request has run that was pipelined behind a
+// response which announced that the connection closes: customers may send such a
+// request again.
 func (j *judgement) closedIsNotRun() {
 	for _, b := range j.batches {
 		if !b.closes {
@@ -166,7 +167,7 @@
 		}
 		ran := func(id string) bool { return j.asked[id].unsafe && executed(j.runsOf[id]) > 0 }
 		if i := slices.IndexFunc(b.ids[b.answered:], ran); i >= 0 {
-			j.add("close", "%s stood behind the last answer of a connection and has run", b.ids[b.answered+i])
+			j.add("close", "%s was pipelined behind the last response of a connection and has run", b.ids[b.answered+i])
 		}
 	}
 }
--- a/cmd/pollengauge/soak/plan_test.go
+++ b/cmd/pollengauge/soak/plan_test.go
@@ -43,7 +43,8 @@
 	manyUploads     fault = "many-uploads"
 	otherWriter     fault = "other-writer"
 	fatalRequest    fault = "fatal-request"
-	// growConfig is no fault of the list: each plan has the same number.
+	// growConfig is not in the list of drawn faults: each plan has the same number
+	// of growths.
 	growConfig fault = "grow"
 )
 
@@ -54,8 +55,8 @@
 	restartUpstream, manyUploads, otherWriter, fatalRequest,
 }
 
-// inEveryPlan are drawn once more for each plan, so that none goes without what
-// their checkers judge.
+// inEveryPlan are faults that each plan contains at least once, so that their checkers
+// always have something to judge.
 var inEveryPlan = []fault{restartUpstream, manyUploads, otherWriter, fatalRequest}
 
 // step is one fault of a plan.
@@ -63,23 +64,25 @@
 	at    time.Duration
 	fault fault
 	vms   []int
-	// lasts is how long it is there, where that makes sense.
+	// lasts is the duration of faults that have one.
 	lasts time.Duration
 }
 
 // Shape of a plan.
 const (
 	faultsPerSecond = 1.2
-	// series is the share of faults that come again at once, elsewhere.
+	// series is the probability that a fault is repeated within a second, on one
+	// randomly drawn VM.
 	series     = 0.35
 	longest    = 3 * time.Second
 	mostAtOnce = 3
-	// changesPerSecond is how often the operator changes the configuration,
-	// besides the faults, so that changes meet all of them.
+	// changesPerSecond is how often the operator changes the configuration, in
+	// addition to the drawn faults, so that changes coincide with all kinds of
+	// faults.
 	changesPerSecond = 0.7
 )
 
-// draw returns the plan of a seed: faults in series that overlap.
+// draw returns the plan of a seed: overlapping series of faults, sorted by time.
 func draw(seed uint64, vms int, span time.Duration) []step {
 	r := rand.New(rand.NewPCG(seed, 0))
 	var steps []step
@@ -108,7 +111,7 @@
 	return steps
 }
 
-// A seed that failed must bring the same faults again.
+// A seed that failed must give the same faults when it is played again.
 func TestPlanFollowsFromItsSeed(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(5) {
@@ -117,7 +120,8 @@
 	c.Check(fmt.Sprint(draw(1, 6, 10*time.Second)), qt.Not(qt.Equals), fmt.Sprint(draw(2, 6, 10*time.Second)))
 }
 
-// play plays a plan to its end.
+// play starts each step of a plan at its time. It does not wait for the faults to
+// end.
 func (f *fleet) play(ctx context.Context, steps []step) {
 	start := time.Now()
 	for _, s := range steps {
@@ -129,10 +133,11 @@
 	}
 }
 
-// afterEffect is how much longer what a fault held up is on its way.
+// afterEffect is how long traffic that a fault delayed may still arrive after the
+// fault.
 const afterEffect = 3 * time.Second
 
-// strike brings one fault and ends it.
+// strike injects one fault and removes it after its duration.
 func (f *fleet) strike(ctx context.Context, s step) {
 	from := time.Now()
 	switch s.fault {
@@ -174,13 +179,13 @@
 		_ = f.store.Signal(syscall.SIGCONT)
 		return
 	}
-	// A store that stands still takes no fault; the plan goes on.
+	// The error is ignored: a paused store does not respond to this request.
 	_ = f.faults(texts[s.fault])
 	pause(ctx, s.lasts)
 	_ = f.faults("{}")
 }
 
-// strikeVM brings a fault to one VM, and returns when it is over.
+// strikeVM injects a fault at one VM, and returns when the fault is over.
 func (f *fleet) strikeVM(ctx context.Context, v *vm, s step) {
 	switch s.fault {
 	case killNode, killAll:
--- a/cmd/pollengauge/soak/planted_test.go
+++ b/cmd/pollengauge/soak/planted_test.go
@@ -14,7 +14,7 @@
 	retryRatio: 0.2, retrySlack: 8, retryWindow: 10 * time.Second, maxLateShare: 0.25, learning: 5 * time.Second, timed: true,
 }
 
-// sound returns a record in which one request was served as it should be.
+// sound returns a record without violations: one request that was served correctly.
 func sound(at time.Time) *record {
 	r := &record{}
 	r.sent = []sent{{id: "a", vm: 1, at: at, path: "/file/x", method: "POST", body: "b", unsafe: true, origin: "web"}}
@@ -23,8 +23,8 @@
 	return r
 }
 
-// A checker that can't fail proves nothing: each one is shown the fault that it
-// is there for, in a record that is sound otherwise.
+// A checker that can't fail proves nothing. Each checker gets a record that is sound
+// but for one planted violation, and must report exactly this violation.
 func TestEachCheckerCatchesItsFault(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
@@ -40,9 +40,9 @@
 	}{
 		{"run without a request", "asked", func(r *record) { r.sent = nil; r.answers = nil }},
 		{"body changed on the way", "asked", func(r *record) { r.runs[0].body = "other" }},
-		{"a key that was passed on", "key", func(r *record) { r.runs[0].keyed = true }},
+		{"a key passed on to an upstream", "key", func(r *record) { r.runs[0].keyed = true }},
 		{"another tenant", "tenant", func(r *record) { r.runs[0].tenant = "press" }},
-		{"a key of nobody", "stranger", func(r *record) { r.sent[0].stranger = true }},
+		{"a key of no tenant", "stranger", func(r *record) { r.sent[0].stranger = true }},
 		{"more than a limit", "limit", func(r *record) {
 			r.sent[0].tenant, r.runs[0].tenant = "press", "press"
 			for i := range 190 {
@@ -60,7 +60,7 @@
 		{"success that nobody signed", "answer", func(r *record) { r.answers[0].signature = "" }},
 		{"answer of another request", "answer", func(r *record) { r.answers[0].signature = "t" }},
 		{"failure turned into success", "answer", func(r *record) { r.runs[0].status = 500 }},
-		{"short body that looks whole", "answer", func(r *record) { r.answers[0].body = "y" }},
+		{"short body that looks complete", "answer", func(r *record) { r.answers[0].body = "y" }},
 		{"too many attempts", "attempts", func(r *record) {
 			for _, id := range []string{"b", "c", "d", "e"} {
 				r.sent = append(r.sent, sent{id: id, path: "/file/x", method: "POST", body: "b", origin: "web"})
@@ -79,11 +79,11 @@
 			r.versions = []version{{number: 1, sentAt: at.Add(time.Second), probe: "web"}}
 			r.probes = []probe{{1, 1, at, "web"}}
 		}},
-		{"process that ended by itself", "process", func(r *record) { r.ends = []end{{1, at, "exit 2"}} }},
+		{"process that exited unexpectedly", "process", func(r *record) { r.ends = []end{{1, at, "exit 2"}} }},
 		{"request after the drain's bound", "drain", func(r *record) {
 			r.leaves = []leave{{instance: "i-1", vm: 1, at: at.Add(-5 * time.Second)}}
 		}},
-		{"storm of retries", "retries", func(r *record) {
+		{"retry storm", "retries", func(r *record) {
 			r.sent[0].unsafe = false
 			for range 20 {
 				x := again(r)
@@ -91,7 +91,7 @@
 				r.runs = append(r.runs, x)
 			}
 		}},
-		{"answers held past the timeout", "timeout", func(r *record) {
+		{"responses after the timeout", "timeout", func(r *record) {
 			for range leastLate {
 				a := r.answers[0]
 				a.took = 5 * time.Second
@@ -105,8 +105,8 @@
 			r.disturbed = []disturbed{{vm: 1, from: at.Add(-time.Second), to: at, fault: cutStore}}
 		}},
 		{"answer of the request before on a shared connection", "order", func(r *record) { r.answers[0].echo = "b" }},
-		{"answer that nobody asked for", "order", func(r *record) { r.batches = []batch{{ids: []string{"a"}, answered: 1, extra: 7}} }},
-		{"run behind an answer that closed the connection", "close", func(r *record) {
+		{"unsolicited bytes after the response", "order", func(r *record) { r.batches = []batch{{ids: []string{"a"}, answered: 1, extra: 7}} }},
+		{"run of a request pipelined behind a response that closed the connection", "close", func(r *record) {
 			r.batches = []batch{{ids: []string{"b", "a"}, answered: 1, closes: true}}
 		}},
 		{"half of an upload runs", "half", func(r *record) { r.sent[0].half = true; r.answers = nil }},
@@ -115,7 +115,7 @@
 		{"upstream that came back gets nothing", "return", func(r *record) {
 			r.returns = []comeback{{vm: 1, life: 2, at: at.Add(-2 * returnWithin)}}
 		}},
-		{"request goes on ending upstreams", "held", func(r *record) {
+		{"request that continues to crash upstreams", "held", func(r *record) {
 			for i := range 8 {
 				id := "fatal" + string(rune('0'+i))
 				r.sent = append(r.sent, sent{id: id, vm: 1, path: pathBrowse + fatalPart, method: "GET", origin: "web"})
@@ -140,7 +140,7 @@
 			for _, id := range []string{"b", "c", "d", "e"} {
 				r.sent = append(r.sent, r.sent[0], r.sent[1])
 				r.sent[len(r.sent)-2].id, r.sent[len(r.sent)-1].id = id, id
-				x.at = x.at.Add(time.Minute) // no storm: each has a window of its own
+				x.at = x.at.Add(time.Minute) // a retry window of its own for each, so that the retries rule stays silent
 				for range 5 {
 					x.id = id
 					r.runs = append(r.runs, x)
@@ -154,15 +154,15 @@
 	}
 }
 
-// deny plants a 404 on an added route that was acknowledged ten seconds before.
+// deny plants a 404 on an added route that the store acknowledged 10 s before.
 func deny(r *record, at time.Time) {
 	r.versions = append(r.versions, version{number: len(r.versions) + 1, sentAt: at.Add(-10 * time.Second), ackedAt: at.Add(-10 * time.Second), probe: "web", added: 2})
 	r.sent = append(r.sent, sent{id: "new", vm: 1, at: at, path: addedPrefix(1) + "x", method: "GET", origin: "web"})
 	r.answers = append(r.answers, answered{id: "new", vm: 1, at: at, status: 404, whole: true})
 }
 
-// move has the request refused in one zone and sent again to the other, where it
-// runs.
+// move changes the record so that the request is refused in one zone, sent again to
+// the other zone and run there.
 func move(r *record, at time.Time) {
 	resent := r.sent[0]
 	resent.vm, resent.at = 2, at.Add(2*time.Second)
@@ -172,8 +172,8 @@
 	r.answers[1].at = resent.at.Add(2 * time.Millisecond)
 }
 
-// A new life of a process may begin with an older configuration, and a drain
-// binds only while nothing disturbs the VM that acknowledged it.
+// A new incarnation of a process may start with an older configuration, and the drain
+// bound applies only while the VM that acknowledged the drain has no fault.
 func TestAllowedCasesAreNoFindings(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
@@ -185,7 +185,9 @@
 	c.Check(judge(r, plantedTerms), qt.HasLen, 0)
 }
 
-// Nobody is to blame for not knowing what could not reach them.
+// A VM may deny a route that it could not have learned of: the VM was down, it was cut
+// off from both the store and other nodes, or the route's acknowledgement is recent or
+// missing.
 func TestDenialsOfCutOffVMsAreNoFindings(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
@@ -210,7 +212,8 @@
 	c.Check(judge(r, plantedTerms), qt.HasLen, 0)
 }
 
-// A customer whose request was refused in one zone has it run in the other.
+// A request that is refused in one zone may run in the other after its customer sends
+// it again there.
 func TestMovesAreNoFindings(t *testing.T) {
 	c := qt.New(t)
 	at := time.Unix(1000, 0)
--- a/cmd/pollengauge/soak/proxy_test.go
+++ b/cmd/pollengauge/soak/proxy_test.go
@@ -19,7 +19,7 @@
 	directions
 )
 
-// proxy stands on one kind of link and lets it fail.
+// proxy forwards the connections of one kind of link and injects faults on them.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -27,10 +27,10 @@
 	mu    sync.Mutex
 	links map[*link]struct{}
 	delay time.Duration
-	// held has the directions that carry nothing for now. As with a cut cable,
-	// bytes wait for its end.
+	// held marks the directions that are blocked. As with an unplugged cable,
+	// bytes are not lost but wait until the direction is unblocked.
 	held [directions]bool
-	// changed is closed when held does.
+	// changed is closed and replaced at each change of held, delay or closed.
 	changed chan struct{}
 	closed  bool
 }
@@ -38,7 +38,7 @@
 // link is one connection through a proxy.
 type link struct {
 	client, server *net.TCPConn
-	// silent links lose all further bytes for good, without a reset.
+	// silent marks directions that drop all further bytes without a reset.
 	silent [directions]atomic.Bool
 }
 
@@ -87,7 +87,7 @@
 	_ = l.server.Close()
 }
 
-// pump copies one direction to its end.
+// pump copies one direction of a link until it ends or fails.
 func (p *proxy) pump(l *link, direction int, to, from *net.TCPConn) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -118,7 +118,8 @@
 	}
 }
 
-// pass waits until bytes may go on, and reports whether the proxy still stands.
+// pass waits until the direction is not blocked and for the delay. It reports whether
+// the proxy is still open.
 func (p *proxy) pass(direction int) bool {
 	for {
 		p.mu.Lock()
@@ -135,7 +136,7 @@
 	}
 }
 
-// change alters the proxy and wakes what waits in it.
+// change alters the proxy's state and wakes the goroutines that wait in pass.
 func (p *proxy) change(alter func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,7 +151,7 @@
 
 func (p *proxy) slow(delay time.Duration) { p.change(func() { p.delay = delay }) }
 
-// silence loses whatever the present connections still send.
+// silence makes the present connections drop all further bytes.
 func (p *proxy) silence() {
 	p.each(func(l *link) {
 		l.silent[toServer].Store(true)
@@ -186,8 +187,9 @@
 	_ = conn.Close()
 }
 
-// The proxy itself must do what it is told, or the soak would play calm days:
-// bytes pass, wait through a cut and then arrive, and are lost in silence.
+// If the proxy did not inject its faults, the soak would test a healthy network. Bytes
+// must pass, must wait while a direction is blocked and arrive afterwards, and must be
+// dropped by silent connections.
 func TestProxyHoldsSilencesAndResets(t *testing.T) {
 	c := qt.New(t)
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/pollengauge/soak/record_test.go
+++ b/cmd/pollengauge/soak/record_test.go
@@ -11,16 +11,17 @@
 	vm   int
 	at   time.Time
 	path string
-	// method and body are as the receiver must get them.
+	// method and body are as the upstream must receive them. A long body is
+	// recorded as its digest.
 	method, body string
 	unsafe       bool
-	// tenant is whose key it brought, "" for a call and where stranger tells that
-	// nobody has the key.
+	// tenant is the owner of the request's key. It is "" for calls of upstreams,
+	// which carry no key, and where stranger marks a key that belongs to no tenant.
 	tenant, key string
 	stranger    bool
-	// half is set where a part of the body was never sent.
+	// half is true if a part of the body was never sent.
 	half bool
-	// origin is the service on the VM where it was made.
+	// origin is the service of the VM from which the request was sent.
 	origin string
 }
 
@@ -31,23 +32,25 @@
 	vm       int
 	service  string
 	instance string
-	// life counts the starts of the upstream, which may keep its instance.
+	// life is the upstream's number of starts. The instance id may stay the same
+	// across starts.
 	life   int
 	method string
 	path   string
 	body   string
 	origin string
-	// tenant is what the upstream was told; keyed tells that it got a key.
+	// tenant is the tenant that the request's header named to the upstream; keyed
+	// is true if the upstream received a key.
 	tenant string
 	keyed  bool
-	// executed is false where the upstream turned it away.
+	// executed is false if the upstream refused the request.
 	executed  bool
 	status    int
 	signature string
 	answer    string
 }
 
-// answered is what came back for a request, or how its connection ended.
+// answered is the response to a request, or the failure to get one.
 type answered struct {
 	id        string
 	vm        int
@@ -55,16 +58,17 @@
 	took      time.Duration
 	status    int
 	signature string
-	// echo is the id that the answer bears.
+	// echo is the request id in the response's header.
 	echo string
 	body string
-	// closes tells that the answer announced the connection's end.
+	// closes is true if the response announced that the connection closes.
 	closes bool
-	// whole is false where the body broke off or no answer came.
+	// whole is false if the body was incomplete or no response came.
 	whole bool
 }
 
-// leave is the acknowledgement that an incarnation of an upstream leaves.
+// leave is an acknowledged heartbeat by which an incarnation of an upstream announced
+// that it is draining.
 type leave struct {
 	instance string
 	life     int
@@ -76,23 +80,24 @@
 type version struct {
 	number int
 	sentAt time.Time
-	// ackedAt is zero where no acknowledgement came.
+	// ackedAt is zero if no acknowledgement came.
 	ackedAt time.Time
 	// probe is the service that the probe route leads to.
 	probe string
-	// added is how many routes growths have added.
+	// added is the number of routes that growths have added.
 	added int
 }
 
-// probe is one answer on the probe route, whose service tells the version.
+// probe is one response on the probe route. The service that sent it shows which
+// versions of the configuration it may come from.
 type probe struct {
 	vm, incarnation int
 	at              time.Time
 	service         string
 }
 
-// disturbed is a time in which a VM, its links or its upstream had a fault, or
-// the store, for which vm is everyVM.
+// disturbed is a span in which a VM, its links or its upstream had a fault. For
+// faults of the store vm is everyVM.
 type disturbed struct {
 	vm       int
 	from, to time.Time
@@ -101,21 +106,22 @@
 
 const everyVM = -1
 
-// end is a process that ended without being told to.
+// end is an unexpected exit of a process.
 type end struct {
 	vm    int
 	at    time.Time
 	state string
 }
 
-// comeback is the first acknowledged heartbeat of an upstream that started again
-// under its id.
+// comeback is an acknowledged heartbeat of an upstream that restarted under the same
+// instance id.
 type comeback struct {
 	vm, life int
 	at       time.Time
 }
 
-// record is all that was seen from outside. It is safe for concurrent use.
+// record holds everything that customers, upstreams and the operator observed. Access
+// to its fields needs mu.
 type record struct {
 	mu        sync.Mutex
 	sent      []sent
@@ -138,7 +144,8 @@
 	*list = append(*list, item)
 }
 
-// served counts a VM's requests since a time, and those that succeeded.
+// served returns the number of a VM's responses since a time, and how many of them
+// were successes.
 func (r *record) served(vm int, since time.Time) (all, good int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/pollengauge/soak/reload_test.go
+++ b/cmd/pollengauge/soak/reload_test.go
@@ -10,10 +10,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A node is told to end and is finishing what it has when its settings file
-// changes, and SIGHUP comes. By its default action that signal ends a process at
-// once: every request under way loses its connection without an answer. The
-// process must end by itself, when its work is done.
+// SIGHUP, which announces a changed settings file, must not kill a node that is
+// draining after SIGTERM. The signal's default action terminates a process at once,
+// so that every request in progress loses its connection without a response. The
+// process must complete its drain and exit by itself.
 func TestReloadDoesNotCutShortTheEnd(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
@@ -22,7 +22,7 @@
 	c.Assert(err, qt.IsNil)
 	v := f.vms[0]
 	v.mu.Lock()
-	v.stopped = true // so that it is not started again
+	v.stopped = true // prevents a restart
 	process := v.process
 	v.mu.Unlock()
 	c.Assert(process.Signal(syscall.SIGTERM), qt.IsNil)
@@ -34,7 +34,7 @@
 	c.Check(logged(v.log, drained), qt.IsTrue)
 }
 
-// logged tells whether a log has a line with the text.
+// logged reports whether a log contains the text.
 func logged(path, text string) bool {
 	data, err := os.ReadFile(filepath.Clean(path))
 	return err == nil && bytes.Contains(data, []byte(text))
--- a/cmd/pollengauge/soak/respond_test.go
+++ b/cmd/pollengauge/soak/respond_test.go
@@ -10,7 +10,9 @@
 	"time"
 )
 
-// respond answers, now and then wrongly.
+// respond sends the response, or misbehaves with the given odds: it closes the
+// connection without a response, truncates the body, sends the response twice, or
+// sends it without a length.
 func (i *incarnation) respond(w http.ResponseWriter, x run, misbehaves *odds) {
 	h := w.Header()
 	h.Set(headerID, x.id)
@@ -36,16 +38,17 @@
 	_, _ = io.WriteString(w, x.answer)
 }
 
-// lateExtra is when a second answer comes, which nobody asked for.
+// lateExtra is the delay before an unsolicited second response.
 const lateExtra = 30 * time.Millisecond
 
-// respondTwice sends the answer again where the next one is due.
+// respondTwice sends the response twice, so that the second one arrives where the
+// client expects the response to its next request.
 func (i *incarnation) respondTwice(w http.ResponseWriter, x run) {
 	i.respondRaw(w, x, fmt.Sprintf("Content-Length: %d\r\n", len(x.answer)))
 }
 
-// respondRaw writes the answer on the bare connection. With a length it is
-// followed by the same answer once more.
+// respondRaw writes the response on the hijacked connection. If framing is a
+// Content-Length header, the same response follows once more after lateExtra.
 func (i *incarnation) respondRaw(w http.ResponseWriter, x run, framing string) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/cmd/pollengauge/soak/retries_test.go
+++ b/cmd/pollengauge/soak/retries_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// retriesAreBounded: in each window a service gets no more repeated arrivals
-// than the share of its requests and the slack.
+// retriesAreBounded checks that in each window a service gets no more retries than
+// retryRatio of its first arrivals, plus retrySlack.
 func (j *judgement) retriesAreBounded() {
 	repeats := make(map[string][]time.Time)
 	firsts := make(map[string][]time.Time)
 	for _, runs := range j.runsOf {
 		seen := make(map[int]bool)
 		for _, x := range runs {
-			// The first arrival of each sending is the customer's own doing.
+			// The first arrival of each sending comes from the customer itself
+			// and is not a retry by a node.
 			if sending := j.sendingOf(x); !seen[sending] {
 				seen[sending] = true
 				firsts[x.service] = append(firsts[x.service], x.at)
@@ -28,7 +29,7 @@
 			until := at[i].Add(j.retryWindow)
 			most := j.retryRatio*float64(within(firsts[service], at[i], until)) + j.retrySlack
 			if got := within(at, at[i], until); float64(got) > most {
-				j.add("retries", "%s got %d repeats in one window, at most %.0f", service, got, most)
+				j.add("retries", "%s got %d retries in one window, at most %.0f allowed", service, got, most)
 				break
 			}
 		}
--- a/cmd/pollengauge/soak/return_test.go
+++ b/cmd/pollengauge/soak/return_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// returnWithin is how long an upstream that started again under its id may wait
-// for its first request: a slow start, and the news of it.
+// returnWithin is the longest time until an upstream that restarted under the same
+// instance id gets its first request. It covers the slow start, and the time until
+// nodes learn of the restart.
 const returnWithin = 6 * time.Second
 
-// returnedUpstreamsWork: an upstream that starts again under its id, and whose
-// heartbeat was acknowledged, gets requests again.
+// returnedUpstreamsWork checks that an upstream gets requests again after it restarted
+// under the same instance id and had a heartbeat acknowledged.
 func (j *judgement) returnedUpstreamsWork() {
 	firsts := make(map[[2]int]comeback)
 	for _, r := range j.returns {
@@ -23,13 +24,14 @@
 		until := r.at.Add(returnWithin)
 		worked := slices.ContainsFunc(j.runs, func(x run) bool { return x.vm == r.vm && x.life == r.life })
 		if !worked && j.undisturbed(r, until) {
-			j.add("return", "VM %d: its upstream came back under its id at %s and got nothing", r.vm, r.at.Format(time.StampMilli))
+			j.add("return", "VM %d: its upstream restarted under the same instance id at %s and got no request", r.vm, r.at.Format(time.StampMilli))
 		}
 	}
 }
 
-// undisturbed tells whether nothing but restarts befell a VM in a span that the
-// record covers.
+// undisturbed reports whether the record covers the span from a restart until a time,
+// and the VM had no fault in this span other than the restart itself: a further restart
+// that begins within the span counts as a fault.
 func (j *judgement) undisturbed(r comeback, until time.Time) bool {
 	if len(j.answers) == 0 || j.answers[len(j.answers)-1].at.Before(until) {
 		return false
@@ -42,19 +44,19 @@
 	})
 }
 
-// idleUpstreams waits until each upstream has run something: however busy the
-// machine is, all of them are in use in the end.
+// idleUpstreams waits until each upstream has run a request. All upstreams must get
+// requests eventually, however busy the machine is.
 func (f *fleet) idleUpstreams(ctx context.Context) []violation {
 	since := time.Now()
 	return f.eachVM(func(v *vm) error {
 		if err := await(ctx, func() bool { return f.record.ran(v.number, since) }); err != nil {
-			return neverError{"return", v.number, "its upstream gets nothing", err}
+			return neverError{"return", v.number, "its upstream gets no requests", err}
 		}
 		return nil
 	})
 }
 
-// ran tells whether a VM's upstream has run something since a time.
+// ran reports whether a VM's upstream has run a request since a time.
 func (r *record) ran(vm int, since time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/pollengauge/soak/soak_test.go
+++ b/cmd/pollengauge/soak/soak_test.go
@@ -28,7 +28,8 @@
 
 var cmpSteps = cmp.AllowUnexported(step{})
 
-// TestMain is the test, or, as a child of one, the real command line.
+// TestMain runs the tests, or, in a child process that a test started, the real
+// command line.
 func TestMain(m *testing.M) {
 	if os.Getenv(programVariable) != "" {
 		os.Exit(cli.Main(os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
@@ -37,13 +38,13 @@
 	os.Exit(m.Run())
 }
 
-// regressions are seeds that once failed, with what they showed.
+// regressions are seeds that failed in the past, with the reason.
 var regressions = []struct {
 	seed uint64
 	why  string
 }{}
 
-// shortSeed is played where no seed is asked for.
+// shortSeed is the seed played if no flag selects one.
 const shortSeed = 1
 
 // Load of a fleet.
@@ -52,9 +53,9 @@
 	thinkTime     = 40 * time.Millisecond
 )
 
-// Customers keep sending while VMs, upstreams, links and the store fail in
-// series that overlap. Each promise holds throughout, and once all faults have
-// ended every VM serves its customers again.
+// Customers keep sending while VMs, upstreams, links and the store have overlapping
+// series of faults. Each promise must hold throughout, and every VM must serve its
+// customers again after all faults have ended.
 func TestPromisesHoldUnderDrawnFaults(t *testing.T) {
 	switch {
 	case *seedFlag != 0:
@@ -71,8 +72,8 @@
 	}
 }
 
-// playSeed plays one seed as a subtest. Checks by the clock are left out where
-// the verdict must not depend on how busy the machine is.
+// playSeed plays one seed as a subtest. Without timed it omits the checks that depend
+// on elapsed time, so that the result doesn't depend on how busy the machine is.
 func playSeed(t *testing.T, seed uint64, timed bool) {
 	t.Run(fmt.Sprint(seed), func(t *testing.T) {
 		c := qt.New(t)
@@ -91,7 +92,7 @@
 	})
 }
 
-// soak plays a seed and returns what was broken.
+// soak plays a seed and returns the violations and a summary.
 func soak(ctx context.Context, c *qt.C, folder string, seed uint64, timed bool) ([]violation, string) {
 	f, err := newFleet(ctx, folder, *vmsFlag, fleetTerms(timed))
 	defer f.close()
@@ -101,27 +102,30 @@
 	f.load(loadCtx, customersEach, thinkTime)
 	steps := draw(seed, *vmsFlag, *forFlag)
 	f.play(ctx, steps)
-	// The longest fault, or the drain of an upstream, is over then.
+	// After this pause the longest fault and the drain of any upstream are over.
 	pause(ctx, longest+f.terms.drain+time.Second)
 	recovery := f.recovery(ctx)
 	recovery = append(recovery, f.addedRoutes(ctx)...)
 	recovery = append(recovery, f.idleUpstreams(ctx)...)
 	stopLoad()
 	f.readForeign(ctx)
-	// What was refused or given up must not run later either.
+	// Wait for late runs: requests that were refused or given up must not run later
+	// either.
 	pause(ctx, customerDeadline)
 	c.Assert(f.failed, qt.IsNil)
 	return append(append(judge(f.record, f.terms), recovery...), f.logs()...), f.summary(len(steps))
 }
 
-// Recovery: the share of a VM's recent requests that must be served.
+// A VM has recovered if at least the share recovered of its requests in the last
+// recoveryWindow succeeded, and there were at least leastRequests of them.
 const (
 	recovered      = 0.9
 	recoveryWindow = 2 * time.Second
 	leastRequests  = 20
 )
 
-// recovery waits until each VM serves again.
+// recovery waits until each VM has recovered, and returns a violation for each one
+// that has not.
 func (f *fleet) recovery(ctx context.Context) []violation {
 	return f.eachVM(func(v *vm) error {
 		err := await(ctx, func() bool {
@@ -129,13 +133,13 @@
 			return all >= leastRequests && float64(good) >= recovered*float64(all)
 		})
 		if err != nil {
-			return neverError{"recovery", v.number, "it does not serve again", err}
+			return neverError{"recovery", v.number, "its customers are not served again", err}
 		}
 		return nil
 	})
 }
 
-// neverError tells what had to come at a VM, and did not.
+// neverError reports a condition that a VM had to reach and did not.
 type neverError struct {
 	rule  string
 	vm    int
@@ -145,7 +149,8 @@
 
 func (e neverError) Error() string { return fmt.Sprintf("VM %d: %s: %v", e.vm, e.what, e.cause) }
 
-// eachVM waits for something at all VMs at once, and returns where it fails.
+// eachVM runs wait for all VMs concurrently, and returns a violation for each VM where
+// wait returns a neverError.
 func (f *fleet) eachVM(wait func(v *vm) error) []violation {
 	var mu sync.Mutex
 	var found []violation
--- a/cmd/pollengauge/soak/summary_test.go
+++ b/cmd/pollengauge/soak/summary_test.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// summary tells in some lines what was played, so that a run that judged nothing
-// shows.
+// summary describes in a few lines what was played, so that a run which checked
+// nothing can be recognized.
 func (f *fleet) summary(faults int) string {
 	r := f.record
 	r.mu.Lock()
@@ -60,8 +60,8 @@
 	return strings.Join(lines, "\n    ")
 }
 
-// count counts the successes among the requests, of all with nil. The caller
-// holds the lock.
+// count returns the number of successful responses to the requests ids, or to all
+// requests if ids is nil. The caller holds r.mu.
 func (r *record) count(ids map[string]bool) int {
 	n := 0
 	for _, a := range r.answers {
--- a/cmd/pollengauge/soak/tenants_test.go
+++ b/cmd/pollengauge/soak/tenants_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// Headers of callers' keys, and of whose request an upstream is told that it runs.
+// Headers that carry a customer's API key to the node, and the tenant of a request to
+// the upstream.
 const (
 	headerKey    = "Api-Key"
 	headerTenant = "Pollengauge-Tenant"
 )
 
-// tenant is a customer of the fleet. A rate of 0 is no limit.
+// tenant is a customer of the fleet. A rate of 0 means no limit.
 type tenant struct {
 	name        string
 	keys        []string
@@ -27,21 +28,22 @@
 }
 
 const (
-	// pressShare of the requests are the limited tenant's, somewhat over its limit.
+	// pressShare is the share of requests that the limited tenant sends, somewhat
+	// over its limit.
 	pressShare = 0.1
-	// strangerShare of the requests bring a key of nobody.
+	// strangerShare is the share of requests with a key that belongs to no tenant.
 	strangerShare = 0.01
 	strangerKey   = "soak-key-of-nobody"
 )
 
-// Tolerance of limits, as in the fleet's settings.
+// Tolerance of the tenants' rate limits, as in the fleet's settings.
 const (
 	quotaWindow = 5 * time.Second
 	quotaOver   = 0.1
 	quotaSlack  = 20
 )
 
-// chooseTenant decides whose request it is.
+// chooseTenant draws the request's tenant and sets the tenant and its key.
 func (s *sent) chooseTenant() {
 	of := tenants[0]
 	switch draw := rand.Float64(); {
@@ -54,7 +56,7 @@
 	s.tenant, s.key = of.name, of.keys[rand.IntN(len(of.keys))]
 }
 
-// claim writes the key, and the name of another tenant, which must not be believed.
+// claim sets the key header, and a forged tenant header that nodes must ignore.
 func (s *sent) claim(h http.Header) {
 	h.Set(headerKey, s.key)
 	h.Set(headerTenant, "somebody")
@@ -68,24 +70,24 @@
 	return list
 }
 
-// keysOpenTheirOwnDoor: each request runs for the tenant whose key it brought, or not at
-// all, and no key reaches an upstream.
+// keysOpenTheirOwnDoor checks that each request runs for the tenant whose key it
+// carried, that no request with an unknown key runs, and that no key reaches an upstream.
 func (j *judgement) keysOpenTheirOwnDoor() {
 	for _, x := range j.runs {
 		s, ok := j.asked[x.id]
 		switch {
 		case x.keyed:
-			j.add("key", "%s was passed the key of %s", x.instance, x.id)
+			j.add("key", "%s received the key of %s", x.instance, x.id)
 		case ok && x.tenant != s.tenant:
-			j.add("tenant", "%s was told that %s is of %q, it is of %q", x.instance, x.id, x.tenant, s.tenant)
+			j.add("tenant", "%s received %s for tenant %q, want %q", x.instance, x.id, x.tenant, s.tenant)
 		case ok && s.stranger && x.executed:
-			j.add("stranger", "%s ran %s, whose key nobody has", x.instance, x.id)
+			j.add("stranger", "%s ran %s, whose key belongs to no tenant", x.instance, x.id)
 		}
 	}
 }
 
-// limitsHold: in no window more requests of a tenant run than its limit and the
-// tolerance allow.
+// limitsHold checks that no window has more runs for a tenant than its rate limit and
+// the tolerance allow.
 func (j *judgement) limitsHold() {
 	for _, t := range tenants {
 		if t.rate == 0 {
@@ -105,7 +107,7 @@
 				first++
 			}
 			if i-first+1 > most {
-				j.add("limit", "%d requests of %s ran in one window, at most %d", i-first+1, t.name, most)
+				j.add("limit", "%d requests of %s ran in one window, at most %d allowed", i-first+1, t.name, most)
 				break
 			}
 		}
--- a/cmd/pollengauge/soak/upload_test.go
+++ b/cmd/pollengauge/soak/upload_test.go
@@ -16,25 +16,26 @@
 	"time"
 )
 
-// Habits of customers that upload.
+// Behaviour of customers that upload.
 const (
 	smallestUpload = 64 << 10
 	largestUpload  = 1 << 20
 	uploadEvery    = 400 * time.Millisecond
-	// halfShare of the uploads break off halfway.
+	// halfShare is the share of uploads that stop halfway.
 	halfShare = 0.4
 	stall     = 500 * time.Millisecond
-	// uploadsAtOnce is how many a burst brings to one VM.
+	// uploadsAtOnce is the number of concurrent uploads of a burst to one VM.
 	uploadsAtOnce = 200
 )
 
-// uploadBytes are what all uploads send a part of.
+// uploadBytes is the longest upload body. Each upload sends the first part of it.
 var uploadBytes = strings.Repeat("0123456789abcdef", largestUpload/16)
 
-// longBody is from where a body is recorded as its hash.
+// longBody is the length from which a body is recorded as its length and hash.
 const longBody = 16 << 10
 
-// digest returns what the record keeps of a body.
+// digest returns the form in which a body is recorded: the body itself, or the length
+// and hash of a long one.
 func digest(body string) string {
 	if len(body) < longBody {
 		return body
@@ -51,8 +52,9 @@
 	}
 }
 
-// upload sends an unrepeatable request whose body comes in two parts. With half
-// set the second does not come: after a stall the connection ends.
+// upload sends an unsafe request with its body in two parts, and a pause of up to stall
+// between them. If half is set, it does not send the second part but closes the
+// connection, or only its sending side.
 func (f *fleet) upload(ctx context.Context, v *vm, size int, half bool) {
 	conn, err := net.DialTimeout("tcp", v.at(portCustomerProxy), time.Second)
 	if err != nil {
@@ -76,11 +78,11 @@
 			return
 		}
 	}
-	// Also one that could not be sent whole may have an answer.
+	// A request that could not be sent completely may have a response too.
 	add(f.record, &f.record.answers, readAnswer(reader, s.id, v.number, s.at))
 }
 
-// uploadBurst uploads many times at once to one VM.
+// uploadBurst sends uploadsAtOnce concurrent uploads to one VM.
 func (f *fleet) uploadBurst(ctx context.Context, v *vm) {
 	var all sync.WaitGroup
 	for range uploadsAtOnce {
@@ -89,8 +91,8 @@
 	all.Wait()
 }
 
-// halvesDoNotRun: an upload of which a half is missing is never run, nor
-// answered as if it were.
+// halvesDoNotRun checks that an upload with a part of its body missing never runs and
+// never gets a successful response.
 func (j *judgement) halvesDoNotRun() {
 	for _, s := range j.sent {
 		if s.half && executed(j.runsOf[s.id]) > 0 {
@@ -104,10 +106,10 @@
 	}
 }
 
-// memoryLimit is a node's share of its VM's memory, as its settings say.
+// memoryLimit is a node's share of its VM's memory in bytes, as given in its settings.
 const memoryLimit = 284 << 20
 
-// usage is the memory that a process had resident.
+// usage is the resident memory of a process at a time.
 type usage struct {
 	vm    int
 	at    time.Time
@@ -116,8 +118,8 @@
 
 const usageEvery = 100 * time.Millisecond
 
-// watchMemory records the memory of a VM's process whenever it has grown. Under
-// the race detector memory tells nothing: it takes several times as much.
+// watchMemory records the memory of a VM's process at each new maximum. It records
+// nothing under the race detector, where a process takes several times as much memory.
 func (f *fleet) watchMemory(ctx context.Context, v *vm) {
 	if raceDetector {
 		return
@@ -132,7 +134,7 @@
 	}
 }
 
-// resident is the memory of the VM's process, 0 where there is none.
+// resident returns the resident memory of the VM's process, or 0 if there is none.
 func (v *vm) resident() int64 {
 	v.mu.Lock()
 	process := v.process
@@ -151,7 +153,7 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// memoryIsBounded: whatever comes in, a node stays within its share.
+// memoryIsBounded checks that a node's memory stays within its share under any load.
 func (j *judgement) memoryIsBounded() {
 	var most usage
 	for _, u := range j.usages {
--- a/cmd/pollengauge/soak/upstream_test.go
+++ b/cmd/pollengauge/soak/upstream_test.go
@@ -35,11 +35,12 @@
 	usualWork      = 10 * time.Millisecond
 )
 
-// odds are the shares of requests with which an upstream misbehaves.
+// odds are the probabilities of each kind of misbehaviour of an upstream: closing the
+// connection without a response, a truncated body, an extra response, a response without
+// a length, and refusing the request.
 type odds struct{ lose, truncate, extra, unframed, shed float64 }
 
-// upstream is a stand-in of one server: one incarnation after another at one
-// address.
+// upstream simulates one server as a sequence of incarnations at one address.
 type upstream struct {
 	record  *record
 	vm      int
@@ -61,23 +62,24 @@
 	server   *http.Server
 	slots    chan struct{}
 	starts   int
-	// born is when the incarnation started; again tells that it kept the id of the
-	// one before.
+	// born is when the incarnation started. again is true if it has the same
+	// instance id as the previous one.
 	born  time.Time
 	again bool
 }
 
-// plannedCall is a call that each run makes.
+// plannedCall is a call that each visit at an upstream makes.
 type plannedCall struct {
 	path  string
 	times int
 }
 
-// start begins the next incarnation under a new id.
+// start starts the next incarnation under a new instance id.
 func (u *upstream) start() error { return u.startAs(false) }
 
-// startAs begins the next incarnation, unless one is there: faults that overlap
-// may each want to end with a start.
+// startAs starts the next incarnation, under the previous instance id if again is set.
+// It does nothing if an incarnation is running, because overlapping faults may each end
+// with a start.
 func (u *upstream) startAs(again bool) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -102,7 +104,8 @@
 	return nil
 }
 
-// listenAgain takes an address that the last incarnation may still hold.
+// listenAgain listens on an address, and retries while the previous incarnation may
+// still be bound to it.
 func listenAgain(addr string) (listener net.Listener, err error) {
 	for range 100 {
 		if listener, err = net.Listen("tcp", addr); err == nil {
@@ -113,7 +116,7 @@
 	return nil, err
 }
 
-// crash breaks all connections at once.
+// crash stops the incarnation and closes all its connections at once.
 func (u *upstream) crash() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -123,7 +126,7 @@
 	}
 }
 
-// replace has the incarnation drain, leave and be followed by another.
+// replace drains the incarnation, stops it and starts another under a new instance id.
 func (u *upstream) replace(ctx context.Context, drain time.Duration) {
 	u.mu.Lock()
 	u.state = "draining"
@@ -136,7 +139,7 @@
 	_ = u.start()
 }
 
-// incarnation serves one life of an upstream.
+// incarnation is the HTTP handler of one incarnation of an upstream.
 type incarnation struct {
 	*upstream
 	instance string
@@ -179,12 +182,14 @@
 	x.status = i.execute(ctx, x.id)
 	x.signature = signature(x.id, i.instance, i.count.Add(1))
 	x.answer = strings.Repeat(x.signature, 1+rand.IntN(200))
-	// Recorded before it is sent, or an answer could be judged without its run.
+	// The run is recorded before the response is sent, so that no response is
+	// recorded without its run.
 	add(i.record, &i.record.runs, x)
 	i.respond(w, x, misbehaves)
 }
 
-// enter takes a slot, for at most what the request has left.
+// enter waits for a slot until ctx, which carries the request's remaining time, ends.
+// It reports whether it got one.
 func (i *incarnation) enter(ctx context.Context) bool {
 	select {
 	case i.slots <- struct{}{}:
@@ -194,7 +199,7 @@
 	}
 }
 
-// execute works, makes the calls and returns the status.
+// execute simulates the work, makes the planned calls and returns the status.
 func (i *incarnation) execute(ctx context.Context, id string) int {
 	select {
 	case <-ctx.Done():
@@ -242,7 +247,7 @@
 
 func newID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-// ask sends a request and returns what came of it.
+// ask sends a request and returns its response, or the failure to get one.
 func ask(client *http.Client, req *http.Request, id string, vm int) answered {
 	start := time.Now()
 	resp, err := client.Do(req)
@@ -254,7 +259,8 @@
 	return newAnswered(id, vm, start, resp, body, err)
 }
 
-// newAnswered is the record of an answer whose body was read, or broke off with err.
+// newAnswered returns the record of a response, where err is the error from reading its
+// body.
 func newAnswered(id string, vm int, start time.Time, resp *http.Response, body []byte, err error) answered {
 	return answered{
 		id: id, vm: vm, at: time.Now(), took: time.Since(start), status: resp.StatusCode, closes: resp.Close,
--- a/cmd/pollengauge/soak/vm_test.go
+++ b/cmd/pollengauge/soak/vm_test.go
@@ -20,7 +20,7 @@
 	portOutbound = "8304"
 	portControl  = "8306"
 	portGossip   = 7620
-	// The proxies' ports, and the upstream's own one behind its proxy.
+	// Ports of the proxies, and the port of the upstream behind its proxy.
 	portStoreProxy    = "8400"
 	portUpstreamProxy = "8401"
 	portUpstream      = "8402"
@@ -29,14 +29,14 @@
 	portCustomerProxy = "8405"
 )
 
-// Times of a process.
+// Times of a node's process.
 const (
 	grace        = 6 * time.Second
 	restartDelay = 300 * time.Millisecond
 )
 
-// program is the process of this repository's binary: the test's own file,
-// which TestMain turns into the command line.
+// programVariable is the environment variable by which TestMain runs the test's own
+// executable as the real command line.
 const programVariable = "POLLENGAUGE_SOAK_PROGRAM"
 
 // startProgram starts the real command line with its output in a file.
@@ -66,12 +66,13 @@
 	proxies  map[string]*proxy
 	settings string
 	log      string
-	// writing orders changes of the settings file.
+	// writing serializes changes of the settings file.
 	writing sync.Mutex
 
 	mu sync.Mutex
-	// process is nil between an end and the next start; incarnation counts
-	// starts. wanted is false once the process has been told to end.
+	// process is nil between an exit and the next start. incarnation counts
+	// starts. wanted is false once the process was sent a signal to terminate.
+	// stopped prevents restarts.
 	process     *os.Process
 	incarnation int
 	wanted      bool
@@ -100,8 +101,8 @@
 	return v.writeSettings(0)
 }
 
-// writeSettings writes the platform's settings file. The look number makes each
-// content another.
+// writeSettings writes the settings file as the platform does, by an atomic rename. The
+// number look makes the content differ from the one before.
 func (v *vm) writeSettings(look int) error {
 	data, err := json.Marshal(map[string]any{
 		"self": map[string]any{
@@ -135,7 +136,7 @@
 	return os.Rename(next, v.settings)
 }
 
-// start starts the node's process and starts it again whenever it ends.
+// start starts the node's process, and restarts it after restartDelay whenever it exits.
 func (v *vm) start() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -166,7 +167,7 @@
 	v.process = nil
 	unasked := v.wanted && !v.stopped
 	v.mu.Unlock()
-	// SIGHUP asks for another look at the settings, never for the end.
+	// SIGHUP requests a reload of the settings and must never end the process.
 	if unasked || hungUp {
 		add(v.fleet.record, &v.fleet.record.ends, end{vm: v.number, at: time.Now(), state: text})
 	}
@@ -176,8 +177,8 @@
 	}
 }
 
-// signal sends a signal to the process, if there is one. With ends set the
-// process is expected to end of it.
+// signal sends a signal to the process, if there is one. ends marks a signal that is
+// expected to end the process.
 func (v *vm) signal(s syscall.Signal, ends bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -192,7 +193,8 @@
 	}
 }
 
-// terminate sends SIGTERM, and SIGKILL at the end of the grace period.
+// terminate sends SIGTERM, and SIGKILL if the same incarnation is still the current one
+// at the end of the grace period.
 func (v *vm) terminate(ctx context.Context) {
 	life := v.life()
 	v.signal(syscall.SIGTERM, true)
@@ -211,7 +213,7 @@
 	return v.incarnation
 }
 
-// stop ends the VM for good.
+// stop stops the VM without a restart.
 func (v *vm) stop() {
 	v.mu.Lock()
 	v.stopped = true
@@ -225,7 +227,7 @@
 	}
 }
 
-// ready asks the node as the platform does.
+// ready reports whether the node is ready, by the request that the platform uses.
 func (v *vm) ready(client *http.Client) bool {
 	resp, err := client.Get("http://" + v.at(portReady) + "/-/ready")
 	if err != nil {
@@ -235,5 +237,5 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// logPath names a log file of the fleet.
+// logPath returns the path of a log file of the fleet.
 func (f *fleet) logPath(name string) string { return filepath.Join(f.folder, name+".log") }
