--- a/cmd/pollengauge/soak/customer_test.go
+++ b/cmd/pollengauge/soak/customer_test.go
@@ -13,11 +13,11 @@
 // Behaviour of the simulated customers.
 const (
 	customerDeadline = 2500 * time.Millisecond
-	// hasteShare is the share of requests that customers give up after haste
+	// hastyShare is the share of requests that customers give up after hastyDeadline
 	// instead of customerDeadline.
-	hasteShare = 0.03
-	haste      = 30 * time.Millisecond
-	probeEvery = 40 * time.Millisecond
+	hastyShare    = 0.03
+	hastyDeadline = 30 * time.Millisecond
+	probeEvery    = 40 * time.Millisecond
 	// addedShare is the share of safe requests that go to added routes once the
 	// store has acknowledged some.
 	addedShare = 0.4
@@ -55,8 +55,8 @@
 	}
 	s.path += s.id + "?q=1"
 	wait := customerDeadline
-	if rand.Float64() < hasteShare {
-		wait = haste
+	if rand.Float64() < hastyShare {
+		wait = hastyDeadline
 	}
 	return f.exchange(ctx, v, client, s, wait)
 }
@@ -81,11 +81,11 @@
 	if s.key == "" {
 		s.chooseTenant()
 	}
-	s.claim(req.Header)
+	s.setTenantHeaders(req.Header)
 	req.Header.Set(headerID, s.id)
 	req.Header.Set(headerTimeout, strconv.FormatInt(wait.Milliseconds(), 10))
 	add(f.record, &f.record.sent, s)
-	a := ask(client, req, s.id, v.number)
+	a := sendRequest(client, req, s.id, v.number)
 	add(f.record, &f.record.answers, a)
 	return a
 }
@@ -96,13 +96,13 @@
 func (f *fleet) prober(ctx context.Context, v *vm) {
 	client := directClient()
 	for ctx.Err() == nil {
-		life := v.life()
+		before := v.currentIncarnation()
 		s := sent{id: newID(), vm: v.number, at: time.Now(), method: http.MethodGet, origin: v.upstream.service}
 		s.path = pathProbe + s.id
 		a := f.exchange(ctx, v, client, s, customerDeadline)
-		if a.success() && v.life() == life {
+		if a.success() && v.currentIncarnation() == before {
 			if service := f.serviceOf(s.id, a.signature); service != "" {
-				add(f.record, &f.record.probes, probe{vm: v.number, incarnation: life, at: a.at, service: service})
+				add(f.record, &f.record.probes, probe{vm: v.number, incarnation: before, at: a.at, service: service})
 			}
 		}
 		pause(ctx, probeEvery)
--- a/cmd/pollengauge/soak/denied_test.go
+++ b/cmd/pollengauge/soak/denied_test.go
@@ -17,10 +17,10 @@
 	denied := 0
 	var first string
 	for _, a := range j.answers {
-		s := j.asked[a.id]
+		s := j.requests[a.id]
 		acked := j.ackedAt(s.path)
 		from := s.at.Add(-j.learning)
-		if s.half || s.stranger || overLimit(s, a) || !denies(a.status) || acked.IsZero() || acked.After(from) || j.cutOff(s.vm, from, a.at) {
+		if s.incomplete || s.keyUnknown || overLimit(s, a) || !denies(a.status) || acked.IsZero() || acked.After(from) || j.cutOff(s.vm, from, a.at) {
 			continue
 		}
 		if denied++; denied == 1 {
@@ -85,7 +85,7 @@
 	return f.eachVM(func(v *vm) error {
 		last, err := f.askUntilServed(ctx, v, addedPrefix(added-1))
 		if err != nil {
-			return neverError{"denied", v.number, fmt.Sprintf("last %d on the newest of %d added routes", last.status, added), err}
+			return unmetError{"denied", v.number, fmt.Sprintf("last %d on the newest of %d added routes", last.status, added), err}
 		}
 		return nil
 	})
--- a/cmd/pollengauge/soak/fatal_test.go
+++ b/cmd/pollengauge/soak/fatal_test.go
@@ -15,10 +15,10 @@
 	// fatalFor is how long the request is repeated. It is longer than the first
 	// quarantine of a suspect request.
 	fatalFor = 13 * time.Second
-	// endedFor is how long a crashed upstream stays down.
-	endedFor = time.Second
-	// newsTime is how long the VMs may take to learn of the third crash.
-	newsTime = 3 * time.Second
+	// crashedFor is how long a crashed upstream stays down.
+	crashedFor = time.Second
+	// noticeTime is how long the VMs may take to learn of the third crash.
+	noticeTime = 3 * time.Second
 	// mostAfterThird is how many times the request may run after that.
 	mostAfterThird = 3
 )
@@ -41,10 +41,10 @@
 	}
 }
 
-// endUnder crashes the upstream and starts it again after endedFor.
-func (u *upstream) endUnder() {
+// crashTemporarily crashes the upstream and starts it again after crashedFor.
+func (u *upstream) crashTemporarily() {
 	u.crash()
-	time.AfterFunc(endedFor, func() {
+	time.AfterFunc(crashedFor, func() {
 		// The error is ignored: the fleet may be closed by now and the address in
 		// use by another one.
 		_ = u.start()
@@ -53,10 +53,10 @@
 
 func isFatal(path string) bool { return strings.Contains(path, fatalPart) }
 
-// fatalRequestsAreHeld checks that a request which has crashed three upstreams is
+// fatalRequestsAreQuarantined checks that a request which has crashed three upstreams is
 // quarantined: at most mostAfterThird further runs are allowed, counting only runs
-// more than newsTime after the third crash and VMs without recent faults.
-func (j *judgement) fatalRequestsAreHeld() {
+// more than noticeTime after the third crash and VMs without recent faults.
+func (j *judgement) fatalRequestsAreQuarantined() {
 	runs := make(map[string][]run)
 	for _, x := range j.runs {
 		if x.executed && isFatal(x.path) {
@@ -69,8 +69,8 @@
 		}
 		late := 0
 		for _, x := range under[3:] {
-			from := x.at.Add(-newsTime)
-			if from.After(under[2].at) && j.calm(x.vm, from, x.at) && j.calm(j.asked[x.id].vm, from, x.at) && j.calm(everyVM, from, x.at) {
+			from := x.at.Add(-noticeTime)
+			if from.After(under[2].at) && j.calm(x.vm, from, x.at) && j.calm(j.requests[x.id].vm, from, x.at) && j.calm(everyVM, from, x.at) {
 				late++
 			}
 		}
--- a/cmd/pollengauge/soak/fleet_test.go
+++ b/cmd/pollengauge/soak/fleet_test.go
@@ -111,7 +111,7 @@
 	if err := v.upstream.start(); err != nil {
 		return err
 	}
-	f.done.Go(func() { v.upstream.beat(ctx) })
+	f.done.Go(func() { v.upstream.sendHeartbeats(ctx) })
 	return v.start()
 }
 
--- a/cmd/pollengauge/soak/heartbeat_test.go
+++ b/cmd/pollengauge/soak/heartbeat_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// beat sends heartbeats until ctx ends.
-func (u *upstream) beat(ctx context.Context) {
+// sendHeartbeats sends heartbeats until ctx ends.
+func (u *upstream) sendHeartbeats(ctx context.Context) {
 	tick := time.NewTicker(heartbeatEvery)
 	defer tick.Stop()
 	for {
@@ -19,7 +19,7 @@
 		b := u.report()
 		u.mu.Unlock()
 		if up {
-			u.tell(ctx, b)
+			u.sendHeartbeat(ctx, b)
 		}
 		select {
 		case <-ctx.Done():
@@ -29,22 +29,22 @@
 	}
 }
 
-// beat is the content of a heartbeat.
-type beat struct {
-	instance string
-	life     int
-	again    bool
-	born     time.Time
-	state    string
-	sequence int
+// heartbeat is the content of a heartbeat.
+type heartbeat struct {
+	instance    string
+	incarnation int
+	sameID      bool
+	born        time.Time
+	state       string
+	sequence    int
 }
 
 // report returns the heartbeat of the current incarnation. The caller holds u.mu.
-func (u *upstream) report() beat {
-	return beat{instance: u.instance, life: u.starts, again: u.again, born: u.born, state: u.state, sequence: u.sequence}
+func (u *upstream) report() heartbeat {
+	return heartbeat{instance: u.instance, incarnation: u.starts, sameID: u.sameID, born: u.born, state: u.state, sequence: u.sequence}
 }
 
-func (u *upstream) tell(ctx context.Context, b beat) {
+func (u *upstream) sendHeartbeat(ctx context.Context, b heartbeat) {
 	body, _ := json.Marshal(map[string]any{
 		"born":        b.born.UnixMilli(),
 		"address":     u.addr,
@@ -63,9 +63,9 @@
 		return
 	}
 	if b.state == "draining" {
-		add(u.record, &u.record.leaves, leave{instance: b.instance, life: b.life, vm: u.vm, at: time.Now()})
-	} else if b.again {
-		add(u.record, &u.record.returns, comeback{vm: u.vm, life: b.life, at: time.Now()})
+		add(u.record, &u.record.drainNotices, drainNotice{instance: b.instance, incarnation: b.incarnation, vm: u.vm, at: time.Now()})
+	} else if b.sameID {
+		add(u.record, &u.record.restarts, restarted{vm: u.vm, incarnation: b.incarnation, at: time.Now()})
 	}
 }
 
@@ -84,7 +84,7 @@
 	pause(ctx, 2*heartbeatEvery)
 	late.sequence += lateSequence
 	late.state = "draining"
-	u.tell(ctx, late)
+	u.sendHeartbeat(ctx, late)
 	return nil
 }
 
--- a/cmd/pollengauge/soak/judge_test.go
+++ b/cmd/pollengauge/soak/judge_test.go
@@ -38,27 +38,27 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := newJudgement(r, t)
-	j.runsWereAsked()
-	j.keysOpenTheirOwnDoor()
+	j.runsWereRequested()
+	j.keysSelectTheirTenant()
 	j.unsafeRunsOnce()
-	j.refusalsAreTrue()
+	j.refusedRequestsDoNotRun()
 	j.answersBelong()
 	j.attemptsAreBounded()
 	j.versionsDoNotGoBack()
-	j.processesStay()
+	j.processesDoNotExit()
 	j.answersComeInOrder()
-	j.closedIsNotRun()
-	j.halvesDoNotRun()
+	j.requestsBehindCloseDoNotRun()
+	j.incompleteUploadsDoNotRun()
 	j.memoryIsBounded()
 	j.foreignEntriesStay()
 	if t.timed {
-		j.leavingGetsNothing()
+		j.drainingUpstreamsGetNothing()
 		j.retriesAreBounded()
 		j.limitsHold()
 		j.answersComeInTime()
 		j.routesAreServed()
-		j.returnedUpstreamsWork()
-		j.fatalRequestsAreHeld()
+		j.restartedUpstreamsWork()
+		j.fatalRequestsAreQuarantined()
 	}
 	return j.found
 }
@@ -67,8 +67,8 @@
 type judgement struct {
 	*record
 	terms
-	asked  map[string]sent
-	runsOf map[string][]run
+	requests map[string]sent
+	runsOf   map[string][]run
 	// sendings holds the times at which each request was sent: several if its
 	// customer retried it under the same id.
 	sendings map[string][]time.Time
@@ -76,9 +76,9 @@
 }
 
 func newJudgement(r *record, t terms) *judgement {
-	j := &judgement{record: r, terms: t, asked: make(map[string]sent), runsOf: make(map[string][]run), sendings: make(map[string][]time.Time)}
+	j := &judgement{record: r, terms: t, requests: make(map[string]sent), runsOf: make(map[string][]run), sendings: make(map[string][]time.Time)}
 	for _, s := range r.sent {
-		j.asked[s.id] = s
+		j.requests[s.id] = s
 		j.sendings[s.id] = append(j.sendings[s.id], s.at)
 	}
 	for _, x := range r.runs {
@@ -91,11 +91,11 @@
 	j.found = append(j.found, violation{rule: rule, detail: fmt.Sprintf(format, args...)})
 }
 
-// runsWereAsked checks that upstreams receive only requests that were sent, unchanged,
+// runsWereRequested checks that upstreams receive only requests that were sent, unchanged,
 // with the correct origin, and on a route that leads to their service.
-func (j *judgement) runsWereAsked() {
+func (j *judgement) runsWereRequested() {
 	for _, x := range j.runs {
-		s, ok := j.asked[x.id]
+		s, ok := j.requests[x.id]
 		switch {
 		case !ok:
 			j.add("asked", "%s received %s, which nobody sent", x.instance, x.id)
@@ -112,17 +112,17 @@
 // unsafeRunsOnce checks that no unsafe request runs more than once.
 func (j *judgement) unsafeRunsOnce() {
 	for id, runs := range j.runsOf {
-		if j.asked[id].unsafe && executed(runs) > 1 {
+		if j.requests[id].unsafe && executed(runs) > 1 {
 			j.add("once", "%s ran %d times", id, executed(runs))
 		}
 	}
 }
 
-// refusalsAreTrue checks that an unsafe request whose response says that it was not
+// refusedRequestsDoNotRun checks that an unsafe request whose response says that it was not
 // run had not run before, and does not run later unless the customer sends it again.
-func (j *judgement) refusalsAreTrue() {
+func (j *judgement) refusedRequestsDoNotRun() {
 	for _, a := range j.answers {
-		if promisesNotRun(a.status) && j.asked[a.id].unsafe && j.ranBeforeNext(a) {
+		if promisesNotRun(a.status) && j.requests[a.id].unsafe && j.ranBeforeNext(a) {
 			j.add("not-run", "%s got status %d, which says that it was not run, but it has run", a.id, a.status)
 		}
 	}
@@ -133,7 +133,7 @@
 // has the status that the upstream sent.
 func (j *judgement) answersBelong() {
 	for _, a := range j.answers {
-		if !a.whole || a.signature == "" && !a.success() {
+		if !a.complete || a.signature == "" && !a.success() {
 			continue
 		}
 		of := slices.IndexFunc(j.runsOf[a.id], func(x run) bool { return x.signature == a.signature })
@@ -170,10 +170,10 @@
 // match the configuration versions in the order in which they were sent, and no
 // version before it was sent.
 func (j *judgement) versionsDoNotGoBack() {
-	type life struct{ vm, incarnation int }
-	at := make(map[life]int)
+	type process struct{ vm, incarnation int }
+	at := make(map[process]int)
 	for _, p := range j.probes {
-		l := life{p.vm, p.incarnation}
+		l := process{p.vm, p.incarnation}
 		next := at[l]
 		for next < len(j.versions) && j.versions[next].probe != p.service {
 			next++
@@ -186,31 +186,31 @@
 	}
 }
 
-func (j *judgement) processesStay() {
-	for _, e := range j.ends {
+func (j *judgement) processesDoNotExit() {
+	for _, e := range j.exits {
 		j.add("process", "VM %d: process exited unexpectedly: %s", e.vm, e.state)
 	}
 }
 
-// reaction is the delay that the scheduler of a shared machine may add to a bound.
-const reaction = 500 * time.Millisecond
+// schedulingDelay is the delay that the scheduler of a shared machine may add to a bound.
+const schedulingDelay = 500 * time.Millisecond
 
-// leavingGetsNothing checks that a draining upstream runs no request once the drain
+// drainingUpstreamsGetNothing checks that a draining upstream runs no request once the drain
 // time has passed since its draining heartbeat was acknowledged.
-func (j *judgement) leavingGetsNothing() {
+func (j *judgement) drainingUpstreamsGetNothing() {
 	type incarnation struct {
 		instance string
-		life     int
+		number   int
 	}
-	left := make(map[incarnation]leave)
-	for _, l := range j.leaves {
-		if _, ok := left[incarnation{l.instance, l.life}]; !ok {
-			left[incarnation{l.instance, l.life}] = l
+	left := make(map[incarnation]drainNotice)
+	for _, l := range j.drainNotices {
+		if _, ok := left[incarnation{l.instance, l.incarnation}]; !ok {
+			left[incarnation{l.instance, l.incarnation}] = l
 		}
 	}
 	for _, x := range j.runs {
-		l, ok := left[incarnation{x.instance, x.life}]
-		if ok && x.executed && x.at.After(l.at.Add(j.drain+reaction)) && j.calm(x.vm, l.at, x.at) {
+		l, ok := left[incarnation{x.instance, x.incarnation}]
+		if ok && x.executed && x.at.After(l.at.Add(j.drain+schedulingDelay)) && j.calm(x.vm, l.at, x.at) {
 			j.add("drain", "%s got %s %s after its draining was acknowledged", x.instance, x.id, x.at.Sub(l.at))
 		}
 	}
@@ -231,11 +231,11 @@
 func (j *judgement) answersComeInTime() {
 	all, late := 0, 0
 	for _, a := range j.answers {
-		if a.status == 0 || !j.calm(a.vm, a.at.Add(-a.took-reaction), a.at) {
+		if a.status == 0 || !j.calm(a.vm, a.at.Add(-a.took-schedulingDelay), a.at) {
 			continue
 		}
 		all++
-		if a.took > j.timeout+reaction {
+		if a.took > j.timeout+schedulingDelay {
 			late++
 		}
 	}
--- a/cmd/pollengauge/soak/pipeline_test.go
+++ b/cmd/pollengauge/soak/pipeline_test.go
@@ -29,10 +29,10 @@
 
 // Behaviour of customers that pipeline requests.
 const (
-	mostBehind   = 6
-	batchWait    = 2 * customerDeadline
-	batchPause   = 150 * time.Millisecond
-	unsafeBehind = 0.2
+	mostPipelined = 6
+	batchWait     = 2 * customerDeadline
+	batchPause    = 150 * time.Millisecond
+	unsafeShare   = 0.2
 	// extraWait is how long the customer waits for unsolicited bytes.
 	extraWait = 2 * lateExtra
 )
@@ -66,9 +66,9 @@
 	var b batch
 	var text bytes.Buffer
 	start := time.Now()
-	for range 2 + rand.IntN(mostBehind-1) {
+	for range 2 + rand.IntN(mostPipelined-1) {
 		s := sent{id: newID(), vm: v.number, at: start, method: http.MethodGet, path: pathBrowse, origin: v.upstream.service}
-		if rand.Float64() < unsafeBehind {
+		if rand.Float64() < unsafeShare {
 			s.method, s.path, s.unsafe = http.MethodPost, pathFile, true
 			s.body = strings.Repeat(s.id, 1+rand.IntN(20))
 		}
@@ -100,23 +100,23 @@
 	for i, id := range b.ids {
 		a := readAnswer(reader, id, v.number, start)
 		add(f.record, &f.record.answers, a)
-		if !a.whole {
-			f.breakOff(b.ids[i+1:], v, start)
+		if !a.complete {
+			f.recordUnanswered(b.ids[i+1:], v, start)
 			return false
 		}
 		b.answered++
 		if a.closes {
 			b.closes = true
-			f.breakOff(b.ids[i+1:], v, start)
-			b.extra = unasked(conn, reader)
+			f.recordUnanswered(b.ids[i+1:], v, start)
+			b.extra = countUnsolicited(conn, reader)
 			return false
 		}
 	}
-	b.extra = unasked(conn, reader)
+	b.extra = countUnsolicited(conn, reader)
 	return b.extra == 0
 }
 
-func (f *fleet) breakOff(ids []string, v *vm, start time.Time) {
+func (f *fleet) recordUnanswered(ids []string, v *vm, start time.Time) {
 	for _, id := range ids {
 		add(f.record, &f.record.answers, answered{id: id, vm: v.number, at: time.Now(), took: time.Since(start)})
 	}
@@ -133,8 +133,8 @@
 	return newAnswered(id, vm, start, resp, body, err)
 }
 
-// unasked returns the number of unsolicited bytes that arrive within extraWait.
-func unasked(conn net.Conn, reader *bufio.Reader) int {
+// countUnsolicited returns the number of unsolicited bytes that arrive within extraWait.
+func countUnsolicited(conn net.Conn, reader *bufio.Reader) int {
 	_ = conn.SetReadDeadline(time.Now().Add(extraWait))
 	if _, err := reader.Peek(1); err != nil {
 		return 0
@@ -157,15 +157,15 @@
 	}
 }
 
-// closedIsNotRun checks that no unsafe request has run that was pipelined behind a
+// requestsBehindCloseDoNotRun checks that no unsafe request has run that was pipelined behind a
 // response which announced that the connection closes: customers may send such a
 // request again.
-func (j *judgement) closedIsNotRun() {
+func (j *judgement) requestsBehindCloseDoNotRun() {
 	for _, b := range j.batches {
 		if !b.closes {
 			continue
 		}
-		ran := func(id string) bool { return j.asked[id].unsafe && executed(j.runsOf[id]) > 0 }
+		ran := func(id string) bool { return j.requests[id].unsafe && executed(j.runsOf[id]) > 0 }
 		if i := slices.IndexFunc(b.ids[b.answered:], ran); i >= 0 {
 			j.add("close", "%s was pipelined behind the last response of a connection and has run", b.ids[b.answered+i])
 		}
--- a/cmd/pollengauge/soak/plan_test.go
+++ b/cmd/pollengauge/soak/plan_test.go
@@ -71,11 +71,11 @@
 // Shape of a plan.
 const (
 	faultsPerSecond = 1.2
-	// series is the probability that a fault is repeated within a second, on one
+	// repeatProbability is the probability that a fault is repeated within a second, on one
 	// randomly drawn VM.
-	series     = 0.35
-	longest    = 3 * time.Second
-	mostAtOnce = 3
+	repeatProbability = 0.35
+	longestFault      = 3 * time.Second
+	mostAtOnce        = 3
 	// changesPerSecond is how often the operator changes the configuration, in
 	// addition to the drawn faults, so that changes coincide with all kinds of
 	// faults.
@@ -87,10 +87,10 @@
 	r := rand.New(rand.NewPCG(seed, 0))
 	var steps []step
 	for range int(span.Seconds() * faultsPerSecond) {
-		s := step{at: time.Duration(r.Int64N(int64(span))), fault: faults[r.IntN(len(faults))], lasts: time.Duration(r.Int64N(int64(longest)))}
+		s := step{at: time.Duration(r.Int64N(int64(span))), fault: faults[r.IntN(len(faults))], lasts: time.Duration(r.Int64N(int64(longestFault)))}
 		s.vms = r.Perm(vms)[:1+r.IntN(min(mostAtOnce, vms))]
 		steps = append(steps, s)
-		for again := s; r.Float64() < series; {
+		for again := s; r.Float64() < repeatProbability; {
 			again.at += time.Duration(r.Int64N(int64(time.Second)))
 			again.vms = r.Perm(vms)[:1]
 			steps = append(steps, again)
@@ -100,7 +100,7 @@
 		steps = append(steps, step{at: time.Duration(r.Int64N(int64(span))), fault: changeConfig})
 	}
 	for _, kind := range inEveryPlan {
-		steps = append(steps, step{at: time.Duration(r.Int64N(int64(span))), fault: kind, vms: r.Perm(vms)[:1], lasts: time.Duration(r.Int64N(int64(longest)))})
+		steps = append(steps, step{at: time.Duration(r.Int64N(int64(span))), fault: kind, vms: r.Perm(vms)[:1], lasts: time.Duration(r.Int64N(int64(longestFault)))})
 	}
 	if *growFlag {
 		for range mostGrowths {
@@ -129,7 +129,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.done.Go(func() { f.strike(ctx, s) })
+		f.done.Go(func() { f.inject(ctx, s) })
 	}
 }
 
@@ -137,12 +137,12 @@
 // fault.
 const afterEffect = 3 * time.Second
 
-// strike injects one fault and removes it after its duration.
-func (f *fleet) strike(ctx context.Context, s step) {
+// inject injects one fault and removes it after its duration.
+func (f *fleet) inject(ctx context.Context, s step) {
 	from := time.Now()
 	switch s.fault {
 	case storeDown, storeSlow, storeLoses, storeForgets, storePaused:
-		f.strikeStore(ctx, s)
+		f.injectAtStore(ctx, s)
 		add(f.record, &f.record.disturbed, disturbed{vm: everyVM, from: from, to: time.Now().Add(afterEffect), fault: s.fault})
 	case growConfig:
 		f.operator.grow(ctx)
@@ -164,14 +164,14 @@
 		}
 		for _, i := range vms {
 			f.done.Go(func() {
-				f.strikeVM(ctx, f.vms[i], s)
+				f.injectAtVM(ctx, f.vms[i], s)
 				add(f.record, &f.record.disturbed, disturbed{vm: i, from: from, to: time.Now().Add(afterEffect), fault: s.fault})
 			})
 		}
 	}
 }
 
-func (f *fleet) strikeStore(ctx context.Context, s step) {
+func (f *fleet) injectAtStore(ctx context.Context, s step) {
 	texts := map[fault]string{storeDown: `{"down":true}`, storeSlow: `{"delay_ms":400}`, storeLoses: `{"drop_probability":0.4}`, storeForgets: `{"compact":true}`}
 	if s.fault == storePaused {
 		_ = f.store.Signal(syscall.SIGSTOP)
@@ -185,8 +185,8 @@
 	_ = f.faults("{}")
 }
 
-// strikeVM injects a fault at one VM, and returns when the fault is over.
-func (f *fleet) strikeVM(ctx context.Context, v *vm, s step) {
+// injectAtVM injects a fault at one VM, and returns when the fault is over.
+func (f *fleet) injectAtVM(ctx context.Context, v *vm, s step) {
 	switch s.fault {
 	case killNode, killAll:
 		v.signal(syscall.SIGKILL, true)
@@ -202,12 +202,12 @@
 	case rewriteSettings:
 		f.check(v.writeSettings(int(s.at)))
 	default:
-		f.strikeUpstream(ctx, v, s)
-		f.strikeLinks(ctx, v, s)
+		f.injectAtUpstream(ctx, v, s)
+		f.injectAtLinks(ctx, v, s)
 	}
 }
 
-func (f *fleet) strikeUpstream(ctx context.Context, v *vm, s step) {
+func (f *fleet) injectAtUpstream(ctx context.Context, v *vm, s step) {
 	u := v.upstream
 	switch s.fault {
 	case crashUpstream:
@@ -231,15 +231,15 @@
 	}
 }
 
-func (f *fleet) strikeLinks(ctx context.Context, v *vm, s step) {
+func (f *fleet) injectAtLinks(ctx context.Context, v *vm, s step) {
 	between := []*proxy{v.proxies[portPeerProxy], v.proxies[portGossipProxy]}
 	switch s.fault {
 	case cutStore:
-		holdFor(ctx, s.lasts, true, v.proxies[portStoreProxy])
+		blockFor(ctx, s.lasts, true, v.proxies[portStoreProxy])
 	case cutPeers:
-		holdFor(ctx, s.lasts, true, between...)
+		blockFor(ctx, s.lasts, true, between...)
 	case cutOneWay:
-		holdFor(ctx, s.lasts, false, between...)
+		blockFor(ctx, s.lasts, false, between...)
 	case silenceLinks:
 		for _, p := range v.proxies {
 			p.silence()
@@ -259,13 +259,13 @@
 	}
 }
 
-func holdFor(ctx context.Context, d time.Duration, bothWays bool, proxies ...*proxy) {
+func blockFor(ctx context.Context, d time.Duration, bothWays bool, proxies ...*proxy) {
 	for _, p := range proxies {
-		p.hold(true, bothWays)
+		p.block(true, bothWays)
 	}
 	pause(ctx, d)
 	for _, p := range proxies {
-		p.hold(false, false)
+		p.block(false, false)
 	}
 }
 
--- a/cmd/pollengauge/soak/planted_test.go
+++ b/cmd/pollengauge/soak/planted_test.go
@@ -19,7 +19,7 @@
 	r := &record{}
 	r.sent = []sent{{id: "a", vm: 1, at: at, path: "/file/x", method: "POST", body: "b", unsafe: true, origin: "web"}}
 	r.runs = []run{{id: "a", at: at, vm: 1, service: "filing", instance: "i-1", method: "POST", path: "/file/x", body: "b", origin: "web", executed: true, status: 200, signature: "s", answer: "yes"}}
-	r.answers = []answered{{id: "a", vm: 1, at: at, took: time.Millisecond, status: 200, signature: "s", body: "yes", whole: true}}
+	r.answers = []answered{{id: "a", vm: 1, at: at, took: time.Millisecond, status: 200, signature: "s", body: "yes", complete: true}}
 	return r
 }
 
@@ -42,7 +42,7 @@
 		{"body changed on the way", "asked", func(r *record) { r.runs[0].body = "other" }},
 		{"a key passed on to an upstream", "key", func(r *record) { r.runs[0].keyed = true }},
 		{"another tenant", "tenant", func(r *record) { r.runs[0].tenant = "press" }},
-		{"a key of no tenant", "stranger", func(r *record) { r.sent[0].stranger = true }},
+		{"a key of no tenant", "stranger", func(r *record) { r.sent[0].keyUnknown = true }},
 		{"more than a limit", "limit", func(r *record) {
 			r.sent[0].tenant, r.runs[0].tenant = "press", "press"
 			for i := range 190 {
@@ -79,9 +79,9 @@
 			r.versions = []version{{number: 1, sentAt: at.Add(time.Second), probe: "web"}}
 			r.probes = []probe{{1, 1, at, "web"}}
 		}},
-		{"process that exited unexpectedly", "process", func(r *record) { r.ends = []end{{1, at, "exit 2"}} }},
+		{"process that exited unexpectedly", "process", func(r *record) { r.exits = []processExit{{1, at, "exit 2"}} }},
 		{"request after the drain's bound", "drain", func(r *record) {
-			r.leaves = []leave{{instance: "i-1", vm: 1, at: at.Add(-5 * time.Second)}}
+			r.drainNotices = []drainNotice{{instance: "i-1", vm: 1, at: at.Add(-5 * time.Second)}}
 		}},
 		{"retry storm", "retries", func(r *record) {
 			r.sent[0].unsafe = false
@@ -109,11 +109,11 @@
 		{"run of a request pipelined behind a response that closed the connection", "close", func(r *record) {
 			r.batches = []batch{{ids: []string{"b", "a"}, answered: 1, closes: true}}
 		}},
-		{"half of an upload runs", "half", func(r *record) { r.sent[0].half = true; r.answers = nil }},
-		{"half of an upload is answered as done", "half", func(r *record) { r.sent[0].half = true; r.runs[0].executed = false }},
+		{"half of an upload runs", "half", func(r *record) { r.sent[0].incomplete = true; r.answers = nil }},
+		{"half of an upload is answered as done", "half", func(r *record) { r.sent[0].incomplete = true; r.runs[0].executed = false }},
 		{"uploads fill the memory", "memory", func(r *record) { r.usages = []usage{{vm: 1, at: at, bytes: memoryLimit + 1}} }},
 		{"upstream that came back gets nothing", "return", func(r *record) {
-			r.returns = []comeback{{vm: 1, life: 2, at: at.Add(-2 * returnWithin)}}
+			r.restarts = []restarted{{vm: 1, incarnation: 2, at: at.Add(-2 * servedWithin)}}
 		}},
 		{"request that continues to crash upstreams", "held", func(r *record) {
 			for i := range 8 {
@@ -158,7 +158,7 @@
 func deny(r *record, at time.Time) {
 	r.versions = append(r.versions, version{number: len(r.versions) + 1, sentAt: at.Add(-10 * time.Second), ackedAt: at.Add(-10 * time.Second), probe: "web", added: 2})
 	r.sent = append(r.sent, sent{id: "new", vm: 1, at: at, path: addedPrefix(1) + "x", method: "GET", origin: "web"})
-	r.answers = append(r.answers, answered{id: "new", vm: 1, at: at, status: 404, whole: true})
+	r.answers = append(r.answers, answered{id: "new", vm: 1, at: at, status: 404, complete: true})
 }
 
 // move changes the record so that the request is refused in one zone, sent again to
@@ -168,7 +168,7 @@
 	resent.vm, resent.at = 2, at.Add(2*time.Second)
 	r.sent = append(r.sent, resent)
 	r.runs[0].at = resent.at.Add(time.Millisecond)
-	r.answers = append([]answered{{id: "a", vm: 1, at: at.Add(time.Second), status: 503, whole: true}}, r.answers...)
+	r.answers = append([]answered{{id: "a", vm: 1, at: at.Add(time.Second), status: 503, complete: true}}, r.answers...)
 	r.answers[1].at = resent.at.Add(2 * time.Millisecond)
 }
 
@@ -180,7 +180,7 @@
 	r := sound(at)
 	r.versions = []version{{number: 1, sentAt: at, probe: "web"}, {number: 2, sentAt: at, probe: "filing"}}
 	r.probes = []probe{{1, 1, at.Add(1), "filing"}, {1, 2, at.Add(2), "web"}, {1, 2, at.Add(3), "filing"}}
-	r.leaves = []leave{{instance: "i-1", vm: 1, at: at.Add(-5 * time.Second)}}
+	r.drainNotices = []drainNotice{{instance: "i-1", vm: 1, at: at.Add(-5 * time.Second)}}
 	r.disturbed = []disturbed{{vm: 1, from: at.Add(-time.Second), to: at.Add(time.Second)}}
 	c.Check(judge(r, plantedTerms), qt.HasLen, 0)
 }
--- a/cmd/pollengauge/soak/proxy_test.go
+++ b/cmd/pollengauge/soak/proxy_test.go
@@ -27,10 +27,10 @@
 	mu    sync.Mutex
 	links map[*link]struct{}
 	delay time.Duration
-	// held marks the directions that are blocked. As with an unplugged cable,
+	// blocked marks the directions that are blocked. As with an unplugged cable,
 	// bytes are not lost but wait until the direction is unblocked.
-	held [directions]bool
-	// changed is closed and replaced at each change of held, delay or closed.
+	blocked [directions]bool
+	// changed is closed and replaced at each change of blocked, delay or closed.
 	changed chan struct{}
 	closed  bool
 }
@@ -123,12 +123,12 @@
 func (p *proxy) pass(direction int) bool {
 	for {
 		p.mu.Lock()
-		held, delay, changed, closed := p.held[direction], p.delay, p.changed, p.closed
+		blocked, delay, changed, closed := p.blocked[direction], p.delay, p.changed, p.closed
 		p.mu.Unlock()
 		if closed {
 			return false
 		}
-		if !held {
+		if !blocked {
 			time.Sleep(delay)
 			return true
 		}
@@ -145,8 +145,8 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *proxy) hold(toServerHeld, toClientHeld bool) {
-	p.change(func() { p.held = [directions]bool{toServerHeld, toClientHeld} })
+func (p *proxy) block(toServerHeld, toClientHeld bool) {
+	p.change(func() { p.blocked = [directions]bool{toServerHeld, toClientHeld} })
 }
 
 func (p *proxy) slow(delay time.Duration) { p.change(func() { p.delay = delay }) }
@@ -210,24 +210,24 @@
 	conn, err := net.Dial("tcp", p.listener.Addr().String())
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
-	say := func(text string) {
+	write := func(text string) {
 		_, err := io.WriteString(conn, text)
 		c.Assert(err, qt.IsNil)
 	}
-	hear := func(want string) {
+	expect := func(want string) {
 		buf := make([]byte, len(want))
 		_, err := io.ReadFull(conn, buf)
 		c.Assert(err, qt.IsNil)
 		c.Assert(string(buf), qt.Equals, want)
 	}
-	say("one")
-	hear("one")
-	p.hold(true, false)
-	say("two")
-	p.hold(false, false)
-	hear("two")
+	write("one")
+	expect("one")
+	p.block(true, false)
+	write("two")
+	p.block(false, false)
+	expect("two")
 	p.silence()
-	say("three")
+	write("three")
 	p.resetAll()
 	_, err = io.ReadAll(conn)
 	c.Check(err, qt.IsNotNil)
--- a/cmd/pollengauge/soak/record_test.go
+++ b/cmd/pollengauge/soak/record_test.go
@@ -16,11 +16,11 @@
 	method, body string
 	unsafe       bool
 	// tenant is the owner of the request's key. It is "" for calls of upstreams,
-	// which carry no key, and where stranger marks a key that belongs to no tenant.
+	// which carry no key, and where keyUnknown marks a key that belongs to no tenant.
 	tenant, key string
-	stranger    bool
-	// half is true if a part of the body was never sent.
-	half bool
+	keyUnknown  bool
+	// incomplete is true if a part of the body was never sent.
+	incomplete bool
 	// origin is the service of the VM from which the request was sent.
 	origin string
 }
@@ -32,13 +32,13 @@
 	vm       int
 	service  string
 	instance string
-	// life is the upstream's number of starts. The instance id may stay the same
+	// incarnation is the upstream's number of starts. The instance id may stay the same
 	// across starts.
-	life   int
-	method string
-	path   string
-	body   string
-	origin string
+	incarnation int
+	method      string
+	path        string
+	body        string
+	origin      string
 	// tenant is the tenant that the request's header named to the upstream; keyed
 	// is true if the upstream received a key.
 	tenant string
@@ -63,17 +63,17 @@
 	body string
 	// closes is true if the response announced that the connection closes.
 	closes bool
-	// whole is false if the body was incomplete or no response came.
-	whole bool
+	// complete is false if the body was incomplete or no response came.
+	complete bool
 }
 
-// leave is an acknowledged heartbeat by which an incarnation of an upstream announced
+// drainNotice is an acknowledged heartbeat by which an incarnation of an upstream announced
 // that it is draining.
-type leave struct {
-	instance string
-	life     int
-	vm       int
-	at       time.Time
+type drainNotice struct {
+	instance    string
+	incarnation int
+	vm          int
+	at          time.Time
 }
 
 // version is one configuration that the operator sent, acknowledged or not.
@@ -106,36 +106,36 @@
 
 const everyVM = -1
 
-// end is an unexpected exit of a process.
-type end struct {
+// processExit is an unexpected exit of a process.
+type processExit struct {
 	vm    int
 	at    time.Time
 	state string
 }
 
-// comeback is an acknowledged heartbeat of an upstream that restarted under the same
+// restarted is an acknowledged heartbeat of an upstream that restarted under the same
 // instance id.
-type comeback struct {
-	vm, life int
-	at       time.Time
+type restarted struct {
+	vm, incarnation int
+	at              time.Time
 }
 
 // record holds everything that customers, upstreams and the operator observed. Access
 // to its fields needs mu.
 type record struct {
-	mu        sync.Mutex
-	sent      []sent
-	runs      []run
-	answers   []answered
-	leaves    []leave
-	versions  []version
-	probes    []probe
-	disturbed []disturbed
-	ends      []end
-	batches   []batch
-	usages    []usage
-	entries   []entry
-	returns   []comeback
+	mu           sync.Mutex
+	sent         []sent
+	runs         []run
+	answers      []answered
+	drainNotices []drainNotice
+	versions     []version
+	probes       []probe
+	disturbed    []disturbed
+	exits        []processExit
+	batches      []batch
+	usages       []usage
+	entries      []entry
+	restarts     []restarted
 }
 
 func add[T any](r *record, list *[]T, item T) {
@@ -162,4 +162,4 @@
 	return all, good
 }
 
-func (a answered) success() bool { return a.whole && a.status >= 200 && a.status < 300 }
+func (a answered) success() bool { return a.complete && a.status >= 200 && a.status < 300 }
--- a/cmd/pollengauge/soak/reload_test.go
+++ b/cmd/pollengauge/soak/reload_test.go
@@ -30,7 +30,7 @@
 	c.Assert(await(t.Context(), func() bool { return logged(v.log, draining) }), qt.IsNil)
 	c.Assert(process.Signal(syscall.SIGHUP), qt.IsNil)
 	v.done.Wait()
-	c.Check(f.record.ends, qt.HasLen, 0)
+	c.Check(f.record.exits, qt.HasLen, 0)
 	c.Check(logged(v.log, drained), qt.IsTrue)
 }
 
--- a/cmd/pollengauge/soak/return_test.go
+++ b/cmd/pollengauge/soak/return_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// returnWithin is the longest time until an upstream that restarted under the same
+// servedWithin is the longest time until an upstream that restarted under the same
 // instance id gets its first request. It covers the slow start, and the time until
 // nodes learn of the restart.
-const returnWithin = 6 * time.Second
+const servedWithin = 6 * time.Second
 
-// returnedUpstreamsWork checks that an upstream gets requests again after it restarted
+// restartedUpstreamsWork checks that an upstream gets requests again after it restarted
 // under the same instance id and had a heartbeat acknowledged.
-func (j *judgement) returnedUpstreamsWork() {
-	firsts := make(map[[2]int]comeback)
-	for _, r := range j.returns {
-		if _, ok := firsts[[2]int{r.vm, r.life}]; !ok {
-			firsts[[2]int{r.vm, r.life}] = r
+func (j *judgement) restartedUpstreamsWork() {
+	firsts := make(map[[2]int]restarted)
+	for _, r := range j.restarts {
+		if _, ok := firsts[[2]int{r.vm, r.incarnation}]; !ok {
+			firsts[[2]int{r.vm, r.incarnation}] = r
 		}
 	}
 	for _, r := range firsts {
-		until := r.at.Add(returnWithin)
-		worked := slices.ContainsFunc(j.runs, func(x run) bool { return x.vm == r.vm && x.life == r.life })
+		until := r.at.Add(servedWithin)
+		worked := slices.ContainsFunc(j.runs, func(x run) bool { return x.vm == r.vm && x.incarnation == r.incarnation })
 		if !worked && j.undisturbed(r, until) {
 			j.add("return", "VM %d: its upstream restarted under the same instance id at %s and got no request", r.vm, r.at.Format(time.StampMilli))
 		}
@@ -32,7 +32,7 @@
 // undisturbed reports whether the record covers the span from a restart until a time,
 // and the VM had no fault in this span other than the restart itself: a further restart
 // that begins within the span counts as a fault.
-func (j *judgement) undisturbed(r comeback, until time.Time) bool {
+func (j *judgement) undisturbed(r restarted, until time.Time) bool {
 	if len(j.answers) == 0 || j.answers[len(j.answers)-1].at.Before(until) {
 		return false
 	}
@@ -50,7 +50,7 @@
 	since := time.Now()
 	return f.eachVM(func(v *vm) error {
 		if err := await(ctx, func() bool { return f.record.ran(v.number, since) }); err != nil {
-			return neverError{"return", v.number, "its upstream gets no requests", err}
+			return unmetError{"return", v.number, "its upstream gets no requests", err}
 		}
 		return nil
 	})
--- a/cmd/pollengauge/soak/soak_test.go
+++ b/cmd/pollengauge/soak/soak_test.go
@@ -103,7 +103,7 @@
 	steps := draw(seed, *vmsFlag, *forFlag)
 	f.play(ctx, steps)
 	// After this pause the longest fault and the drain of any upstream are over.
-	pause(ctx, longest+f.terms.drain+time.Second)
+	pause(ctx, longestFault+f.terms.drain+time.Second)
 	recovery := f.recovery(ctx)
 	recovery = append(recovery, f.addedRoutes(ctx)...)
 	recovery = append(recovery, f.idleUpstreams(ctx)...)
@@ -116,10 +116,10 @@
 	return append(append(judge(f.record, f.terms), recovery...), f.logs()...), f.summary(len(steps))
 }
 
-// A VM has recovered if at least the share recovered of its requests in the last
+// A VM has recoveredShare if at least the share recoveredShare of its requests in the last
 // recoveryWindow succeeded, and there were at least leastRequests of them.
 const (
-	recovered      = 0.9
+	recoveredShare = 0.9
 	recoveryWindow = 2 * time.Second
 	leastRequests  = 20
 )
@@ -130,34 +130,34 @@
 	return f.eachVM(func(v *vm) error {
 		err := await(ctx, func() bool {
 			all, good := f.record.served(v.number, time.Now().Add(-recoveryWindow))
-			return all >= leastRequests && float64(good) >= recovered*float64(all)
+			return all >= leastRequests && float64(good) >= recoveredShare*float64(all)
 		})
 		if err != nil {
-			return neverError{"recovery", v.number, "its customers are not served again", err}
+			return unmetError{"recovery", v.number, "its customers are not served again", err}
 		}
 		return nil
 	})
 }
 
-// neverError reports a condition that a VM had to reach and did not.
-type neverError struct {
+// unmetError reports a condition that a VM had to reach and did not.
+type unmetError struct {
 	rule  string
 	vm    int
 	what  string
 	cause error
 }
 
-func (e neverError) Error() string { return fmt.Sprintf("VM %d: %s: %v", e.vm, e.what, e.cause) }
+func (e unmetError) Error() string { return fmt.Sprintf("VM %d: %s: %v", e.vm, e.what, e.cause) }
 
 // eachVM runs wait for all VMs concurrently, and returns a violation for each VM where
-// wait returns a neverError.
+// wait returns an unmetError.
 func (f *fleet) eachVM(wait func(v *vm) error) []violation {
 	var mu sync.Mutex
 	var found []violation
 	var waiting sync.WaitGroup
 	for _, v := range f.vms {
 		waiting.Go(func() {
-			var never neverError
+			var never unmetError
 			if errors.As(wait(v), &never) {
 				mu.Lock()
 				defer mu.Unlock()
--- a/cmd/pollengauge/soak/summary_test.go
+++ b/cmd/pollengauge/soak/summary_test.go
@@ -12,8 +12,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var lines []string
-	tell := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	tell("%d faults, %d requests, %d served, %d arrivals, %d versions", faults, len(r.sent), r.count(nil), len(r.runs), len(r.versions))
+	addLine := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	addLine("%d faults, %d requests, %d served, %d arrivals, %d versions", faults, len(r.sent), r.count(nil), len(r.runs), len(r.versions))
 	wholeBatches, closed := 0, 0
 	for _, b := range r.batches {
 		if b.answered == len(b.ids) {
@@ -23,12 +23,12 @@
 			closed++
 		}
 	}
-	tell("%d batches behind one another, %d answered whole, %d ended by an announced close", len(r.batches), wholeBatches, closed)
+	addLine("%d batches behind one another, %d answered whole, %d ended by an announced close", len(r.batches), wholeBatches, closed)
 	uploads, halves, moved, added := make(map[string]bool), 0, 0, make(map[string]bool)
 	seen := make(map[string]bool)
 	for _, s := range r.sent {
 		switch {
-		case s.half:
+		case s.incomplete:
 			halves++
 		case strings.Contains(s.body, " bytes, "):
 			uploads[s.id] = true
@@ -39,13 +39,13 @@
 		}
 		seen[s.id] = true
 	}
-	tell("%d whole uploads, %d served; %d half-sent; %d requests sent again in the other zone", len(uploads), r.count(uploads), halves, moved)
+	addLine("%d whole uploads, %d served; %d half-sent; %d requests sent again in the other zone", len(uploads), r.count(uploads), halves, moved)
 	var most int64
 	for _, u := range r.usages {
 		most = max(most, u.bytes)
 	}
-	tell("%d requests on added routes, %d served; %d heartbeats after restarts under the id; %d entries of another writer; most memory %d MiB",
-		len(added), r.count(added), len(r.returns), len(r.entries), most>>20)
+	addLine("%d requests on added routes, %d served; %d heartbeats after restarts under the id; %d entries of another writer; most memory %d MiB",
+		len(added), r.count(added), len(r.restarts), len(r.entries), most>>20)
 	fatal := make(map[string]int)
 	for _, x := range r.runs {
 		if x.executed && isFatal(x.path) {
@@ -56,7 +56,7 @@
 	for _, n := range fatal {
 		ends = append(ends, n)
 	}
-	tell("%d requests under which upstreams end, which ended %v", len(fatal), ends)
+	addLine("%d requests under which upstreams end, which ended %v", len(fatal), ends)
 	return strings.Join(lines, "\n    ")
 }
 
--- a/cmd/pollengauge/soak/tenants_test.go
+++ b/cmd/pollengauge/soak/tenants_test.go
@@ -31,9 +31,9 @@
 	// pressShare is the share of requests that the limited tenant sends, somewhat
 	// over its limit.
 	pressShare = 0.1
-	// strangerShare is the share of requests with a key that belongs to no tenant.
-	strangerShare = 0.01
-	strangerKey   = "soak-key-of-nobody"
+	// unknownKeyShare is the share of requests with a key that belongs to no tenant.
+	unknownKeyShare = 0.01
+	unknownKey      = "soak-key-of-nobody"
 )
 
 // Tolerance of the tenants' rate limits, as in the fleet's settings.
@@ -47,17 +47,17 @@
 func (s *sent) chooseTenant() {
 	of := tenants[0]
 	switch draw := rand.Float64(); {
-	case draw < strangerShare:
-		s.key, s.stranger = strangerKey, true
+	case draw < unknownKeyShare:
+		s.key, s.keyUnknown = unknownKey, true
 		return
-	case draw < strangerShare+pressShare:
+	case draw < unknownKeyShare+pressShare:
 		of = tenants[1]
 	}
 	s.tenant, s.key = of.name, of.keys[rand.IntN(len(of.keys))]
 }
 
-// claim sets the key header, and a forged tenant header that nodes must ignore.
-func (s *sent) claim(h http.Header) {
+// setTenantHeaders sets the key header, and a forged tenant header that nodes must ignore.
+func (s *sent) setTenantHeaders(h http.Header) {
 	h.Set(headerKey, s.key)
 	h.Set(headerTenant, "somebody")
 }
@@ -70,17 +70,17 @@
 	return list
 }
 
-// keysOpenTheirOwnDoor checks that each request runs for the tenant whose key it
+// keysSelectTheirTenant checks that each request runs for the tenant whose key it
 // carried, that no request with an unknown key runs, and that no key reaches an upstream.
-func (j *judgement) keysOpenTheirOwnDoor() {
+func (j *judgement) keysSelectTheirTenant() {
 	for _, x := range j.runs {
-		s, ok := j.asked[x.id]
+		s, ok := j.requests[x.id]
 		switch {
 		case x.keyed:
 			j.add("key", "%s received the key of %s", x.instance, x.id)
 		case ok && x.tenant != s.tenant:
 			j.add("tenant", "%s received %s for tenant %q, want %q", x.instance, x.id, x.tenant, s.tenant)
-		case ok && s.stranger && x.executed:
+		case ok && s.keyUnknown && x.executed:
 			j.add("stranger", "%s ran %s, whose key belongs to no tenant", x.instance, x.id)
 		}
 	}
--- a/cmd/pollengauge/soak/upload_test.go
+++ b/cmd/pollengauge/soak/upload_test.go
@@ -21,9 +21,9 @@
 	smallestUpload = 64 << 10
 	largestUpload  = 1 << 20
 	uploadEvery    = 400 * time.Millisecond
-	// halfShare is the share of uploads that stop halfway.
-	halfShare = 0.4
-	stall     = 500 * time.Millisecond
+	// incompleteShare is the share of uploads that stop halfway.
+	incompleteShare = 0.4
+	stall           = 500 * time.Millisecond
 	// uploadsAtOnce is the number of concurrent uploads of a burst to one VM.
 	uploadsAtOnce = 200
 )
@@ -47,22 +47,22 @@
 // uploader uploads to one VM until ctx ends.
 func (f *fleet) uploader(ctx context.Context, v *vm) {
 	for ctx.Err() == nil {
-		f.upload(ctx, v, smallestUpload+rand.IntN(largestUpload-smallestUpload), rand.Float64() < halfShare)
+		f.upload(ctx, v, smallestUpload+rand.IntN(largestUpload-smallestUpload), rand.Float64() < incompleteShare)
 		pause(ctx, uploadEvery/2+rand.N(uploadEvery))
 	}
 }
 
 // upload sends an unsafe request with its body in two parts, and a pause of up to stall
-// between them. If half is set, it does not send the second part but closes the
+// between them. If incomplete is set, it does not send the second part but closes the
 // connection, or only its sending side.
-func (f *fleet) upload(ctx context.Context, v *vm, size int, half bool) {
+func (f *fleet) upload(ctx context.Context, v *vm, size int, incomplete bool) {
 	conn, err := net.DialTimeout("tcp", v.at(portCustomerProxy), time.Second)
 	if err != nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
 	body := uploadBytes[:size]
-	s := sent{id: newID(), vm: v.number, at: time.Now(), method: http.MethodPost, path: pathFile, body: digest(body), unsafe: true, half: half, origin: v.upstream.service}
+	s := sent{id: newID(), vm: v.number, at: time.Now(), method: http.MethodPost, path: pathFile, body: digest(body), unsafe: true, incomplete: incomplete, origin: v.upstream.service}
 	s.path += s.id
 	s.chooseTenant()
 	add(f.record, &f.record.sent, s)
@@ -70,7 +70,7 @@
 	reader := bufio.NewReader(conn)
 	if _, err = conn.Write([]byte(head(s, size) + body[:size/2])); err == nil {
 		pause(ctx, rand.N(stall))
-		if !half {
+		if !incomplete {
 			_, _ = conn.Write([]byte(body[size/2:]))
 		} else if rand.IntN(2) == 0 {
 			_ = conn.(*net.TCPConn).CloseWrite()
@@ -91,16 +91,16 @@
 	all.Wait()
 }
 
-// halvesDoNotRun checks that an upload with a part of its body missing never runs and
+// incompleteUploadsDoNotRun checks that an upload with a part of its body missing never runs and
 // never gets a successful response.
-func (j *judgement) halvesDoNotRun() {
+func (j *judgement) incompleteUploadsDoNotRun() {
 	for _, s := range j.sent {
-		if s.half && executed(j.runsOf[s.id]) > 0 {
+		if s.incomplete && executed(j.runsOf[s.id]) > 0 {
 			j.add("half", "%s ran with a part of its body missing", s.id)
 		}
 	}
 	for _, a := range j.answers {
-		if j.asked[a.id].half && a.success() {
+		if j.requests[a.id].incomplete && a.success() {
 			j.add("half", "%s is missing a part of its body and got %d", a.id, a.status)
 		}
 	}
--- a/cmd/pollengauge/soak/upstream_test.go
+++ b/cmd/pollengauge/soak/upstream_test.go
@@ -62,10 +62,10 @@
 	server   *http.Server
 	slots    chan struct{}
 	starts   int
-	// born is when the incarnation started. again is true if it has the same
+	// born is when the incarnation started. sameID is true if it has the same
 	// instance id as the previous one.
-	born  time.Time
-	again bool
+	born   time.Time
+	sameID bool
 }
 
 // plannedCall is a call that each visit at an upstream makes.
@@ -77,10 +77,10 @@
 // start starts the next incarnation under a new instance id.
 func (u *upstream) start() error { return u.startAs(false) }
 
-// startAs starts the next incarnation, under the previous instance id if again is set.
+// startAs starts the next incarnation, under the previous instance id if sameID is set.
 // It does nothing if an incarnation is running, because overlapping faults may each end
 // with a start.
-func (u *upstream) startAs(again bool) error {
+func (u *upstream) startAs(sameID bool) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.server != nil {
@@ -91,15 +91,15 @@
 		return err
 	}
 	u.starts++
-	if !again {
+	if !sameID {
 		u.instance = fmt.Sprintf("i-%d-%d", u.vm, u.starts)
 	}
-	u.again, u.born = again, time.Now()
+	u.sameID, u.born = sameID, time.Now()
 	u.state = "ready"
 	u.sequence = 0
 	u.slots = make(chan struct{}, upstreamSlots)
-	life := &incarnation{upstream: u, instance: u.instance, life: u.starts, slots: u.slots}
-	u.server = &http.Server{Handler: life, ReadHeaderTimeout: time.Minute}
+	handler := &incarnation{upstream: u, instance: u.instance, number: u.starts, slots: u.slots}
+	u.server = &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 	go func(s *http.Server) { _ = s.Serve(listener) }(u.server)
 	return nil
 }
@@ -143,7 +143,7 @@
 type incarnation struct {
 	*upstream
 	instance string
-	life     int
+	number   int
 	slots    chan struct{}
 }
 
@@ -153,7 +153,7 @@
 		return
 	}
 	x := run{
-		id: r.Header.Get(headerID), at: time.Now(), vm: i.vm, service: i.service, instance: i.instance, life: i.life,
+		id: r.Header.Get(headerID), at: time.Now(), vm: i.vm, service: i.service, instance: i.instance, incarnation: i.number,
 		method: r.Method, path: r.URL.RequestURI(), body: digest(string(body)), origin: r.Header.Get(headerOrigin),
 		tenant: r.Header.Get(headerTenant), keyed: len(r.Header[headerKey]) > 0,
 	}
@@ -165,7 +165,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), timeoutOf(r.Header))
 	defer cancel()
 	misbehaves := i.odds.Load()
-	if rand.Float64() < misbehaves.shed || !i.enter(ctx) {
+	if rand.Float64() < misbehaves.shed || !i.acquireSlot(ctx) {
 		x.status = http.StatusServiceUnavailable
 		add(i.record, &i.record.runs, x)
 		w.Header().Set(headerNotRun, "1")
@@ -176,7 +176,7 @@
 	x.executed = true
 	if isFatal(x.path) {
 		add(i.record, &i.record.runs, x)
-		i.endUnder()
+		i.crashTemporarily()
 		panic(http.ErrAbortHandler)
 	}
 	x.status = i.execute(ctx, x.id)
@@ -188,9 +188,9 @@
 	i.respond(w, x, misbehaves)
 }
 
-// enter waits for a slot until ctx, which carries the request's remaining time, ends.
+// acquireSlot waits for a slot until ctx, which carries the request's remaining time, ends.
 // It reports whether it got one.
-func (i *incarnation) enter(ctx context.Context) bool {
+func (i *incarnation) acquireSlot(ctx context.Context) bool {
 	select {
 	case i.slots <- struct{}{}:
 		return true
@@ -227,7 +227,7 @@
 	}
 	req.Header.Set(headerTimeout, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 	add(i.record, &i.record.sent, sent{id: id, vm: i.vm, at: time.Now(), path: path + id, method: http.MethodGet, origin: i.service})
-	a := ask(i.client, req, id, i.vm)
+	a := sendRequest(i.client, req, id, i.vm)
 	add(i.record, &i.record.answers, a)
 	return a.success()
 }
@@ -247,8 +247,8 @@
 
 func newID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-// ask sends a request and returns its response, or the failure to get one.
-func ask(client *http.Client, req *http.Request, id string, vm int) answered {
+// sendRequest sends a request and returns its response, or the failure to get one.
+func sendRequest(client *http.Client, req *http.Request, id string, vm int) answered {
 	start := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
@@ -264,6 +264,6 @@
 func newAnswered(id string, vm int, start time.Time, resp *http.Response, body []byte, err error) answered {
 	return answered{
 		id: id, vm: vm, at: time.Now(), took: time.Since(start), status: resp.StatusCode, closes: resp.Close,
-		signature: resp.Header.Get(headerSignature), echo: resp.Header.Get(headerID), body: string(body), whole: err == nil,
+		signature: resp.Header.Get(headerSignature), echo: resp.Header.Get(headerID), body: string(body), complete: err == nil,
 	}
 }
--- a/cmd/pollengauge/soak/vm_test.go
+++ b/cmd/pollengauge/soak/vm_test.go
@@ -66,16 +66,16 @@
 	proxies  map[string]*proxy
 	settings string
 	log      string
-	// writing serializes changes of the settings file.
-	writing sync.Mutex
+	// settingsMu serializes changes of the settings file.
+	settingsMu sync.Mutex
 
 	mu sync.Mutex
 	// process is nil between an exit and the next start. incarnation counts
-	// starts. wanted is false once the process was sent a signal to terminate.
+	// starts. shouldRun is false once the process was sent a signal to terminate.
 	// stopped prevents restarts.
 	process     *os.Process
 	incarnation int
-	wanted      bool
+	shouldRun   bool
 	done        sync.WaitGroup
 	stopped     bool
 }
@@ -127,8 +127,8 @@
 	if err != nil {
 		return err
 	}
-	v.writing.Lock()
-	defer v.writing.Unlock()
+	v.settingsMu.Lock()
+	defer v.settingsMu.Unlock()
 	next := v.settings + ".next"
 	if err := os.WriteFile(next, data, 0o600); err != nil {
 		return err
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	v.process, v.wanted = process, true
+	v.process, v.shouldRun = process, true
 	v.incarnation++
 	v.done.Go(func() { v.supervise(process) })
 	return nil
@@ -157,19 +157,19 @@
 func (v *vm) supervise(process *os.Process) {
 	state, err := process.Wait()
 	text := "wait failed"
-	hungUp := false
+	endedBySIGHUP := false
 	if err == nil {
 		text = state.String()
 		status, ok := state.Sys().(syscall.WaitStatus)
-		hungUp = ok && status.Signaled() && status.Signal() == syscall.SIGHUP
+		endedBySIGHUP = ok && status.Signaled() && status.Signal() == syscall.SIGHUP
 	}
 	v.mu.Lock()
 	v.process = nil
-	unasked := v.wanted && !v.stopped
+	unexpected := v.shouldRun && !v.stopped
 	v.mu.Unlock()
 	// SIGHUP requests a reload of the settings and must never end the process.
-	if unasked || hungUp {
-		add(v.fleet.record, &v.fleet.record.ends, end{vm: v.number, at: time.Now(), state: text})
+	if unexpected || endedBySIGHUP {
+		add(v.fleet.record, &v.fleet.record.exits, processExit{vm: v.number, at: time.Now(), state: text})
 	}
 	time.Sleep(restartDelay)
 	if err := v.start(); err != nil {
@@ -186,7 +186,7 @@
 		return
 	}
 	if ends {
-		v.wanted = false
+		v.shouldRun = false
 	}
 	if err := v.process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		v.fleet.fail(err)
@@ -196,18 +196,18 @@
 // terminate sends SIGTERM, and SIGKILL if the same incarnation is still the current one
 // at the end of the grace period.
 func (v *vm) terminate(ctx context.Context) {
-	life := v.life()
+	before := v.currentIncarnation()
 	v.signal(syscall.SIGTERM, true)
 	select {
 	case <-ctx.Done():
 	case <-time.After(grace):
 	}
-	if v.life() == life {
+	if v.currentIncarnation() == before {
 		v.signal(syscall.SIGKILL, true)
 	}
 }
 
-func (v *vm) life() int {
+func (v *vm) currentIncarnation() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.incarnation
