--- a/cmd/pollengauge/soak/customer_test.go
+++ b/cmd/pollengauge/soak/customer_test.go
@@ -27,14 +27,14 @@
 func (f *fleet) customer(ctx context.Context, v *vm, think time.Duration) {
 	client := directClient()
 	for ctx.Err() == nil {
-		f.visit(ctx, v, client)
+		f.sendWithRetry(ctx, v, client)
 		pause(ctx, think/2+rand.N(think))
 	}
 }
 
-// visit sends one request, and a second one if the first failed and its response
+// sendWithRetry sends one request, and a second one if the first failed and its response
 // allows a retry.
-func (f *fleet) visit(ctx context.Context, v *vm, client *http.Client) {
+func (f *fleet) sendWithRetry(ctx context.Context, v *vm, client *http.Client) {
 	unsafe := rand.IntN(3) == 0
 	for range 2 {
 		a := f.send(ctx, v, client, unsafe)
--- a/cmd/pollengauge/soak/denied_test.go
+++ b/cmd/pollengauge/soak/denied_test.go
@@ -74,10 +74,10 @@
 	return store && peers
 }
 
-// addedRoutes sends requests on the newest added route to every VM until the VM
+// awaitAddedRoutes sends requests on the newest added route to every VM until the VM
 // serves it. All VMs must learn the configuration eventually, however busy the
 // machine is.
-func (f *fleet) addedRoutes(ctx context.Context) []violation {
+func (f *fleet) awaitAddedRoutes(ctx context.Context) []violation {
 	added := int(f.operator.acknowledged.Load())
 	if added == 0 {
 		return nil
--- a/cmd/pollengauge/soak/fleet_test.go
+++ b/cmd/pollengauge/soak/fleet_test.go
@@ -124,16 +124,16 @@
 	return true
 }
 
-// patience bounds each wait for an eventual condition.
-const patience = 60 * time.Second
+// awaitTimeout bounds each wait for an eventual condition.
+const awaitTimeout = 60 * time.Second
 
-// timeoutError reports that a condition was not met within patience.
+// timeoutError reports that a condition was not met within awaitTimeout.
 type timeoutError struct{}
 
-func (timeoutError) Error() string { return "condition not met within " + patience.String() }
+func (timeoutError) Error() string { return "condition not met within " + awaitTimeout.String() }
 
-func await(ctx context.Context, there func() bool) error {
-	for until := time.Now().Add(patience); !there(); {
+func await(ctx context.Context, met func() bool) error {
+	for until := time.Now().Add(awaitTimeout); !met(); {
 		if ctx.Err() != nil || time.Now().After(until) {
 			return timeoutError{}
 		}
--- a/cmd/pollengauge/soak/mover_test.go
+++ b/cmd/pollengauge/soak/mover_test.go
@@ -37,7 +37,7 @@
 	here, there := v, other
 	client := directClient()
 	for moved := time.Now(); ctx.Err() == nil; pause(ctx, thinkTime) {
-		f.visitZones(ctx, here, there, client)
+		f.sendAcrossZones(ctx, here, there, client)
 		if time.Since(moved) > stayFor {
 			here, there = there, here
 			moved = time.Now()
@@ -45,7 +45,7 @@
 	}
 }
 
-func (f *fleet) visitZones(ctx context.Context, here, there *vm, client *http.Client) {
+func (f *fleet) sendAcrossZones(ctx context.Context, here, there *vm, client *http.Client) {
 	s := sent{id: newID(), method: http.MethodGet, path: pathBrowse, unsafe: rand.IntN(2) == 0, origin: here.upstream.service}
 	s.chooseTenant()
 	if s.unsafe {
--- a/cmd/pollengauge/soak/return_test.go
+++ b/cmd/pollengauge/soak/return_test.go
@@ -44,9 +44,9 @@
 	})
 }
 
-// idleUpstreams waits until each upstream has run a request. All upstreams must get
+// awaitUpstreamsInUse waits until each upstream has run a request. All upstreams must get
 // requests eventually, however busy the machine is.
-func (f *fleet) idleUpstreams(ctx context.Context) []violation {
+func (f *fleet) awaitUpstreamsInUse(ctx context.Context) []violation {
 	since := time.Now()
 	return f.eachVM(func(v *vm) error {
 		if err := await(ctx, func() bool { return f.record.ran(v.number, since) }); err != nil {
--- a/cmd/pollengauge/soak/soak_test.go
+++ b/cmd/pollengauge/soak/soak_test.go
@@ -104,9 +104,9 @@
 	f.play(ctx, steps)
 	// After this pause the longest fault and the drain of any upstream are over.
 	pause(ctx, longestFault+f.terms.drain+time.Second)
-	recovery := f.recovery(ctx)
-	recovery = append(recovery, f.addedRoutes(ctx)...)
-	recovery = append(recovery, f.idleUpstreams(ctx)...)
+	recovery := f.awaitRecovery(ctx)
+	recovery = append(recovery, f.awaitAddedRoutes(ctx)...)
+	recovery = append(recovery, f.awaitUpstreamsInUse(ctx)...)
 	stopLoad()
 	f.readForeign(ctx)
 	// Wait for late runs: requests that were refused or given up must not run later
@@ -124,9 +124,9 @@
 	leastRequests  = 20
 )
 
-// recovery waits until each VM has recovered, and returns a violation for each one
+// awaitRecovery waits until each VM has recovered, and returns a violation for each one
 // that has not.
-func (f *fleet) recovery(ctx context.Context) []violation {
+func (f *fleet) awaitRecovery(ctx context.Context) []violation {
 	return f.eachVM(func(v *vm) error {
 		err := await(ctx, func() bool {
 			all, good := f.record.served(v.number, time.Now().Add(-recoveryWindow))
--- a/cmd/pollengauge/soak/summary_test.go
+++ b/cmd/pollengauge/soak/summary_test.go
@@ -13,7 +13,7 @@
 	defer r.mu.Unlock()
 	var lines []string
 	addLine := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	addLine("%d faults, %d requests, %d served, %d arrivals, %d versions", faults, len(r.sent), r.count(nil), len(r.runs), len(r.versions))
+	addLine("%d faults, %d requests, %d served, %d arrivals, %d versions", faults, len(r.sent), r.countSuccesses(nil), len(r.runs), len(r.versions))
 	wholeBatches, closed := 0, 0
 	for _, b := range r.batches {
 		if b.answered == len(b.ids) {
@@ -39,13 +39,13 @@
 		}
 		seen[s.id] = true
 	}
-	addLine("%d whole uploads, %d served; %d half-sent; %d requests sent again in the other zone", len(uploads), r.count(uploads), halves, moved)
+	addLine("%d whole uploads, %d served; %d half-sent; %d requests sent again in the other zone", len(uploads), r.countSuccesses(uploads), halves, moved)
 	var most int64
 	for _, u := range r.usages {
 		most = max(most, u.bytes)
 	}
 	addLine("%d requests on added routes, %d served; %d heartbeats after restarts under the id; %d entries of another writer; most memory %d MiB",
-		len(added), r.count(added), len(r.restarts), len(r.entries), most>>20)
+		len(added), r.countSuccesses(added), len(r.restarts), len(r.entries), most>>20)
 	fatal := make(map[string]int)
 	for _, x := range r.runs {
 		if x.executed && isFatal(x.path) {
@@ -60,9 +60,9 @@
 	return strings.Join(lines, "\n    ")
 }
 
-// count returns the number of successful responses to the requests ids, or to all
+// countSuccesses returns the number of successful responses to the requests ids, or to all
 // requests if ids is nil. The caller holds r.mu.
-func (r *record) count(ids map[string]bool) int {
+func (r *record) countSuccesses(ids map[string]bool) int {
 	n := 0
 	for _, a := range r.answers {
 		if a.success() && (ids == nil || ids[a.id]) {
