--- a/cmd/pollengauge/soak/fatal_test.go
+++ b/cmd/pollengauge/soak/fatal_test.go
@@ -19,7 +19,8 @@
 	crashedFor = time.Second
 	// noticeTime is how long the VMs may take to learn of the third crash.
 	noticeTime = 3 * time.Second
-	// mostAfterThird is how many times the request may run after that.
+	// mostAfterThird is how many times the request may run once noticeTime has
+	// passed.
 	mostAfterThird = 3
 )
 
@@ -55,7 +56,7 @@
 
 // fatalRequestsAreQuarantined checks that a request which has crashed three upstreams is
 // quarantined: at most mostAfterThird further runs are allowed, counting only runs
-// more than noticeTime after the third crash and VMs without recent faults.
+// more than noticeTime after the third crash, at and from VMs without recent faults.
 func (j *judgement) fatalRequestsAreQuarantined() {
 	runs := make(map[string][]run)
 	for _, x := range j.runs {
--- a/cmd/pollengauge/soak/soak_test.go
+++ b/cmd/pollengauge/soak/soak_test.go
@@ -116,7 +116,7 @@
 	return append(append(judge(f.record, f.terms), recovery...), f.logs()...), f.summary(len(steps))
 }
 
-// A VM has recoveredShare if at least the share recoveredShare of its requests in the last
+// A VM has recovered if at least recoveredShare of its requests in the last
 // recoveryWindow succeeded, and there were at least leastRequests of them.
 const (
 	recoveredShare = 0.9
