--- a/cmd/pollengauge/soak/proxy_test.go
+++ b/cmd/pollengauge/soak/proxy_test.go
@@ -27,7 +27,7 @@
 	mu    sync.Mutex
 	links map[*link]struct{}
 	delay time.Duration
-	// blocked marks the directions that are blocked. As with an unplugged cable,
+	// blocked marks the directions that carry no bytes. As with an unplugged cable,
 	// bytes are not lost but wait until the direction is unblocked.
 	blocked [directions]bool
 	// changed is closed and replaced at each change of blocked, delay or closed.
