--- a/cmd/pollengauge/soak/fatal_test.go
+++ b/cmd/pollengauge/soak/fatal_test.go
@@ -7,22 +7,25 @@
 	"time"
 )
 
-// A request under which upstreams end.
+// Parameters of the fatal request, which crashes each upstream that runs it.
 const (
-	// fatalPart in a path makes the upstream that runs the request end.
+	// fatalPart in a path makes the upstream that runs the request crash.
 	fatalPart  = "fatal-"
 	fatalEvery = 300 * time.Millisecond
-	// fatalFor is how long it comes again, longer than a request is held at first.
+	// fatalFor is how long the request is repeated. It is longer than the first
+	// quarantine of a suspect request.
 	fatalFor = 13 * time.Second
-	// endedFor is how long an upstream that has ended under it is away.
-	endedFor = time.Second
-	// newsTime is how long after the third end the VMs may still learn of it.
-	newsTime = 3 * time.Second
-	// mostAfterThird is how often it may run after that.
+	// crashedFor is how long a crashed upstream stays down.
+	crashedFor = time.Second
+	// noticeTime is how long the VMs may take to learn of the third crash.
+	noticeTime = 3 * time.Second
+	// mostAfterThird is how many times the request may run once noticeTime has
+	// passed.
 	mostAfterThird = 3
 )
 
-// sendFatal sends the same request again and again, at the VMs of one service in turn.
+// sendFatal sends the same fatal request repeatedly, to the VMs of one service in
+// turn.
 func (f *fleet) sendFatal(ctx context.Context, first *vm) {
 	client := directClient()
 	path := pathBrowse + fatalPart + newID()
@@ -39,20 +42,22 @@
 	}
 }
 
-// endUnder ends the upstream as a crash does, and starts it again later.
-func (u *upstream) endUnder() {
+// crashTemporarily crashes the upstream and starts it again after crashedFor.
+func (u *upstream) crashTemporarily() {
 	u.crash()
-	time.AfterFunc(endedFor, func() {
-		// The fleet may be gone, and its address another's.
+	time.AfterFunc(crashedFor, func() {
+		// The error is ignored: the fleet may be closed by now and the address in
+		// use by another one.
 		_ = u.start()
 	})
 }
 
 func isFatal(path string) bool { return strings.Contains(path, fatalPart) }
 
-// fatalRequestsAreHeld: a request under which three upstreams have ended comes to few
-// more, from VMs that had no fault lately.
-func (j *judgement) fatalRequestsAreHeld() {
+// fatalRequestsAreQuarantined checks that a request which has crashed three upstreams is
+// quarantined: at most mostAfterThird further runs are allowed, counting only runs
+// more than noticeTime after the third crash, at and from VMs without recent faults.
+func (j *judgement) fatalRequestsAreQuarantined() {
 	runs := make(map[string][]run)
 	for _, x := range j.runs {
 		if x.executed && isFatal(x.path) {
@@ -65,13 +70,13 @@
 		}
 		late := 0
 		for _, x := range under[3:] {
-			from := x.at.Add(-newsTime)
-			if from.After(under[2].at) && j.calm(x.vm, from, x.at) && j.calm(j.asked[x.id].vm, from, x.at) && j.calm(everyVM, from, x.at) {
+			from := x.at.Add(-noticeTime)
+			if from.After(under[2].at) && j.calm(x.vm, from, x.at) && j.calm(j.requests[x.id].vm, from, x.at) && j.calm(everyVM, from, x.at) {
 				late++
 			}
 		}
 		if late > mostAfterThird {
-			j.add("held", "%s ran %d times more after it had ended three upstreams", path, late)
+			j.add("held", "%s ran %d more times after it had crashed three upstreams", path, late)
 		}
 	}
 }
--- a/cmd/pollengauge/soak/upload_test.go
+++ b/cmd/pollengauge/soak/upload_test.go
@@ -16,25 +16,26 @@
 	"time"
 )
 
-// Habits of customers that upload.
+// Behaviour of customers that upload.
 const (
 	smallestUpload = 64 << 10
 	largestUpload  = 1 << 20
 	uploadEvery    = 400 * time.Millisecond
-	// halfShare of the uploads break off halfway.
-	halfShare = 0.4
-	stall     = 500 * time.Millisecond
-	// uploadsAtOnce is how many a burst brings to one VM.
+	// incompleteShare is the share of uploads that stop halfway.
+	incompleteShare = 0.4
+	stall           = 500 * time.Millisecond
+	// uploadsAtOnce is the number of concurrent uploads of a burst to one VM.
 	uploadsAtOnce = 200
 )
 
-// uploadBytes are what all uploads send a part of.
+// uploadBytes is the longest upload body. Each upload sends the first part of it.
 var uploadBytes = strings.Repeat("0123456789abcdef", largestUpload/16)
 
-// longBody is from where a body is recorded as its hash.
+// longBody is the length from which a body is recorded as its length and hash.
 const longBody = 16 << 10
 
-// digest returns what the record keeps of a body.
+// digest returns the form in which a body is recorded: the body itself, or the length
+// and hash of a long one.
 func digest(body string) string {
 	if len(body) < longBody {
 		return body
@@ -46,21 +47,22 @@
 // uploader uploads to one VM until ctx ends.
 func (f *fleet) uploader(ctx context.Context, v *vm) {
 	for ctx.Err() == nil {
-		f.upload(ctx, v, smallestUpload+rand.IntN(largestUpload-smallestUpload), rand.Float64() < halfShare)
+		f.upload(ctx, v, smallestUpload+rand.IntN(largestUpload-smallestUpload), rand.Float64() < incompleteShare)
 		pause(ctx, uploadEvery/2+rand.N(uploadEvery))
 	}
 }
 
-// upload sends an unrepeatable request whose body comes in two parts. With half
-// set the second does not come: after a stall the connection ends.
-func (f *fleet) upload(ctx context.Context, v *vm, size int, half bool) {
+// upload sends an unsafe request with its body in two parts, and a pause of up to stall
+// between them. If incomplete is set, it does not send the second part but closes the
+// connection, or only its sending side.
+func (f *fleet) upload(ctx context.Context, v *vm, size int, incomplete bool) {
 	conn, err := net.DialTimeout("tcp", v.at(portCustomerProxy), time.Second)
 	if err != nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
 	body := uploadBytes[:size]
-	s := sent{id: newID(), vm: v.number, at: time.Now(), method: http.MethodPost, path: pathFile, body: digest(body), unsafe: true, half: half, origin: v.upstream.service}
+	s := sent{id: newID(), vm: v.number, at: time.Now(), method: http.MethodPost, path: pathFile, body: digest(body), unsafe: true, incomplete: incomplete, origin: v.upstream.service}
 	s.path += s.id
 	s.chooseTenant()
 	add(f.record, &f.record.sent, s)
@@ -68,7 +70,7 @@
 	reader := bufio.NewReader(conn)
 	if _, err = conn.Write([]byte(head(s, size) + body[:size/2])); err == nil {
 		pause(ctx, rand.N(stall))
-		if !half {
+		if !incomplete {
 			_, _ = conn.Write([]byte(body[size/2:]))
 		} else if rand.IntN(2) == 0 {
 			_ = conn.(*net.TCPConn).CloseWrite()
@@ -76,11 +78,11 @@
 			return
 		}
 	}
-	// Also one that could not be sent whole may have an answer.
+	// A request that could not be sent completely may have a response too.
 	add(f.record, &f.record.answers, readAnswer(reader, s.id, v.number, s.at))
 }
 
-// uploadBurst uploads many times at once to one VM.
+// uploadBurst sends uploadsAtOnce concurrent uploads to one VM.
 func (f *fleet) uploadBurst(ctx context.Context, v *vm) {
 	var all sync.WaitGroup
 	for range uploadsAtOnce {
@@ -89,25 +91,25 @@
 	all.Wait()
 }
 
-// halvesDoNotRun: an upload of which a half is missing is never run, nor
-// answered as if it were.
-func (j *judgement) halvesDoNotRun() {
+// incompleteUploadsDoNotRun checks that an upload with a part of its body missing never runs and
+// never gets a successful response.
+func (j *judgement) incompleteUploadsDoNotRun() {
 	for _, s := range j.sent {
-		if s.half && executed(j.runsOf[s.id]) > 0 {
+		if s.incomplete && executed(j.runsOf[s.id]) > 0 {
 			j.add("half", "%s ran with a part of its body missing", s.id)
 		}
 	}
 	for _, a := range j.answers {
-		if j.asked[a.id].half && a.success() {
+		if j.requests[a.id].incomplete && a.success() {
 			j.add("half", "%s is missing a part of its body and got %d", a.id, a.status)
 		}
 	}
 }
 
-// memoryLimit is a node's share of its VM's memory, as its settings say.
+// memoryLimit is a node's share of its VM's memory in bytes, as given in its settings.
 const memoryLimit = 284 << 20
 
-// usage is the memory that a process had resident.
+// usage is the resident memory of a process at a time.
 type usage struct {
 	vm    int
 	at    time.Time
@@ -116,8 +118,8 @@
 
 const usageEvery = 100 * time.Millisecond
 
-// watchMemory records the memory of a VM's process whenever it has grown. Under
-// the race detector memory tells nothing: it takes several times as much.
+// watchMemory records the memory of a VM's process at each new maximum. It records
+// nothing under the race detector, where a process takes several times as much memory.
 func (f *fleet) watchMemory(ctx context.Context, v *vm) {
 	if raceDetector {
 		return
@@ -132,7 +134,7 @@
 	}
 }
 
-// resident is the memory of the VM's process, 0 where there is none.
+// resident returns the resident memory of the VM's process, or 0 if there is none.
 func (v *vm) resident() int64 {
 	v.mu.Lock()
 	process := v.process
@@ -151,7 +153,7 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// memoryIsBounded: whatever comes in, a node stays within its share.
+// memoryIsBounded checks that a node's memory stays within its share under any load.
 func (j *judgement) memoryIsBounded() {
 	var most usage
 	for _, u := range j.usages {
--- a/cmd/pollengauge/soak/vm_test.go
+++ b/cmd/pollengauge/soak/vm_test.go
@@ -20,7 +20,7 @@
 	portOutbound = "8304"
 	portControl  = "8306"
 	portGossip   = 7620
-	// The proxies' ports, and the upstream's own one behind its proxy.
+	// Ports of the proxies, and the port of the upstream behind its proxy.
 	portStoreProxy    = "8400"
 	portUpstreamProxy = "8401"
 	portUpstream      = "8402"
@@ -29,14 +29,14 @@
 	portCustomerProxy = "8405"
 )
 
-// Times of a process.
+// Times of a node's process.
 const (
 	grace        = 6 * time.Second
 	restartDelay = 300 * time.Millisecond
 )
 
-// program is the process of this repository's binary: the test's own file,
-// which TestMain turns into the command line.
+// programVariable is the environment variable by which TestMain runs the test's own
+// executable as the real command line.
 const programVariable = "POLLENGAUGE_SOAK_PROGRAM"
 
 // startProgram starts the real command line with its output in a file.
@@ -66,15 +66,16 @@
 	proxies  map[string]*proxy
 	settings string
 	log      string
-	// writing orders changes of the settings file.
-	writing sync.Mutex
+	// settingsMu serializes changes of the settings file.
+	settingsMu sync.Mutex
 
 	mu sync.Mutex
-	// process is nil between an end and the next start; incarnation counts
-	// starts. wanted is false once the process has been told to end.
+	// process is nil between an exit and the next start. incarnation counts
+	// starts. shouldRun is false once the process was sent a signal to terminate.
+	// stopped prevents restarts.
 	process     *os.Process
 	incarnation int
-	wanted      bool
+	shouldRun   bool
 	done        sync.WaitGroup
 	stopped     bool
 }
@@ -100,8 +101,8 @@
 	return v.writeSettings(0)
 }
 
-// writeSettings writes the platform's settings file. The look number makes each
-// content another.
+// writeSettings writes the settings file as the platform does, by an atomic rename. The
+// number look makes the content differ from the one before.
 func (v *vm) writeSettings(look int) error {
 	data, err := json.Marshal(map[string]any{
 		"self": map[string]any{
@@ -126,8 +127,8 @@
 	if err != nil {
 		return err
 	}
-	v.writing.Lock()
-	defer v.writing.Unlock()
+	v.settingsMu.Lock()
+	defer v.settingsMu.Unlock()
 	next := v.settings + ".next"
 	if err := os.WriteFile(next, data, 0o600); err != nil {
 		return err
@@ -135,7 +136,7 @@
 	return os.Rename(next, v.settings)
 }
 
-// start starts the node's process and starts it again whenever it ends.
+// start starts the node's process, and restarts it after restartDelay whenever it exits.
 func (v *vm) start() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -147,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	v.process, v.wanted = process, true
+	v.process, v.shouldRun = process, true
 	v.incarnation++
 	v.done.Go(func() { v.supervise(process) })
 	return nil
@@ -156,19 +157,19 @@
 func (v *vm) supervise(process *os.Process) {
 	state, err := process.Wait()
 	text := "wait failed"
-	hungUp := false
+	endedBySIGHUP := false
 	if err == nil {
 		text = state.String()
 		status, ok := state.Sys().(syscall.WaitStatus)
-		hungUp = ok && status.Signaled() && status.Signal() == syscall.SIGHUP
+		endedBySIGHUP = ok && status.Signaled() && status.Signal() == syscall.SIGHUP
 	}
 	v.mu.Lock()
 	v.process = nil
-	unasked := v.wanted && !v.stopped
+	unexpected := v.shouldRun && !v.stopped
 	v.mu.Unlock()
-	// SIGHUP asks for another look at the settings, never for the end.
-	if unasked || hungUp {
-		add(v.fleet.record, &v.fleet.record.ends, end{vm: v.number, at: time.Now(), state: text})
+	// SIGHUP requests a reload of the settings and must never end the process.
+	if unexpected || endedBySIGHUP {
+		add(v.fleet.record, &v.fleet.record.exits, processExit{vm: v.number, at: time.Now(), state: text})
 	}
 	time.Sleep(restartDelay)
 	if err := v.start(); err != nil {
@@ -176,8 +177,8 @@
 	}
 }
 
-// signal sends a signal to the process, if there is one. With ends set the
-// process is expected to end of it.
+// signal sends a signal to the process, if there is one. ends marks a signal that is
+// expected to end the process.
 func (v *vm) signal(s syscall.Signal, ends bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -185,33 +186,34 @@
 		return
 	}
 	if ends {
-		v.wanted = false
+		v.shouldRun = false
 	}
 	if err := v.process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		v.fleet.fail(err)
 	}
 }
 
-// terminate sends SIGTERM, and SIGKILL at the end of the grace period.
+// terminate sends SIGTERM, and SIGKILL if the same incarnation is still the current one
+// at the end of the grace period.
 func (v *vm) terminate(ctx context.Context) {
-	life := v.life()
+	before := v.currentIncarnation()
 	v.signal(syscall.SIGTERM, true)
 	select {
 	case <-ctx.Done():
 	case <-time.After(grace):
 	}
-	if v.life() == life {
+	if v.currentIncarnation() == before {
 		v.signal(syscall.SIGKILL, true)
 	}
 }
 
-func (v *vm) life() int {
+func (v *vm) currentIncarnation() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.incarnation
 }
 
-// stop ends the VM for good.
+// stop stops the VM without a restart.
 func (v *vm) stop() {
 	v.mu.Lock()
 	v.stopped = true
@@ -225,7 +227,7 @@
 	}
 }
 
-// ready asks the node as the platform does.
+// ready reports whether the node is ready, by the request that the platform uses.
 func (v *vm) ready(client *http.Client) bool {
 	resp, err := client.Get("http://" + v.at(portReady) + "/-/ready")
 	if err != nil {
@@ -235,5 +237,5 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// logPath names a log file of the fleet.
+// logPath returns the path of a log file of the fleet.
 func (f *fleet) logPath(name string) string { return filepath.Join(f.folder, name+".log") }
