--- a/admission/leveler.go
+++ b/admission/leveler.go
@@ -20,8 +20,8 @@
 	// targetMargin is the target for admitted arrivals after an overloaded
 	// window, as a share of the capacity, before targetDeviations is added.
 	targetMargin = 1.05
-	// targetDeviations is the number of standard targetDeviations of a window's
-	// arrivals that are added to the target.
+	// targetDeviations is the number of standard deviations of a window's arrivals
+	// that are added to the target.
 	targetDeviations = 3
 	// maxTargetFactor bounds the target as a multiple of the capacity, for
 	// upstreams that finish few visits in a window.
--- a/admission/oracle_test.go
+++ b/admission/oracle_test.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// compareImportance compares the importance of two calls. The result is
-// negative if a is compareImportance important.
+// compareImportance compares the importance of two calls. The result is negative if
+// a is less important.
 func compareImportance(a, b *entry) int {
 	x, y := a.request, b.request
 	if d := int(x.Level.Priority()) - int(y.Level.Priority()); d != 0 {
--- a/admission/pressure.go
+++ b/admission/pressure.go
@@ -61,11 +61,11 @@
 // pressure is the share of requests leading to an upstream that the roots
 // should refuse, from 0 to 1. It is pure. The caller must hold the gate's lock.
 //
-// Load pattern: one request makes many calls, and a downstream upstream can't
-// serve all of them. If that upstream refuses calls, nearly every request
-// fails, each after most of its work is done: with eight calls in a request and
-// one call in ten refused, 57 % of the requests fail. It is better that fewer
-// requests begin and all their calls run.
+// Load pattern: one request makes many calls, and the upstream that receives them
+// can't serve all of them. If that upstream refuses calls, nearly every request
+// fails, each after most of its work is done: with eight calls in a request and one
+// call in ten refused, 57 % of the requests fail. It is better that fewer requests
+// begin and all their calls run.
 //
 // The demand is computed from the calls that arrive: a call whose request was
 // admitted while the root refused a share of similar requests also stands for
--- a/admission/pressure_test.go
+++ b/admission/pressure_test.go
@@ -10,10 +10,10 @@
 	"pollengauge.dev/call"
 )
 
-// simulatedUpstream simulates an upstream downstream of many roots, in steps of
-// one window. Each request makes calls calls there, spread evenly over spread
-// windows; the first of them arrive after about life windows, when the request
-// has passed the upstreams before.
+// simulatedUpstream simulates an upstream that many roots lead to, in steps of one
+// window. The field calls is the number of calls that each request makes there,
+// spread evenly over spread windows; the first of them arrive after about delay
+// windows, when the request has passed the upstreams before.
 type simulatedUpstream struct {
 	capacity float64 // calls that a window serves
 	calls    int
@@ -91,9 +91,9 @@
 	c.Check(p.value > 0.65, qt.IsTrue, qt.Commentf("%.2f, 0.68 wanted", p.value))
 }
 
-// A burst of 1.7 times the capacity of a downstream upstream lasts for eight
-// seconds, with eight calls in each request. Without pressure, four calls in
-// ten are refused and nearly no request succeeds. With pressure, refusals end
+// A burst of 1.7 times the capacity of an upstream several hops downstream lasts
+// for eight seconds, with eight calls in each request. Without pressure, four calls
+// in ten are refused and nearly no request succeeds. With pressure, refusals end
 // within a second, the upstream stays busy, and a second after the burst all
 // requests are admitted.
 func TestPressureHoldsADeepUpstreamAtItsCapacity(t *testing.T) {
--- a/admission/stats.go
+++ b/admission/stats.go
@@ -142,8 +142,9 @@
 	return uint64(thousand / (1 - min(max(heldBack, 0), maxPressure)))
 }
 
-// offered returns the service time, in seconds, of the demand since its last
-// call, including requests refused at their roots. The gate's lock is held.
+// offered returns the service time, in seconds, of the demand since the previous
+// call of offered, including requests refused at their roots. The gate's lock is
+// held.
 func (p *profileStats) offered() float64 {
 	demand := p.demand.Load()
 	fresh := demand - p.lastDemand
--- a/atmostonce/claimlookup.go
+++ b/atmostonce/claimlookup.go
@@ -9,10 +9,10 @@
 )
 
 // evaluateClaim decides on a presentation by a claim that this presentation
-// didn't write. neverRan is true if the claim names an incarnation that this
-// node owns and hasn't expired. The key has then never run, because the table
-// has no entry for it except inquiry: the entry under which the store was
-// queried, or nil.
+// didn't write. neverRan is true if the claim hasn't expired and names an
+// incarnation that this node owns. The key has then never run, because the table
+// has no entry for it except inquiry: the entry under which the store was queried,
+// or nil.
 //
 // The entry and the ownership are checked in one critical section. Inherited
 // fates are stored before the ownership is published, so that all fates of an
@@ -44,8 +44,8 @@
 	return decision{}, true
 }
 
-// recordedFate decides by a fate that the owner wrote to the store. ok is false
-// if the claim holds no fate.
+// recordedFate decides by a fate that the owner wrote to the store. It reports
+// false if the claim holds no fate.
 func recordedFate(key string, found Claim) (decision, bool) {
 	switch {
 	case found.State == StateDone && found.Answer != nil:
--- a/atmostonce/fake_test.go
+++ b/atmostonce/fake_test.go
@@ -43,8 +43,8 @@
 // script applies the given faults, in order, to the next writes and reads.
 func (s *fakeStore) script(list ...fault) { s.next = faults(list...) }
 
-// faults returns a function that yields the listed faults in order, and works
-// after them.
+// faults returns a function that yields the listed faults in order, and then the
+// value works, which means no fault.
 func faults(list ...fault) func() fault {
 	return func() fault {
 		if len(list) == 0 {
--- a/atmostonce/handover.go
+++ b/atmostonce/handover.go
@@ -41,8 +41,8 @@
 // call WaitIdle between Freeze and HandOver.
 //
 // After a *HandOverError with Ambiguous set, only three calls can follow:
-// HandOver to the same node, Cancel, or RenewIncarnation. With another successor one key
-// could have two owners.
+// HandOver to the same node, Cancel, or RenewIncarnation. With another successor,
+// one key could have two owners.
 func (t *Table) HandOver(ctx context.Context, to Incarnation, s Successor) error {
 	t.draining.Lock()
 	defer t.draining.Unlock()
@@ -114,9 +114,9 @@
 	return &HandOverError{Step: "cancel", To: t.handOver.to, Ambiguous: true, Err: err}
 }
 
-// RenewIncarnation lets a node continue that can't get its keys back. The node runs under
-// the new incarnation inc and forwards old keys to the successor. It still
-// replays or reports the fates that it has. RenewIncarnation fails with *HandOverError
+// RenewIncarnation lets a node that can't get its keys back continue under the new
+// incarnation inc. The node forwards old keys to the successor, and still replays
+// or reports the fates that it has. RenewIncarnation fails with *HandOverError
 // unless a commit was sent.
 func (t *Table) RenewIncarnation(inc Incarnation) error {
 	t.draining.Lock()
--- a/atmostonce/notetracker.go
+++ b/atmostonce/notetracker.go
@@ -31,7 +31,7 @@
 	recipients []string
 }
 
-// NewNoteTracker creates a record with at most limit open notes.
+// NewNoteTracker creates an empty NoteTracker for at most limit open notes.
 func NewNoteTracker(limit int) *NoteTracker {
 	return &NoteTracker{limit: limit, open: make(map[uint64]*openNote), stale: make(map[string]uint64)}
 }
--- a/atmostonce/present.go
+++ b/atmostonce/present.go
@@ -44,8 +44,8 @@
 	Owner  Incarnation
 }
 
-// checkAgainNow is a closed channel. A decision has it as wait if the table has
-// changed in the meantime and must be checked again at once.
+// checkAgainNow is a closed channel. It is the wait channel of a decision if the
+// table has changed in the meantime and must be checked again at once.
 var checkAgainNow = func() <-chan struct{} {
 	over := make(chan struct{})
 	close(over)
--- a/atmostonce/shard.go
+++ b/atmostonce/shard.go
@@ -65,8 +65,8 @@
 	return e.run
 }
 
-// storeAnswer stores an answer and drops the oldest answers that exceed the
-// shard's share of the memory. It drops only answers, never fates.
+// storeAnswer stores an answer and drops the oldest answers while the stored ones
+// exceed the shard's share of the memory. It drops only answers, never fates.
 func (s *shard) storeAnswer(e *entry, answer *Answer, limit int64) {
 	size := answer.size()
 	if size > limit {
@@ -111,8 +111,8 @@
 	return dropped, claims
 }
 
-// decide decides on a presentation of a key that has an entry. ok is false for a
-// released key, which may run again.
+// decide decides on a presentation of a key that has an entry. It reports false for
+// a released key, which may run again.
 func (e *entry) decide(p Presentation) (decision, bool) {
 	if e.Fingerprint != 0 && p.Fingerprint != 0 && e.Fingerprint != p.Fingerprint {
 		return refuse(p.Key, call.Unknown, call.ReasonKeyReused), true
--- a/atmostonce/store.go
+++ b/atmostonce/store.go
@@ -47,9 +47,8 @@
 	// *ClaimUnavailableError.
 	Get(ctx context.Context, name string) (Claim, Version, error)
 	// Update replaces a claim if its current version is version. It fails with
-	// *ClaimConflictError if the version differs or the object doesn't exist,
-	// and otherwise with the errors of Create for a write that wasn't or may
-	// not have been made.
+	// *ClaimConflictError if the version differs or the object doesn't exist, and
+	// like Create with *ClaimUnavailableError or *ClaimAmbiguousError.
 	Update(ctx context.Context, name string, claim Claim, version Version) (Version, error)
 	// Delete removes a claim if its current version is version. It fails like
 	// Update.
--- a/atmostonce/witness.go
+++ b/atmostonce/witness.go
@@ -28,7 +28,7 @@
 	Home Incarnation
 }
 
-// NewWitnessStore creates a record that stores at most limit notes.
+// NewWitnessStore creates an empty WitnessStore for at most limit notes.
 func NewWitnessStore(limit int) *WitnessStore {
 	return &WitnessStore{limit: limit, owners: make(map[Incarnation]*witnessedOwner)}
 }
--- a/call/outcome.go
+++ b/call/outcome.go
@@ -61,7 +61,8 @@
 	ReasonCancelled Reason = "cancelled"
 	// ReasonDraining: the node is draining and accepts no new calls.
 	ReasonDraining Reason = "draining"
-	// ReasonNoTarget: no member offers the service.
+	// ReasonNoTarget: no member that offers the service can be chosen, because none is
+	// known, all drain or all were tried, or the route names no service.
 	ReasonNoTarget Reason = "no-target"
 	// ReasonNoUpstream: no upstream has announced itself to this node.
 	ReasonNoUpstream Reason = "no-upstream"
--- a/config/customers.go
+++ b/config/customers.go
@@ -129,8 +129,8 @@
 	return err
 }
 
-// readDigest never includes the value in its error: an operator may have entered a
-// key where its digest belongs.
+// readDigest reads the digest of a key. Its error never includes the value: an operator
+// may have entered a key where its digest belongs.
 func readDigest(n *yaml.Node, path string, d *customer.Digest) error {
 	if n.Kind != yaml.ScalarNode || d.UnmarshalText([]byte(n.Value)) != nil {
 		return &ParseError{Line: n.Line, Field: path, Value: "(not shown)", Want: "the digest of a key in quotes, as pollengauge api-key prints it"}
--- a/config/follow.go
+++ b/config/follow.go
@@ -45,7 +45,8 @@
 	watcher.Run(ctx)
 }
 
-// offerEvent ignores deletions: an accepted Set stays active.
+// offerEvent offers the Set of an event. It ignores deletions: an accepted Set stays
+// active.
 func (s *Store) offerEvent(event objects.Event, onError func(error)) {
 	if event.Type != objects.EventPut || event.Object.Name != ObjectName {
 		return
--- a/config/model_test.go
+++ b/config/model_test.go
@@ -140,7 +140,8 @@
 	f.checkResult(t, attempt{opts: opts}, result, nil)
 }
 
-// deliverDelayedWrite delivers a delayed write whose sender has stopped waiting for the response.
+// deliverDelayedWrite delivers a delayed write whose sender has stopped waiting for the
+// response.
 func (f *fleet) deliverDelayedWrite(t *rapid.T) {
 	if len(f.store.delayedWrites) == 0 {
 		t.Skip()
--- a/config/scalars.go
+++ b/config/scalars.go
@@ -104,8 +104,8 @@
 const (
 	// RecordNone stores the fate in the memory of the node that owns the key.
 	RecordNone RecordMode = "none"
-	// RecordClaim also writes a claim to the platform before dispatch, so that the
-	// fate survives the loss of the owner.
+	// RecordClaim also writes the fate to the platform after the run, so that it
+	// survives the loss of the owner.
 	RecordClaim RecordMode = "claim"
 	// RecordPeer reports the call to another member before dispatch, so that
 	// operators can find it if the owner is lost.
--- a/config/set.go
+++ b/config/set.go
@@ -59,8 +59,9 @@
 	// stops work whose caller has stopped waiting.
 	Deadline Duration `json:"deadline" yaml:"deadline"`
 
-	// Target is the response time up to which a response has its full value, 0 for
-	// the deadline. A queue whose wait would exceed it rejects the request at once.
+	// Target is the response time up to which a response has its full value, 0 for the
+	// deadline. Retry-After values are chosen so that the answer to a retry can still
+	// arrive within it; MaxWait, not Target, limits the queue wait.
 	Target Duration `json:"target,omitempty" yaml:"target,omitempty"`
 
 	// MaxWait is the maximum queueing time at any one hop. A longer wait absorbs
@@ -84,9 +85,9 @@
 	// longer time).
 	Prefer Preference `json:"prefer" yaml:"prefer"`
 
-	// CallerHeader names the request header that identifies a caller for fairness.
-	// Empty means the Authorization header (hashed), or the remote IP if that is
-	// absent. If clients can choose the value freely, one caller can pose as many.
+	// CallerHeader names the request header that identifies a caller for fairness. Empty
+	// means the Authorization header, or the remote IP if that is absent. If clients can
+	// choose the value freely, one caller can pose as many.
 	CallerHeader string `json:"callerHeader,omitempty" yaml:"callerHeader,omitempty"`
 }
 
--- a/config/validate.go
+++ b/config/validate.go
@@ -37,8 +37,8 @@
 	// connection.
 	MinHeaderBytes = 1 << 10
 	MaxHeaderBytes = 1 << 20
-	// MaxBodyBytes limits Limits.BodyBytes. Longer bodies need no limit, because
-	// nodes stream bodies instead of buffering them.
+	// MaxBodyBytes limits Limits.BodyBytes. A higher limit is not needed: nodes stream
+	// bodies instead of buffering them, so bodies may be unlimited.
 	MaxBodyBytes = 1 << 30
 	// MinIdleTimeout and MaxIdleTimeout limit Limits.IdleTimeout.
 	MinIdleTimeout = Duration(100 * time.Millisecond)
--- a/membership/claims.go
+++ b/membership/claims.go
@@ -13,8 +13,8 @@
 	claimKnown claimOutcome = iota
 	// claimApplied: the claim changed the table and must be forwarded.
 	claimApplied
-	// claimDoubted: the claim says Dead of a member that is Alive in this table, or Alive
-	// of one that is Dead. A probe of the member decides.
+	// claimDoubted: the claim says Dead about a member that is Alive in this table, or
+	// Alive or Suspect about a member that is gone. A probe of the member decides.
 	claimDoubted
 	// claimRefuted: the claim is about this process and false; this process has refuted
 	// it.
--- a/membership/config.go
+++ b/membership/config.go
@@ -227,7 +227,7 @@
 // minMessageBytes is large enough for a full round of rumors.
 const minMessageBytes = 64 << 10
 
-// maxReplyBytes bounds the answer to a request.
+// maxReplyBytes returns the maximum length of the answer to a request.
 func (c *Config) maxReplyBytes() int { return c.MaxMessageBytes + c.MaxPayloadBytes }
 
 // checkMutable checks the fields that Update may change.
--- a/membership/message.go
+++ b/membership/message.go
@@ -13,7 +13,7 @@
 const (
 	// KindPing is a probe that also carries rumors.
 	KindPing Kind = iota
-	// KindRelay requests the receiver to ping Target on the sender's behalf.
+	// KindRelay asks the receiver to ping Target on the sender's behalf.
 	KindRelay
 	// KindSync compares the digests of two tables.
 	KindSync
--- a/membership/neighbors.go
+++ b/membership/neighbors.go
@@ -8,7 +8,7 @@
 
 // fleetRings is the number of rings that span the whole fleet; the other rings span the
 // process's own availability zone. Each ring alone connects all members of its span. When
-// a zone is lost, twice as many members outside the zone notice as the zone has.
+// a zone is lost, two members outside it notice for each member that it has.
 const fleetRings = 2
 
 // nearNeighbors returns the neighbours of self, most of them in its own zone.
--- a/membership/payload_test.go
+++ b/membership/payload_test.go
@@ -21,7 +21,7 @@
 type narrowLink struct {
 	rate      int
 	listeners map[string]*narrowListener
-	// carried counts the bytes of all connections.
+	// bytesCarried counts the bytes of all connections; mu guards it.
 	mu           sync.Mutex
 	bytesCarried int
 }
@@ -296,7 +296,7 @@
 	c.Check(data, qt.HasLen, limit)
 }
 
-// slowReader is a connection whose peer needs perPart to read writePart bytes.
+// slowReader is a connection whose peer needs perPart to read writeChunkBytes bytes.
 type slowReader struct {
 	net.Conn
 	deadline time.Time
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// relayCount is the number of members that are requested to probe a member that did not
+// relayCount is the number of members that are asked to probe a member that did not
 // answer.
 const relayCount = 3
 
@@ -101,9 +101,9 @@
 	return g.exchangeWithin(ctx, wait, peer, m)
 }
 
-// probeIndirectly requests some neighbours to probe peer, and probes it directly once
-// more: a single lost message must not cause a suspicion, which would be sent to all
-// members. It reports whether peer answered.
+// probeIndirectly asks some neighbours to probe peer, and probes it directly once more: a
+// single lost message must not cause a suspicion, which would be sent to all members. It
+// reports whether peer answered.
 func (g *Gossip) probeIndirectly(peer target, wait time.Duration, claims []Entry) bool {
 	if wait > g.cfg.ProbeTimeout && g.answeredLate(wait, peer) {
 		// If answers are late because of an overload, further requests delay them more.
--- a/membership/rumors.go
+++ b/membership/rumors.go
@@ -9,7 +9,7 @@
 	// rumorSends * ceil(log10 members) is the maximum number of times that one member
 	// sends one rumor.
 	rumorSends = 4
-	// rumorKnown is the number of peers that already knew a rumor after which it is
+	// rumorKnown is the number of peers that must already have known a rumor for it to be
 	// dropped. Once most peers know it, further sends are wasted; the few that missed it
 	// get it by sync.
 	rumorKnown = 5
--- a/membership/table.go
+++ b/membership/table.go
@@ -168,8 +168,8 @@
 }
 
 // answered records an answer of a member. If the member is Suspect, its suspicion starts
-// over: the claim against it, which lets it refute, still has to be sent. It reports
-// whether to send that claim.
+// over: the claim against it still has to be sent, so that the member can refute it.
+// answered reports whether to send that claim.
 func (t *table) answered(id memberID, now time.Time) (refute bool) {
 	row := t.rows[id]
 	if row == nil || row == t.self {
--- a/membership/timeouts.go
+++ b/membership/timeouts.go
@@ -13,24 +13,24 @@
 	// takes away: at two answers a second half of it is gone after 3 s.
 	timeoutDecayDivisor = 8
 	// lateLegs * ProbeTimeout is the total time for which an answer is awaited. It is
-	// above the longest wait, and long enough that a connection which is new
-	// in an overload gets its first answer before it is considered broken:
-	// opening the next one costs more than the answer.
+	// above the longest wait, and long enough that a connection that is opened in an
+	// overload gets its first answer before it is considered broken: opening the next one
+	// costs more than the answer.
 	lateLegs = 10
 	// meanWeight is the weight of past answers in the moving average of answer times.
 	meanWeight = 7
 )
 
 // timeouts adapts the probe timeout (wait), which is at least Config.ProbeTimeout
-// (least), to the time that answers take; mean is their moving average. Only
-// answers change it: the dead and the unreachable make nobody wait longer, but
-// members that answer late do, since they are alive and short of processors,
-// as this process may be itself.
+// (least), to the time that answers take; mean is their moving average. Only answers
+// change it: a member that is dead or unreachable doesn't lengthen the timeout, but a
+// member that answers late does, since it is alive and short of processors, as this
+// process itself may be.
 //
 // With a fixed timeout, exchanges took longer than ProbeTimeout for some seconds. Each
 // was given up, probed again through others and raised a suspicion, which cost
-// more than answering, so that all later answers were late as well. The fleet
-// never left this state, though it needed a tenth of its processors at rest.
+// more than answering, so that all later answers were late as well. The fleet never left
+// this state, although at rest it needed only a tenth of its processors.
 type timeouts struct {
 	least time.Duration
 	wait  time.Duration
@@ -46,8 +46,9 @@
 	p.wait = min(max(p.wait, lateAnswerFactor*took), maxTimeoutFactor*p.least)
 }
 
-// lateLimit is the total time an answer is awaited. One that comes after its probe
-// was given up is a sign of life. A connection that is silent for longer is closed.
+// lateLimit returns the total time for which an answer is awaited. An answer that arrives
+// after its probe was given up still shows that the member is alive. A connection on
+// which nothing arrives for longer is closed.
 func (p timeouts) lateLimit() time.Duration {
 	return lateLegs * p.least
 }
--- a/node/attempt.go
+++ b/node/attempt.go
@@ -56,15 +56,15 @@
 	return out
 }
 
-// Usual number of headers that the node adds to a request to the upstream and to
-// another node.
+// upstreamFields and peerFields are the usual numbers of headers that the node adds to a
+// request to the upstream and to another node.
 const (
 	upstreamFields = 6
 	peerFields     = 10
 )
 
 // outgoing builds the parts of a request that all attempts share. Its header map has
-// capacity for that many more headers.
+// capacity for extraHeaders more headers.
 func outgoing(addr string, req *request, extraHeaders int) *http.Request {
 	body, length := req.body.open()
 	if len(req.trailer) > 0 {
@@ -104,9 +104,9 @@
 	return out
 }
 
-// attemptPeer sends the call to another node once. The outcome is the one that this
-// node reports, or unknown without a report. A call that provably never left this
-// process is not-run.
+// attemptPeer sends the call to another node once. The outcome is the one that the other
+// node reports, or unknown without a report. A call that provably never left this process
+// is not-run.
 func (n *Node) attemptPeer(ctx context.Context, addr string, req *request, lent int, home string) *answer {
 	if !n.peerLimiter.acquire(addr) {
 		a := n.refuse(call.NotRun, call.ReasonPeerFull, 0)
--- a/node/body.go
+++ b/node/body.go
@@ -12,11 +12,11 @@
 // another attempt can follow one that provably did not run. A longer body is streamed
 // once. It can't be retried after its first byte beyond the limit was sent.
 //
-// An attempt may be given up before it sent a byte, and the next one begin, while the
-// transport's write loop of the first still reads the body into its buffer. Both would
-// read from the stream in turn, and the upstream would receive a request that looks
-// complete but lacks pieces. An attempt therefore loses the stream in the same step
-// that finds the stream unused.
+// An attempt may be given up before it has sent a byte. The next one may then begin while
+// the transport's write loop of the first still reads the body into its buffer. Both
+// would read from the stream in turn, and the upstream would receive a request that looks
+// complete but lacks pieces. An attempt therefore loses the stream in the same step that
+// finds the stream unused.
 type replayBody struct {
 	head []byte
 	rest io.Reader
@@ -64,8 +64,8 @@
 // inMemory reports whether the complete body is in memory.
 func (b *replayBody) inMemory() bool { return b.rest == nil }
 
-// onEnd registers a function to be called once the body has been read to its end. If
-// it has been already, onEnd calls the function at once.
+// onEnd registers a function to be called once the body has been read to its end. If the
+// complete body is in memory, onEnd calls the function at once.
 func (b *replayBody) onEnd(end func()) {
 	if b.inMemory() {
 		end()
--- a/node/budget.go
+++ b/node/budget.go
@@ -22,22 +22,22 @@
 	return retry.NewBudget(c)
 }
 
-// serviceRetries has the accounts that retries of one service are paid from.
+// serviceRetries has the limits on this node's retries of calls to one service.
 type serviceRetries struct {
 	bound  retry.Limiter
 	ration *retry.Ration
 }
 
-// retriesOf returns the accounts that this node's retries of a service are paid from.
-// With a dialect each service has its own.
+// retriesOf returns the limits on this node's retries of calls to a service. With a
+// dialect each service has its own.
 //
 // With one bound for all services, the retries that calls to many healthy services
 // have earned would go to the failing service, which the bound is meant to protect.
 //
 // Over the whole fleet, the retries of a service stay within the ratio, however its
-// load is distributed. Each node spends what its own first calls earned; a call made
-// by a visit that is itself a retry is paid for like a retry; and a node that starts
-// has earned nothing.
+// load is distributed. Each node uses only the retries that its own first calls earned; a
+// call made by a visit that is itself a retry counts as a retry; and a node that starts
+// has earned none.
 func (n *Node) retriesOf(service string) serviceRetries {
 	if !n.usesDialect() {
 		return serviceRetries{bound: n.budget.Load()}
@@ -58,9 +58,9 @@
 // makes it is one.
 const inheritedRetry = "inherited"
 
-// payFirstAttempt accounts for the first attempt of a call, and returns a refusal if the
-// attempt can't be paid. A call made by a visit that is a retry earns nothing and is
-// paid for as a retry.
+// payFirstAttempt counts the first attempt of a call. A call made by a visit that is a
+// retry earns no retries and counts as a retry itself; payFirstAttempt returns a refusal
+// if the retry budget doesn't allow it.
 //
 // When a service in the middle of the call graph fails, its calls are retried, and
 // each repeated visit makes its own calls again. If these counted as first calls, they
--- a/node/crashing_upstreams_test.go
+++ b/node/crashing_upstreams_test.go
@@ -42,7 +42,8 @@
 	// away is how long a crashed upstream is down. With lasting set, an upstream also
 	// crashes that long after it has begun a marked request.
 	away, lasting time.Duration
-	// failEvery makes one in so many marked requests get an error response, 0 none.
+	// failEvery makes one in failEvery marked requests get an error response; 0 means
+	// none.
 	failEvery int
 
 	mu sync.Mutex
--- a/node/customers.go
+++ b/node/customers.go
@@ -57,8 +57,8 @@
 // checkKeyRevoked returns a refusal if no customer has the API key of a request any more,
 // and nil otherwise.
 //
-// The failure: a request waits, or is retried, while operators revoke its key, and is
-// sent after the time by which the revocation must be in force.
+// It prevents this failure: a request waits, or is retried, while operators revoke its
+// key, and is sent after the time by which the revocation must be in force.
 func (n *Node) checkKeyRevoked(req *request) *answer {
 	if req.identity.customer == nil {
 		return nil
--- a/node/customersadmin.go
+++ b/node/customersadmin.go
@@ -17,10 +17,10 @@
 	// Rate is in requests per second, 0 for no limit, and Burst in requests.
 	Rate  float64 `json:"rate"`
 	Burst float64 `json:"burst"`
-	// Home reports whether this node is the customer's owner, which counts its requests.
-	// Only the owner fills in the other fields: Asked and Refused are recent requests
-	// per second over all nodes, and Tokens is how many more requests could be sent at
-	// once.
+	// Home reports whether this node is the customer's owner and has recently counted
+	// requests of the customer. Otherwise the fields below are 0. Asked and Refused are
+	// recent requests per second over all nodes, and Tokens is how many more requests
+	// could be sent at once.
 	Home    bool    `json:"home"`
 	Asked   float64 `json:"asked"`
 	Refused float64 `json:"refused"`
--- a/node/dispatch.go
+++ b/node/dispatch.go
@@ -34,8 +34,8 @@
 }
 
 // dispatch sends req to members of its service until an attempt returns an answer or
-// no further attempt is allowed. credit is the account that pays for retries: the
-// root's own, or the visit's for a call that an upstream makes.
+// no further attempt is allowed. Retries are charged to credit: the root's own, or the
+// visit's for a call that an upstream makes.
 func (n *Node) dispatch(ctx context.Context, req *request, credit *retry.Credit) *answer {
 	refused, trial := n.checkQuarantine(req)
 	if refused != nil {
@@ -166,8 +166,8 @@
 	return verdict.Retry
 }
 
-// keepOrClose stores the first error response that is followed by another attempt, and closes
-// all other answers.
+// keepOrClose stores the first error response that is followed by another attempt, and
+// closes all other answers.
 func (d *dispatchState) keepOrClose(a *answer) {
 	if a.report.Outcome == call.Complete && d.failed == nil {
 		d.failed = a
--- a/node/drain.go
+++ b/node/drain.go
@@ -97,8 +97,8 @@
 // learned that it left and who holds its keys. Calls that arrive in that time are
 // refused with not-run or forwarded to the successor.
 //
-// The failure: a node with nothing in flight closed at once. Calls that others had just
-// sent to it, on connections that it then closed, were lost with an unknown fate.
+// Without this time, a node with nothing in flight closed at once. Calls that others had
+// just sent to it, on connections that it then closed, were lost with an unknown fate.
 const leaveSpreadTime = 2 * time.Second
 
 // awaitIdle waits until this node's upstream serves no call and none is queued.
--- a/node/ending.go
+++ b/node/ending.go
@@ -68,10 +68,10 @@
 // down. A caller that sends its next request on a connection that is just being closed
 // can't tell whether the request was read.
 //
-// It does the same while the listener is close to its connection limit. The failure:
-// idle connections of callers take all that the listener may hold, and new connections
-// wait to be accepted until their callers have given up; their requests are forwarded
-// only then.
+// It does the same while the listener is close to its connection limit. This prevents the
+// following failure: idle connections of callers take all that the listener may hold, and
+// new connections wait to be accepted until their callers have given up; their requests
+// are forwarded only then.
 //
 // If the caller has pipelined further requests that have already been started, the
 // connection stays open until they are answered: closed earlier, it would make their
--- a/node/guard.go
+++ b/node/guard.go
@@ -49,7 +49,8 @@
 	return limit
 }
 
-// check measures the head in the form in which it would be forwarded.
+// check returns a *HeadError if the head exceeds the limit. It measures the head in the
+// form in which it would be forwarded.
 func (l headLimit) check(r *http.Request) error {
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	fields := 0
--- a/node/local_finish.go
+++ b/node/local_finish.go
@@ -95,8 +95,9 @@
 	return count, err
 }
 
-// resultOf keeps failures out of the latency baseline: an upstream that fails fast
-// would otherwise look like one that became faster.
+// resultOf returns the admission result for a status code. It keeps failures out of the
+// latency baseline: an upstream that fails fast would otherwise look like one that became
+// faster.
 func resultOf(status int) admission.Result {
 	if status >= http.StatusInternalServerError {
 		return admission.Failed
--- a/node/node.go
+++ b/node/node.go
@@ -53,9 +53,9 @@
 	feedback *admission.Feedback
 	ranker   *admission.Ranker
 	// graph links each run of the upstream to the calls that the upstream makes.
-	// shedder tracks the downstream pressure on the routes of callers; the Shedder named
-	// downstreamShedder tracks the pressure on the upstream's own calls. All three are
-	// used only with a dialect.
+	// shedder tracks the downstream pressure on the routes of callers; downstreamShedder
+	// tracks the pressure on the upstream's own calls. All three are used only with a
+	// dialect.
 	graph             *admission.CallGraph
 	shedder           *admission.Shedder
 	downstreamShedder *admission.Shedder
--- a/node/pipelined.go
+++ b/node/pipelined.go
@@ -16,7 +16,7 @@
 // maxEarlyRuns bounds the requests of all callers that were started before their turn on
 // the connection and are not answered yet. Each one holds a goroutine, its head and a
 // connection to another node, about 40 KiB in all. Its answer stays at the node that it
-// comes from until the turn.
+// comes from until the request's turn.
 const maxEarlyRuns = 256
 
 // pipelined returns a listener whose connections read ahead and start pipelined
@@ -179,7 +179,7 @@
 }
 
 // lateTurnShare is the fraction of a target from which the wait for earlier answers is
-// logged: it can make an answer late that was ready in time.
+// logged: an answer that was ready in time can be late because of it.
 const lateTurnShare = 0.5
 
 // logLateTurn logs a request that was queued for long behind others on its connection.
--- a/node/pipelining/read.go
+++ b/node/pipelining/read.go
@@ -8,8 +8,8 @@
 
 // Limits of the reading goroutine.
 const (
-	// maxUnread is how many received bytes may wait for net/http, in bytes. At this
-	// limit the goroutine stops reading.
+	// maxUnread is the maximum number of received bytes that wait for net/http. At
+	// this limit the goroutine stops reading.
 	maxUnread = 32 << 10
 	// readSize is the size of one read, in bytes. It equals net/http's buffer.
 	readSize = 4 << 10
--- a/node/pipelining/splitter.go
+++ b/node/pipelining/splitter.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// maxPending is the maximum number of bytes of a connection that are inspected ahead,
-// in bytes: a dozen heads, and more than the head of a caller may have.
+// maxPending is the maximum number of bytes of a connection that are inspected ahead:
+// a dozen heads, and more than the head of a caller may have.
 const maxPending = 32 << 10
 
 // splitter finds the boundaries between the requests of a connection in the received
--- a/node/quarantineadmin.go
+++ b/node/quarantineadmin.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// clearEndpoint responds with false if the request is unknown.
+// clearEndpoint returns the endpoint that releases a request from quarantine. It responds
+// with false if the request is unknown.
 func (n *Node) clearEndpoint() endpoint.Endpoint {
 	return func(_ context.Context, request any) (any, error) {
 		req := request.(ClearRequest)
@@ -49,7 +50,7 @@
 	}
 }
 
-// decodeQuarantine lists the suspects as well if the query has "suspects=1".
+// decodeQuarantine reads the query: with "suspects=1" the suspects are listed as well.
 func decodeQuarantine(_ context.Context, r *http.Request) (any, error) {
 	return QuarantineRequest{Suspects: r.URL.Query().Get("suspects") != ""}, nil
 }
--- a/node/quarantineannounce.go
+++ b/node/quarantineannounce.go
@@ -48,8 +48,8 @@
 // adoptUnannounced makes this node announce quarantined requests that no member
 // announces any more, if it is the member chosen for them.
 //
-// The failure: the node that found a request is restarted. The others still quarantine
-// the request, but nodes that start later never learn of it.
+// It prevents this failure: the node that found a request is restarted. The others still
+// quarantine the request, but nodes that start later never learn of it.
 func (n *Node) adoptUnannounced(members []membership.Member, announced map[quarantine.Fingerprint]bool) (adopted bool) {
 	var ids []string
 	for _, record := range n.quarantine.ledger.RecordsToAnnounce(n.now()) {
@@ -147,9 +147,10 @@
 
 // notifySuspects notifies the other members of this service of suspects.
 //
-// The failure: a request that can't be repeated arrives at another node each time and
-// crashes an upstream each time. If each node counted only the crashes of its own
-// upstream, the request would crash all upstreams before any node counts a second crash.
+// It prevents this failure: a request that can't be repeated arrives at another node each
+// time and crashes an upstream each time. If each node counted only the crashes of its
+// own upstream, the request would crash all upstreams before any node counts a second
+// crash.
 func (n *Node) notifySuspects(suspects []quarantine.Fingerprint) {
 	body, err := json.Marshal(suspectsMessage{From: n.id, Suspects: packSuspects(suspects[:min(len(suspects), maxSuspects)])})
 	if err != nil {
--- a/node/quotaowner.go
+++ b/node/quotaowner.go
@@ -11,10 +11,11 @@
 
 // leaseTokens leases tokens as the owner of a customer, or as its deputy.
 //
-// The failure: two members that don't know of each other both consider themselves the
-// owner, and each leases the whole limit. A member therefore leases as owner only if it
-// is the owner in its own view of the membership, only after it has joined, and only the
-// part of the limit that corresponds to the part of the fleet that it sees.
+// It must prevent this failure: two members that don't know of each other both consider
+// themselves the owner, and each leases the whole limit. A member therefore leases as
+// owner only if it is the owner in its own view of the membership, only after it has
+// joined, and only the part of the limit that corresponds to the part of the fleet that
+// it sees.
 func (n *Node) leaseTokens(ask quota.LeaseRequest, asDeputy bool) (quota.Grant, error) {
 	owners := n.quotas.owners.Load()
 	owner, _ := owners.Of(ask.Customer)
@@ -33,8 +34,8 @@
 	return quota.Grant{}, &QuotaMovedError{Home: owner}
 }
 
-// applyKnownLimit replaces the limit in a token request by the one in force on this
-// node, unless the request's is of a later configuration.
+// applyKnownLimit replaces the limit in a token request by the one in force on this node,
+// unless the request names a later configuration version.
 func (n *Node) applyKnownLimit(ask *quota.LeaseRequest) {
 	current := n.config.Current()
 	if of := current.Customers().ByName(ask.Customer); of.Limited() && current.Version() >= ask.Version {
--- a/node/routed.go
+++ b/node/routed.go
@@ -233,8 +233,8 @@
 const maxBufferedAnswer = 128 << 10
 
 // bufferBody reads an answer of the upstream to its end before its head is sent on. If
-// the upstream fails midway, the caller waits for another attempt at most and never
-// gets half an answer, and a slow caller doesn't occupy the upstream's slot. bufferBody
+// the upstream fails midway, the caller at most waits for another attempt and never gets
+// half an answer, and a slow caller doesn't occupy the upstream's slot. bufferBody
 // reports false for an answer that is too long or has no length.
 func bufferBody(resp *http.Response) ([]byte, bool, error) {
 	if resp.ContentLength < 0 || resp.ContentLength > maxBufferedAnswer {
--- a/node/successor.go
+++ b/node/successor.go
@@ -67,7 +67,7 @@
 	return rpc.NewClient(conn), nil
 }
 
-// openRPC requests the peer listener to switch the connection to net/rpc.
+// openRPC asks the peer listener to switch the connection to net/rpc.
 func openRPC(ctx context.Context, conn net.Conn) error {
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := conn.SetDeadline(deadline); err != nil {
--- a/node/target.go
+++ b/node/target.go
@@ -42,9 +42,9 @@
 	return nil
 }
 
-// pathInterpretations returns how servers may interpret a path other than decoded and cleaned,
-// which Match does itself. The list is empty for most paths, since they have only one
-// interpretation.
+// pathInterpretations returns the paths that servers may read in place of the decoded and
+// cleaned one, which Match uses. The list is empty for most paths, since they have only
+// one interpretation.
 func pathInterpretations(u *url.URL) []string {
 	path := u.Path
 	if u.RawPath == "" && !strings.ContainsAny(path, `%\;`) && !strings.Contains(path, "//") && !strings.Contains(path, "/.") {
--- a/node/tls.go
+++ b/node/tls.go
@@ -62,9 +62,8 @@
 	// noConnLimit disables the transport's own connection limit. peerLimiter limits the
 	// connections instead: it refuses a call where the transport would wait.
 	noConnLimit = 0
-	// idlePeerDivisor divides the maximum number of concurrent calls to other nodes
-	// into the number of idle connections kept: calls reuse connections one after
-	// another.
+	// idlePeerDivisor is the divisor of PeerCalls that gives the number of idle
+	// connections kept: calls reuse connections one after another.
 	idlePeerDivisor = 4
 )
 
--- a/node/transport.go
+++ b/node/transport.go
@@ -26,7 +26,7 @@
 //
 // http.Transport resends a request on a new connection when a reused one breaks, if
 // the method is idempotent or an Idempotency-Key header is present and the body can be
-// rewound. No credit paid for such an attempt, and for a filing it is a duplicate. A
+// rewound. Such an attempt is charged to no credit, and a filing would run twice. A
 // request without GetBody and with a Body that is neither nil nor http.NoBody is never
 // resent. Every request that goes through roundTrip below has such a body.
 func newTransport(network Network, maxConns int) *http.Transport {
--- a/node/upstream.go
+++ b/node/upstream.go
@@ -167,11 +167,11 @@
 	return up.Instance == a.Instance && up.Born == a.Born
 }
 
-// maxInstances is the maximum number of incarnations that are remembered.
+// maxInstances is the maximum number of Instance names that are remembered.
 const maxInstances = 16
 
-// reorderWindow is how long after the last announcement of an incarnation an
-// incarnation with an earlier start time may replace it. Upstreams announce
+// reorderWindow is the time that must pass after the last announcement of an incarnation
+// before an incarnation with an earlier start time may replace it. Upstreams announce
 // themselves every second or two, and a delayed announcement is some seconds late.
 //
 // It handles a VM whose clock is set back before its upstream restarts: the start
--- a/node/upstreamcrash.go
+++ b/node/upstreamcrash.go
@@ -19,9 +19,9 @@
 // upstreamIncarnation tracks whether one incarnation of the upstream still runs, and which
 // requests may have crashed it.
 //
-// The failure: a run whose connection breaks looks the same whether only its answer was
-// lost or its upstream has crashed. A lost answer says nothing about the request; a
-// crash may be caused by the request.
+// A run whose connection breaks looks the same whether only its answer was lost or its
+// upstream has crashed. A lost answer says nothing about the request; a crash may be
+// caused by the request.
 type upstreamIncarnation struct {
 	// turn is a semaphore held by the run that checks whether the upstream is still
 	// there.
@@ -219,9 +219,9 @@
 // upstreamReplaced handles the announcement of a new incarnation when the old one
 // neither announced that it leaves nor was found to have crashed.
 //
-// The failure: a supervisor restarts the upstream within milliseconds, so dials are
-// never refused, and the request that crashes the upstream is mistaken for one whose
-// answer was lost.
+// It handles this failure: a supervisor restarts the upstream within milliseconds, so
+// dials are never refused, and the request that crashes the upstream is mistaken for one
+// whose answer was lost.
 func (n *Node) upstreamReplaced(old *upstream) {
 	if n.leaving(old) || old.incarnation.crashedAt.Load() != nil {
 		return
--- a/quarantine/blame.go
+++ b/quarantine/blame.go
@@ -34,10 +34,10 @@
 // Blame counts the crash of an upstream against the requests that it was running.
 //
 // One request may crash each upstream that runs it. Tens of other requests run beside
-// it and are sent on to the same next upstream. Only the requests with the most earlier
-// crashes are counted one more. For a request with fewer, another running request
-// explains the crash better, so it becomes a suspect at most. An innocent request that
-// happens to run beside the cause is therefore not quarantined for it.
+// it and are sent on to the same next upstream. Only the counts of the requests with the
+// most earlier crashes rise. For a request with fewer, another running request explains
+// the crash better, so it becomes a suspect at most. An innocent request that happens to
+// run beside the cause is therefore not quarantined for it.
 //
 // A count rises by one from the count that was known when the run began. Upstreams that
 // crash at the same moment, as when a zone fails, therefore count once for the requests
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -282,8 +282,8 @@
 	return e
 }
 
-// A full ledger evicts 1/evictedShare of its entries, so that the next entries fit
-// without another eviction.
+// evictedShare is the divisor for the part of the entries that a full ledger evicts at
+// once, so that the next entries fit without another eviction.
 const evictedShare = 8
 
 func (l *Ledger) evict() {
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -220,7 +220,7 @@
 	nodes []*worldNode
 	now   time.Time
 	sent  []time.Time
-	// stored is the fleet size that processes read when they start. lost is the
+	// stored is the fleet size that processes read when they start. lossRate is the
 	// fraction of token requests that the owner does not answer.
 	stored   int
 	lossRate float64
--- a/retry/after.go
+++ b/retry/after.go
@@ -27,9 +27,8 @@
 
 // AfterInput holds the inputs of After.
 type AfterInput struct {
-	// Level is the admission level of the refused request. MinLevel is the
-	// admission level that refused it, or 0 when the refusal did not depend on
-	// the level.
+	// Level is the level of the refused request. InForce is the admission level that
+	// refused it, or 0 when the refusal did not depend on the level.
 	Level   call.Level
 	InForce call.Level
 	// RefusedShare is the share of recent requests that were refused, 0 to 1.
--- a/retry/decide.go
+++ b/retry/decide.go
@@ -96,7 +96,7 @@
 // Verdict is the result of Decide.
 type Verdict struct {
 	Retry bool
-	// FreeAllowed is true when the retry is charged neither to the credit nor to the
+	// Free is true when the retry is charged neither to the credit nor to the
 	// budget.
 	Free   bool
 	Reason VerdictReason
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -12,7 +12,7 @@
 //     attempts that were proved not to have run or are idempotent.
 //   - Ration gives the retries of a budget, when more are requested than it
 //     covers, to the requests that need the fewest further calls.
-//   - RepeatDetector recognises the callers' own retries, so that they don't start
+//   - RepeatDetector recognizes the callers' own retries, so that they don't start
 //     with new credit.
 //
 // A node uses them in this order:
--- a/retry/repeats.go
+++ b/retry/repeats.go
@@ -39,9 +39,9 @@
 	Start time.Time
 }
 
-// RepeatDetector recognises requests that callers send again, by idempotency key or
-// request id. Without it each retry by a client would start with a new credit,
-// and a burst of client retries would multiply downstream.
+// RepeatDetector recognizes requests that callers send again, by idempotency key or
+// request id. Without it each retry by a client would start with a new credit, and a
+// burst of client retries would multiply downstream.
 //
 // It is a set-associative table of fixed size: sets of eight entries, each with
 // the id's 64-bit hash, the time when it was last seen and a count. If two ids
--- a/routing/eject.go
+++ b/routing/eject.go
@@ -38,7 +38,8 @@
 	mu sync.Mutex
 }
 
-// eject ejects the target, unless half of the service is already ejected.
+// eject ejects the target, unless more than half of the service would then be
+// ejected. If all other targets fail as well, it ends all ejections instead.
 //
 // An ejection assumes that the fault is the target's. When more than half of
 // the targets fail, the cause is more likely this node's own network or a
--- a/routing/target.go
+++ b/routing/target.go
@@ -20,7 +20,8 @@
 	// Slots is the number of concurrent calls that the upstream announced it
 	// can serve; 0 counts as 1.
 	Slots int
-	// Draining targets get no new calls.
+	// Draining is true while the member drains. Such a target gets new calls only
+	// as a last resort, and only if Config.PickDraining is set.
 	Draining bool
 	// Revision increases with each announcement of the member. An announcement
 	// without a drain and with a higher revision cancels an earlier refusal
