--- a/node/pressed.go
+++ b/node/pressed.go
@@ -21,9 +21,9 @@
 	maxQueueWait = 2 * time.Second
 )
 
-// refuseOverloaded refuses a root request that would reach an overloaded upstream
-// downstream. It returns nil to admit. Calls made by the upstream are never refused
-// here, because work has already been done for their requests.
+// refuseOverloaded refuses a root request that leads to an overloaded upstream. It
+// returns nil to admit. Calls made by the upstream are never refused here, because work
+// has already been done for their requests.
 func (n *Node) refuseOverloaded(req *request) *answer {
 	if req.call.Depth > 0 || n.settings.Ablate.NoFeedback {
 		return nil
--- a/quota/purse.go
+++ b/quota/purse.go
@@ -102,7 +102,7 @@
 		taken.ExpiresAt = a.leases[0].expires
 		a.leases[0].tokens--
 		left--
-		// Requests the next tokens before the last one is used, if another request is
+		// Request the next tokens before the last one is used, if another request is
 		// expected within their time to live.
 		if a.demand*p.ttl.Seconds() >= 1 && left < (want+1)/2 && !now.Before(a.backoffUntil) {
 			taken.Want = want
