--- a/spec/quota.pml
+++ b/spec/quota.pml
@@ -35,7 +35,7 @@
 #define MIN(a, b) (a < b -> a : b)
 #define MAX(a, b) (a > b -> a : b)
 
-/* quota.Homes.Of: the order of the members stands for the draws */
+/* quota.Owners.Of: the order of the members stands for the draws */
 inline home(n) {
 	h = 0;
 	do
@@ -44,7 +44,7 @@
 	od
 }
 
-/* quota.Fleet.Update and Heard, quota.Ledger.Keep */
+/* quota.Fleet.Update and RecordReportedSize, quota.Ledger.RetainOwned */
 inline look(n) {
 	seen[n] = 0; i = 0;
 	do
@@ -77,7 +77,7 @@
 	fi
 }
 
-/* quota.Ledger.Ask at the home that a node asks, if that is one by its own view: all that
+/* quota.Ledger.Lease at the home that a node asks, if that is one by its own view: all that
    is there, as of a customer that asks for more than its limit */
 inline ask(n) {
 	home(n);
--- a/spec/restart.pml
+++ b/spec/restart.pml
@@ -30,7 +30,7 @@
 /* the node beside the upstream */
 byte knownBorn;
 byte knownSequence;
-bool silent;              /* the known life was not heard for lifeSilence */
+bool silent;              /* the known life was not heard for reorderWindow */
 byte upstream;            /* the life that is taken for the upstream */
 bool draining = true;     /* the node sends it no calls */
 
