--- a/spec/quarantine.pml
+++ b/spec/quarantine.pml
@@ -72,7 +72,7 @@
 /* quarantine.Ledger.Merge */
 inline merge(n, m) {
 	ends[n] = toldEnds[m]; stamp[n] = toldStamp[m];
-	/* Bulletin.Withdraw: the other member has the later word */
+	/* Announcements.Withdraw: the other member has the later word */
 	tells[n] = false;
 	if
 #ifndef NO_CONTRADICTION
